--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -1,8 +1,8 @@
 //! The gate of one instance: limits per kind and caller, and a lane per member.
 //!
-//! Thresholds: one caller gets at most [`CALLER_PART`] of its kind's limit, so that a single busy
+//! Thresholds: one caller gets at most [`CALLER_LIMIT_FRACTION`] of its kind's limit, so that a single busy
 //! caller cannot use the limit up and have its neighbours refused. Work that is turned away first
-//! is refused from [`SHED_PART`] of the queue on, so the rest always finds room for a burst. A
+//! is refused from [`SHED_QUEUE_FRACTION`] of the queue on, so the rest always finds room for a burst. A
 //! request that is not expected to get its slot within its bound is refused at once: it would
 //! only hold a place, and its caller learns sooner when to come back.
 
@@ -17,10 +17,10 @@
 use std::time::Instant;
 
 /// The part of its kind's limit that one caller may use.
-const CALLER_PART: f64 = 0.75;
+const CALLER_LIMIT_FRACTION: f64 = 0.75;
 
 /// The part of the queue from which on work is shed that is turned away first.
-const SHED_PART: f64 = 0.5;
+const SHED_QUEUE_FRACTION: f64 = 0.5;
 
 #[derive(Clone, Debug)]
 struct LaneRecord {
@@ -107,7 +107,7 @@
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     pub fn set_lane(&mut self, key: &LaneKey, limits: LaneLimits) {
-        self.lane_of(key).lane.limits = limits;
+        self.lane_or_insert(key).lane.limits = limits;
     }
 
     /// How full a lane is.
@@ -133,20 +133,20 @@
         now: Instant,
         rng: &mut dyn Rng,
     ) -> AdmissionVerdict {
-        if let Some(word) = self.refusal_of(request, now) {
-            return AdmissionVerdict::Refuse(self.refusal(&request.lane, word, now, rng));
+        if let Some(cause) = self.refusal_cause(request, now) {
+            return AdmissionVerdict::Refuse(self.refusal_reason(&request.lane, cause, now, rng));
         }
         let flow = flow_of(request);
         let ticket = self.open_ticket(request, flow);
-        let lane = &mut self.lane_of(&request.lane).lane;
+        let lane = &mut self.lane_or_insert(&request.lane).lane;
         // After a raised limit, what waits goes first; otherwise newcomers would overtake it.
-        if lane.has_room(flow) && !lane.has_ready() {
-            lane.take_slot(flow);
+        if lane.has_room(flow) && !lane.can_serve_next() {
+            lane.acquire_slot(flow);
             self.mark_running(ticket, now);
             return AdmissionVerdict::Run(ticket);
         }
-        let give_up = request.deadline.min(now + request.queue_wait);
-        lane.enqueue(flow, WaitingTicket { ticket, give_up });
+        let expires_at = request.deadline.min(now + request.queue_wait);
+        lane.enqueue(flow, WaitingTicket { ticket, expires_at });
         AdmissionVerdict::Wait(ticket)
     }
 
@@ -163,14 +163,14 @@
         let Some(record) = self.close_ticket(ticket) else {
             return Vec::new();
         };
-        let lane = &mut self.lane_of(&record.lane).lane;
+        let lane = &mut self.lane_or_insert(&record.lane).lane;
         match record.running_since {
-            Some(since) => lane.give_slot(record.flow, now.duration_since(since)),
+            Some(since) => lane.release_slot(record.flow, now.duration_since(since)),
             None => {
-                lane.take_ticket(ticket);
+                lane.remove_ticket(ticket);
             }
         }
-        self.settle(&record.lane, now, rng)
+        self.expire_and_serve(&record.lane, now, rng)
     }
 
     /// Refuses what has waited long enough, in every lane, and serves what may run. Call it at
@@ -183,9 +183,9 @@
     /// assert!(gate.expire(std::time::Instant::now(), &mut rng).is_empty());
     /// ```
     pub fn expire(&mut self, now: Instant, rng: &mut dyn Rng) -> Vec<TicketNotice> {
-        let busy = self.lanes.iter().filter(|record| record.lane.usage().waiting > 0);
-        let keys: Vec<LaneKey> = busy.map(|record| record.key.clone()).collect();
-        keys.iter().flat_map(|key| self.settle(key, now, rng)).collect()
+        let waiting_lanes = self.lanes.iter().filter(|record| record.lane.usage().waiting > 0);
+        let keys: Vec<LaneKey> = waiting_lanes.map(|record| record.key.clone()).collect();
+        keys.iter().flat_map(|key| self.expire_and_serve(key, now, rng)).collect()
     }
 
     /// Refuses everything that waits in a lane, because its member is gone.
@@ -200,7 +200,7 @@
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     pub fn close(&mut self, key: &LaneKey, now: Instant, rng: &mut dyn Rng) -> Vec<TicketNotice> {
-        let tickets = self.lane_of(key).lane.take_all();
+        let tickets = self.lane_or_insert(key).lane.remove_all();
         self.refuse_all(key, &tickets, RefusalCause::LaneClosed, now, rng)
     }
 
@@ -211,14 +211,14 @@
     /// ```
     #[must_use]
     pub fn next_expiry(&self) -> Option<Instant> {
-        let busy = self.lanes.iter().filter(|record| record.lane.usage().waiting > 0);
-        busy.filter_map(|record| record.lane.next_expiry()).min()
+        let waiting_lanes = self.lanes.iter().filter(|record| record.lane.usage().waiting > 0);
+        waiting_lanes.filter_map(|record| record.lane.next_expiry()).min()
     }
 
     /// Why a request is refused at once, if it is.
-    fn refusal_of(&mut self, request: &AdmissionRequest, now: Instant) -> Option<RefusalCause> {
+    fn refusal_cause(&mut self, request: &AdmissionRequest, now: Instant) -> Option<RefusalCause> {
         let caller_key = (request.kind.clone(), request.caller);
-        let caller_max = (f64::from(request.in_flight_max) * CALLER_PART).ceil() as u32;
+        let caller_max = (f64::from(request.in_flight_max) * CALLER_LIMIT_FRACTION).ceil() as u32;
         if count_of(&self.kinds, &request.kind) >= request.in_flight_max {
             return Some(RefusalCause::KindLimit);
         }
@@ -226,7 +226,7 @@
             return Some(RefusalCause::CallerLimit);
         }
         let flow = flow_of(request);
-        let lane = &self.lane_of(&request.lane).lane;
+        let lane = &self.lane_or_insert(&request.lane).lane;
         if lane.has_room(flow) {
             return (request.deadline <= now).then_some(RefusalCause::TooLate);
         }
@@ -235,18 +235,23 @@
         if waiting >= queue_max {
             return Some(RefusalCause::QueueFull);
         }
-        if request.shed && waiting >= queue_max * SHED_PART {
+        if request.shed && waiting >= queue_max * SHED_QUEUE_FRACTION {
             return Some(RefusalCause::Shed);
         }
-        let give_up = request.deadline.min(now + request.queue_wait);
-        (now + lane.expected_wait(flow) > give_up).then_some(RefusalCause::TooLate)
+        let expires_at = request.deadline.min(now + request.queue_wait);
+        (now + lane.expected_wait(flow) > expires_at).then_some(RefusalCause::TooLate)
     }
 
     /// Refuses what has waited long enough in one lane, then serves what may run.
-    fn settle(&mut self, key: &LaneKey, now: Instant, rng: &mut dyn Rng) -> Vec<TicketNotice> {
-        let expired = self.lane_of(key).lane.take_expired(now);
+    fn expire_and_serve(
+        &mut self,
+        key: &LaneKey,
+        now: Instant,
+        rng: &mut dyn Rng,
+    ) -> Vec<TicketNotice> {
+        let expired = self.lane_or_insert(key).lane.remove_expired(now);
         let mut notices = self.refuse_all(key, &expired, RefusalCause::WaitOver, now, rng);
-        while let Some(ticket) = self.lane_of(key).lane.serve_next() {
+        while let Some(ticket) = self.lane_or_insert(key).lane.serve_next() {
             self.mark_running(ticket, now);
             notices.push(TicketNotice { ticket, outcome: TicketOutcome::Run });
         }
@@ -257,33 +262,33 @@
         &mut self,
         key: &LaneKey,
         tickets: &[TicketId],
-        word: RefusalCause,
+        cause: RefusalCause,
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Vec<TicketNotice> {
         let mut notices = Vec::with_capacity(tickets.len());
         for &ticket in tickets {
             self.close_ticket(ticket);
-            let reason = self.refusal(key, word, now, rng);
+            let reason = self.refusal_reason(key, cause, now, rng);
             notices.push(TicketNotice { ticket, outcome: TicketOutcome::Refuse(reason) });
         }
         notices
     }
 
-    fn refusal(
+    fn refusal_reason(
         &mut self,
         key: &LaneKey,
-        word: RefusalCause,
+        cause: RefusalCause,
         now: Instant,
         rng: &mut dyn Rng,
     ) -> RefusalReason {
-        let record = self.lane_of(key);
-        let (backlog, pace) = (record.lane.backlog(), record.lane.pace());
-        let retry_after = record.pacer.next(backlog, pace, now, rng);
-        RefusalReason { word, retry_after }
+        let record = self.lane_or_insert(key);
+        let (backlog, slot_interval) = (record.lane.backlog(), record.lane.slot_interval());
+        let retry_after = record.pacer.next(backlog, slot_interval, now, rng);
+        RefusalReason { word: cause, retry_after }
     }
 
-    fn lane_of(&mut self, key: &LaneKey) -> &mut LaneRecord {
+    fn lane_or_insert(&mut self, key: &LaneKey) -> &mut LaneRecord {
         let index = match self.lanes.binary_search_by(|record| record.key.cmp(key)) {
             Ok(index) => index,
             Err(index) => {
@@ -299,8 +304,8 @@
     fn open_ticket(&mut self, request: &AdmissionRequest, flow: FlowKey) -> TicketId {
         self.next_ticket += 1;
         let ticket = TicketId(self.next_ticket);
-        add(&mut self.kinds, request.kind.clone());
-        add(&mut self.callers, (request.kind.clone(), request.caller));
+        increment(&mut self.kinds, request.kind.clone());
+        increment(&mut self.callers, (request.kind.clone(), request.caller));
         // Ticket numbers only grow, so pushing keeps the records sorted.
         self.tickets.push(TicketRecord {
             ticket,
@@ -315,8 +320,8 @@
     fn close_ticket(&mut self, ticket: TicketId) -> Option<TicketRecord> {
         let index = self.tickets.binary_search_by_key(&ticket, |record| record.ticket).ok()?;
         let record = self.tickets.remove(index);
-        subtract(&mut self.kinds, &record.kind);
-        subtract(&mut self.callers, &(record.kind.clone(), record.flow.caller));
+        decrement(&mut self.kinds, &record.kind);
+        decrement(&mut self.callers, &(record.kind.clone(), record.flow.caller));
         Some(record)
     }
 
@@ -337,14 +342,14 @@
     index.map_or(0, |index| counts[index].count)
 }
 
-fn add<K: Ord>(counts: &mut Vec<UsageCount<K>>, key: K) {
+fn increment<K: Ord>(counts: &mut Vec<UsageCount<K>>, key: K) {
     match counts.binary_search_by(|usage| usage.key.cmp(&key)) {
         Ok(index) => counts[index].count += 1,
         Err(index) => counts.insert(index, UsageCount { key, count: 1 }),
     }
 }
 
-fn subtract<K: Ord>(counts: &mut Vec<UsageCount<K>>, key: &K) {
+fn decrement<K: Ord>(counts: &mut Vec<UsageCount<K>>, key: &K) {
     let Ok(index) = counts.binary_search_by(|usage| usage.key.cmp(key)) else {
         return;
     };
--- a/crates/rudder-decisions/src/admission/lane.rs
+++ b/crates/rudder-decisions/src/admission/lane.rs
@@ -3,11 +3,11 @@
 //! Order of service: each caller's waiting requests of one class and size form a flow, and flows
 //! take turns. A flow is passed over while its class or size may not take another slot, and keeps
 //! its turn. Work that is turned away last goes before work that is turned away first, except at
-//! every [`SHED_TURN`]th turn, so that the latter is slow under load, not starved.
+//! every [`SHED_TURN_INTERVAL`]th turn, so that the latter is slow under load, not starved.
 //!
 //! - Reads and writes: each class leaves [`CLASS_RESERVE`] slot to the other where both are served
 //!   and there are two slots or more. With one slot the turns of the flows must do.
-//! - Long work holds [`LONG_MAX`] slot and takes its turn like other work. It can thus neither fill
+//! - Long work holds [`LONG_SLOTS_MAX`] slot and takes its turn like other work. It can thus neither fill
 //!   the member nor starve.
 
 use super::request::TicketId;
@@ -22,17 +22,17 @@
 
 /// Every this many turns, work that is turned away first goes before the rest: it then gets a tenth
 /// of a full lane, and work that cannot wait is served whole up to nine tenths of what it carries.
-const SHED_TURN: u32 = 10;
+const SHED_TURN_INTERVAL: u32 = 10;
 
 /// Slots that long work may hold in one lane. Several instances share a member's few slots, so that
 /// even one each can fill it.
-const LONG_MAX: u32 = 1;
+const LONG_SLOTS_MAX: u32 = 1;
 
 /// Weight of one more run in a lane's service time: about the last twenty runs count.
 const SERVICE_GAIN: f64 = 0.05;
 
 /// Service time assumed before the first run.
-const SERVICE_GUESS: Duration = Duration::from_millis(10);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 
 rudder_core::plain_data! {
     /// The limits of one lane.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingTicket {
     pub(crate) ticket: TicketId,
-    pub(crate) give_up: Instant,
+    pub(crate) expires_at: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -120,19 +120,19 @@
     }
 
     /// The time between two slots becoming free when all are taken.
-    pub(crate) fn pace(&self) -> Duration {
-        self.service.value().unwrap_or(SERVICE_GUESS) / self.limits.slots.max(1)
+    pub(crate) fn slot_interval(&self) -> Duration {
+        self.service.value().unwrap_or(INITIAL_SERVICE_TIME) / self.limits.slots.max(1)
     }
 
     /// The time until everything that waits now has got a slot.
     pub(crate) fn backlog(&self) -> Duration {
-        self.pace() * self.waiting
+        self.slot_interval() * self.waiting
     }
 
     /// The expected wait of one more request of this flow. Flows take turns, so what stands before
     /// it is its own flow's queue times the number of flows, and never more than the whole queue.
     /// Flows that are turned away first do not stand before the others, and get only every
-    /// [`SHED_TURN`]th turn while others wait.
+    /// [`SHED_TURN_INTERVAL`]th turn while others wait.
     pub(crate) fn expected_wait(&self, key: FlowKey) -> Duration {
         let (mut flows, mut waiting, mut own_waiting) = (0, 0, 0);
         for flow in self.flows.iter().filter(|flow| flow.key.shed == key.shed) {
@@ -140,11 +140,11 @@
             waiting += flow.tickets.len();
             own_waiting += if flow.key == key { flow.tickets.len() } else { 0 };
         }
-        let in_turn = (own_waiting + 1) * (flows + usize::from(own_waiting == 0));
-        let before = u32::try_from(in_turn.min(waiting + 1)).unwrap_or(u32::MAX);
+        let round_robin_position = (own_waiting + 1) * (flows + usize::from(own_waiting == 0));
+        let position = u32::try_from(round_robin_position.min(waiting + 1)).unwrap_or(u32::MAX);
         let others_wait = self.flows.iter().any(|flow| !flow.key.shed);
-        let turns = if key.shed && others_wait { SHED_TURN } else { 1 };
-        self.pace() * before.saturating_mul(turns)
+        let turns = if key.shed && others_wait { SHED_TURN_INTERVAL } else { 1 };
+        self.slot_interval() * position.saturating_mul(turns)
     }
 
     /// Whether a request of this flow may take a slot now. A free slot goes to a newcomer only if
@@ -158,21 +158,21 @@
         };
         self.reads + self.writes < slots
             && of_class < slots - reserve
-            && (key.size == WorkSize::Short || self.long < LONG_MAX)
+            && (key.size == WorkSize::Short || self.long < LONG_SLOTS_MAX)
     }
 
     /// Whether a waiting request may take a slot now.
-    pub(crate) fn has_ready(&self) -> bool {
+    pub(crate) fn can_serve_next(&self) -> bool {
         self.next_flow().is_some()
     }
 
-    pub(crate) fn take_slot(&mut self, key: FlowKey) {
+    pub(crate) fn acquire_slot(&mut self, key: FlowKey) {
         *self.class_count(key.class) += 1;
         self.long += u32::from(key.size == WorkSize::Long);
     }
 
     /// Gives a slot back after `held`.
-    pub(crate) fn give_slot(&mut self, key: FlowKey, held: Duration) {
+    pub(crate) fn release_slot(&mut self, key: FlowKey, held: Duration) {
         let count = self.class_count(key.class);
         *count = count.saturating_sub(1);
         self.long = self.long.saturating_sub(u32::from(key.size == WorkSize::Long));
@@ -193,7 +193,7 @@
         let index = self.next_flow()?;
         let mut flow = self.flows.remove(index)?;
         let waiting = flow.tickets.pop_front()?;
-        self.take_slot(flow.key);
+        self.acquire_slot(flow.key);
         self.waiting -= 1;
         self.turns += 1;
         if !flow.tickets.is_empty() {
@@ -203,44 +203,45 @@
     }
 
     /// Takes out every waiting request whose wait is over.
-    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<TicketId> {
-        self.take_waiting(|waiting| waiting.give_up <= now)
+    pub(crate) fn remove_expired(&mut self, now: Instant) -> Vec<TicketId> {
+        self.remove_waiting(|waiting| waiting.expires_at <= now)
     }
 
     /// Takes out one waiting request, for example because its caller went away.
-    pub(crate) fn take_ticket(&mut self, ticket: TicketId) -> bool {
-        !self.take_waiting(|waiting| waiting.ticket == ticket).is_empty()
+    pub(crate) fn remove_ticket(&mut self, ticket: TicketId) -> bool {
+        !self.remove_waiting(|waiting| waiting.ticket == ticket).is_empty()
     }
 
     /// Takes out everything that waits.
-    pub(crate) fn take_all(&mut self) -> Vec<TicketId> {
-        self.take_waiting(|_| true)
+    pub(crate) fn remove_all(&mut self) -> Vec<TicketId> {
+        self.remove_waiting(|_| true)
     }
 
     /// When the next waiting request's wait is over.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
         let tickets = self.flows.iter().flat_map(|flow| flow.tickets.iter());
-        tickets.map(|waiting| waiting.give_up).min()
+        tickets.map(|waiting| waiting.expires_at).min()
     }
 
     fn next_flow(&self) -> Option<usize> {
-        let shed_first = self.turns % u64::from(SHED_TURN) == u64::from(SHED_TURN) - 1;
+        let shed_first =
+            self.turns % u64::from(SHED_TURN_INTERVAL) == u64::from(SHED_TURN_INTERVAL) - 1;
         let ready = |shed: bool| {
             self.flows.iter().position(|flow| flow.key.shed == shed && self.has_room(flow.key))
         };
         ready(shed_first).or_else(|| ready(!shed_first))
     }
 
-    fn take_waiting(&mut self, leaves: impl Fn(&WaitingTicket) -> bool) -> Vec<TicketId> {
-        let mut taken = Vec::new();
+    fn remove_waiting(&mut self, matches: impl Fn(&WaitingTicket) -> bool) -> Vec<TicketId> {
+        let mut removed = Vec::new();
         for flow in &mut self.flows {
-            let leaving = flow.tickets.iter().filter(|waiting| leaves(waiting));
-            taken.extend(leaving.map(|waiting| waiting.ticket));
-            flow.tickets.retain(|waiting| !leaves(waiting));
+            let matching = flow.tickets.iter().filter(|waiting| matches(waiting));
+            removed.extend(matching.map(|waiting| waiting.ticket));
+            flow.tickets.retain(|waiting| !matches(waiting));
         }
         self.flows.retain(|flow| !flow.tickets.is_empty());
-        self.waiting -= u32::try_from(taken.len()).unwrap_or(self.waiting);
-        taken
+        self.waiting -= u32::try_from(removed.len()).unwrap_or(self.waiting);
+        removed
     }
 
     fn class_count(&mut self, class: WorkClass) -> &mut u32 {
--- a/crates/rudder-decisions/src/admission/retry_after.rs
+++ b/crates/rudder-decisions/src/admission/retry_after.rs
@@ -15,30 +15,30 @@
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
 /// Share of the time that is drawn at random, so that lanes and instances do not agree by chance.
-const JITTER_SHARE: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 
 /// Hands out return times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryPacer {
-    next_return: Option<Instant>,
+    next_retry_at: Option<Instant>,
 }
 
 impl RetryPacer {
-    /// The next return time: not before the `backlog` is served, and `pace` after the last one.
+    /// The next return time: not before the `backlog` is served, and `slot_interval` after the last one.
     pub(crate) fn next(
         &mut self,
         backlog: Duration,
-        pace: Duration,
+        slot_interval: Duration,
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Duration {
         let earliest = now + backlog.max(RETRY_AFTER_MIN);
-        let next = self.next_return.map_or(earliest, |last| earliest.max(last + pace));
+        let next = self.next_retry_at.map_or(earliest, |last| earliest.max(last + slot_interval));
         let wait = next.duration_since(now);
         if wait > RETRY_AFTER_MAX {
             return RETRY_AFTER_MAX.mul_f64(rng.random_range(0.5..1.0));
         }
-        self.next_return = Some(next);
-        wait.mul_f64(rng.random_range(1.0..1.0 + JITTER_SHARE))
+        self.next_retry_at = Some(next);
+        wait.mul_f64(rng.random_range(1.0..1.0 + JITTER_FRACTION))
     }
 }
--- a/crates/rudder-decisions/src/connection_share.rs
+++ b/crates/rudder-decisions/src/connection_share.rs
@@ -15,7 +15,7 @@
 
 /// Connections left free for changes of the primary and for watching it: about one for each
 /// instance that reads the store for all, of which there are three to seven.
-const RESERVE: u32 = 4;
+const RESERVED_CONNECTIONS: u32 = 4;
 
 /// How many connections one instance may hold to one member.
 ///
@@ -40,7 +40,7 @@
     /// ```
     #[must_use]
     pub fn is_scarce(connections_max: u32, instances: usize) -> bool {
-        (connections_max.saturating_sub(RESERVE) as usize) < instances
+        (connections_max.saturating_sub(RESERVED_CONNECTIONS) as usize) < instances
     }
 
     /// The share of `own` in the connections that `member` takes from `all` instances, this one
@@ -54,15 +54,15 @@
         own: &InstanceName,
         all: &[InstanceName],
     ) -> Self {
-        let free = connections_max.saturating_sub(RESERVE);
+        let free = connections_max.saturating_sub(RESERVED_CONNECTIONS);
         let count = u32::try_from(all.len()).unwrap_or(u32::MAX).max(1);
         if free < count || !all.contains(own) {
             return Self(1);
         }
         let seed = xxh3_64(member.as_str().as_bytes());
-        let draw = |instance: &InstanceName| xxh3_64_with_seed(instance.as_str().as_bytes(), seed);
-        let own_draw = draw(own);
-        let ahead = all.iter().filter(|instance| draw(instance) < own_draw).count();
+        let hash = |instance: &InstanceName| xxh3_64_with_seed(instance.as_str().as_bytes(), seed);
+        let own_hash = hash(own);
+        let ahead = all.iter().filter(|instance| hash(instance) < own_hash).count();
         let extra = ahead < (free % count) as usize;
         Self(free / count + u32::from(extra))
     }
--- a/crates/rudder-decisions/src/detector.rs
+++ b/crates/rudder-decisions/src/detector.rs
@@ -17,7 +17,7 @@
 
 /// The longest gap counts half after this time: long enough to remember pauses that come a few
 /// times an hour, short enough to forget an outage within the hour.
-const PEAK_HALF_LIFE: Duration = Duration::from_secs(600);
+const GAP_HALF_LIFE: Duration = Duration::from_secs(600);
 
 rudder_core::plain_data! {
     /// The limits between which a detector may set its bound.
@@ -63,8 +63,8 @@
 #[derive(Clone, Debug)]
 pub struct SilenceDetector {
     limits: SuspicionBound,
-    peak_s: f64,
-    last_heard: Instant,
+    longest_gap_s: f64,
+    last_response_at: Instant,
 }
 
 impl SilenceDetector {
@@ -73,20 +73,20 @@
     /// See the example of [`SilenceDetector`].
     #[must_use]
     pub fn new(limits: SuspicionBound, interval: Duration, now: Instant) -> Self {
-        Self { limits, peak_s: interval.as_secs_f64(), last_heard: now }
+        Self { limits, longest_gap_s: interval.as_secs_f64(), last_response_at: now }
     }
 
     /// Takes in an answer of the member, to a probe or to a request.
     ///
     /// See the example of [`SilenceDetector`].
     pub fn heard(&mut self, now: Instant) {
-        let gap = now.duration_since(self.last_heard);
-        let half_lives = gap.as_secs_f64() / PEAK_HALF_LIFE.as_secs_f64();
+        let gap = now.duration_since(self.last_response_at);
+        let half_lives = gap.as_secs_f64() / GAP_HALF_LIFE.as_secs_f64();
         // A silence longer than the ceiling was an outage, not a property of the link. It counts
         // as the ceiling, so that it cannot hold the bound there for longer than other pauses do.
         let gap = gap.min(self.limits.ceiling);
-        self.peak_s = (self.peak_s * 0.5_f64.powf(half_lives)).max(gap.as_secs_f64());
-        self.last_heard = self.last_heard.max(now);
+        self.longest_gap_s = (self.longest_gap_s * 0.5_f64.powf(half_lives)).max(gap.as_secs_f64());
+        self.last_response_at = self.last_response_at.max(now);
     }
 
     /// How long the member may be silent now before it is suspect.
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn bound(&self) -> Duration {
         let margin = f64::from(self.limits.margin_percent) / 100.0;
-        let bound = Duration::from_secs_f64(self.peak_s * margin);
+        let bound = Duration::from_secs_f64(self.longest_gap_s * margin);
         bound.clamp(self.limits.floor, self.limits.ceiling)
     }
 
@@ -110,7 +110,7 @@
     /// See the example of [`SilenceDetector`].
     #[must_use]
     pub fn is_suspect(&self, now: Instant) -> bool {
-        now.duration_since(self.last_heard) > self.bound()
+        now.duration_since(self.last_response_at) > self.bound()
     }
 
     /// When the member becomes suspect if it stays silent.
@@ -125,6 +125,6 @@
     /// ```
     #[must_use]
     pub fn suspect_at(&self) -> Instant {
-        self.last_heard + self.bound()
+        self.last_response_at + self.bound()
     }
 }
--- a/crates/rudder-decisions/src/dial_gate.rs
+++ b/crates/rudder-decisions/src/dial_gate.rs
@@ -55,10 +55,10 @@
 
 #[derive(Clone, Copy, Debug)]
 struct RefusedState {
-    until: Instant,
+    retry_at: Instant,
     pause: Duration,
     /// Whether the one dial that tries the member again is under way.
-    trying: bool,
+    probing: bool,
 }
 
 impl DialGate {
@@ -70,7 +70,7 @@
             return false;
         }
         if let Some(refused) = &mut self.refused {
-            refused.trying = true;
+            refused.probing = true;
         }
         true
     }
@@ -83,7 +83,7 @@
     /// ```
     #[must_use]
     pub fn may_begin(&self, now: Instant) -> bool {
-        let open = self.refused.is_none_or(|refused| !refused.trying && now >= refused.until);
+        let open = self.refused.is_none_or(|refused| !refused.probing && now >= refused.retry_at);
         open && !self.is_unreachable(now)
     }
 
@@ -100,7 +100,7 @@
     /// ```
     #[must_use]
     pub fn is_unreachable(&self, now: Instant) -> bool {
-        self.unreachable_until.is_some_and(|until| now < until)
+        self.unreachable_until.is_some_and(|retry_at| now < retry_at)
     }
 
     /// Takes in that a dial succeeded: the member can be reached and has room.
@@ -115,7 +115,7 @@
     /// See the example of [`DialGate`].
     pub fn note_failure(&mut self, failure: DialFailure, now: Instant) -> Duration {
         match failure {
-            DialFailure::ConnectionLimit => self.note_refusal(now),
+            DialFailure::ConnectionLimit => self.record_refusal(now),
             DialFailure::Unreachable => {
                 self.unreachable_until = Some(now + UNREACHABLE_PAUSE);
                 self.note_given_up();
@@ -139,18 +139,18 @@
     /// ```
     pub fn note_given_up(&mut self) {
         if let Some(refused) = &mut self.refused {
-            refused.trying = false;
+            refused.probing = false;
         }
     }
 
     /// A refusal of a dial that began before the last one came says nothing new.
-    fn note_refusal(&mut self, now: Instant) -> Duration {
+    fn record_refusal(&mut self, now: Instant) -> Duration {
         let pause = match self.refused {
             None => REFUSED_PAUSE_MIN,
-            Some(refused) if refused.trying => (refused.pause * 2).min(REFUSED_PAUSE_MAX),
+            Some(refused) if refused.probing => (refused.pause * 2).min(REFUSED_PAUSE_MAX),
             Some(refused) => refused.pause,
         };
-        self.refused = Some(RefusedState { until: now + pause, pause, trying: false });
+        self.refused = Some(RefusedState { retry_at: now + pause, pause, probing: false });
         pause
     }
 }
--- a/crates/rudder-decisions/src/lib.rs
+++ b/crates/rudder-decisions/src/lib.rs
@@ -37,7 +37,7 @@
 pub use meter::MemberMeter;
 pub use operation_limit::{
     ClaimPlan, ClaimVerdict, FleetContact, LimitBounds, LimitLedger, OperationBucket,
-    OperationLimit, OwnerRole, OwnerStanding, OwnerWatch, RecentNotes, rank_owners,
+    OperationLimit, OwnerRole, OwnerState, OwnerWatch, RecentNotes, rank_owners,
 };
 pub use outlier::OutlierTracker;
 pub use place::{NodePlace, PlaceDistance};
--- a/crates/rudder-decisions/src/meter.rs
+++ b/crates/rudder-decisions/src/meter.rs
@@ -21,15 +21,15 @@
 
 /// A member that gets work is heard more often than this. What is known of it is then kept, as the
 /// estimate of a rarely used member would else be half guess.
-const FORGET_AFTER: Duration = Duration::from_secs(1);
+const DECAY_AFTER: Duration = Duration::from_secs(1);
 
 /// Without answers, half of the distance to the first guess is forgotten in this time, so that a
 /// member once slow is tried again.
-const FORGET_HALF_LIFE: Duration = Duration::from_secs(2);
+const DECAY_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Statements that stand by inside the member for each of its slots. Without them a slot whose
 /// statement was short stands idle until the next one has travelled.
-const STANDBY: f64 = 0.5;
+const QUEUED_PER_SLOT: f64 = 0.5;
 
 /// The window is at most this multiple of the slots, however far the member and however short its
 /// statements: more in flight would only move the queue into the member, where nothing can be
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug)]
 pub struct MemberMeter {
     slots: u32,
-    guess_s: f64,
+    initial_s: f64,
     service_s: f64,
-    last_answer: Option<Instant>,
+    last_response: Option<Instant>,
 }
 
 impl MemberMeter {
-    /// A meter of a member with `slots` slots, whose service time is first taken to be `guess`.
+    /// A meter of a member with `slots` slots, whose service time is first taken to be `initial`.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -66,9 +66,9 @@
     /// assert_eq!(meter.service(Instant::now()), Duration::from_millis(10));
     /// ```
     #[must_use]
-    pub fn new(slots: u32, guess: Duration) -> Self {
-        let guess_s = guess.as_secs_f64().max(SERVICE_MIN_S);
-        Self { slots: slots.max(1), guess_s, service_s: guess_s, last_answer: None }
+    pub fn new(slots: u32, initial: Duration) -> Self {
+        let initial_s = initial.as_secs_f64().max(SERVICE_MIN_S);
+        Self { slots: slots.max(1), initial_s, service_s: initial_s, last_response: None }
     }
 
     /// Takes in one answer: the time from sending the statement to its end, without the link's
@@ -81,11 +81,11 @@
         // first good answer of a member that has recovered would bring its old, slow estimate back,
         // or the first slow one of a member that has not would hardly count; either way the member
         // would be used wrongly for as long again.
-        let kept = self.kept(now);
+        let retained_fraction = self.retained_fraction(now);
         self.service_s = self.service(now).as_secs_f64();
-        let gain = SERVICE_GAIN.max(FIRST_GAIN * (1.0 - kept));
+        let gain = SERVICE_GAIN.max(FIRST_GAIN * (1.0 - retained_fraction));
         self.service_s += gain * (latency.as_secs_f64() - self.service_s);
-        self.last_answer = Some(now);
+        self.last_response = Some(now);
     }
 
     /// The expected time of a statement at the member, from sending to its end without the link.
@@ -102,8 +102,8 @@
     /// ```
     #[must_use]
     pub fn service(&self, now: Instant) -> Duration {
-        let kept = self.kept(now);
-        let service_s = self.guess_s + kept * (self.service_s - self.guess_s);
+        let retained_fraction = self.retained_fraction(now);
+        let service_s = self.initial_s + retained_fraction * (self.service_s - self.initial_s);
         Duration::from_secs_f64(service_s)
     }
 
@@ -120,8 +120,9 @@
     #[must_use]
     pub fn window(&self, link: Duration, now: Instant) -> u32 {
         let service_s = self.service(now).as_secs_f64().max(SERVICE_MIN_S);
-        let travelling = (link.as_secs_f64() / service_s).min(WINDOW_FACTOR_MAX - 1.0 - STANDBY);
-        (f64::from(self.slots) * (1.0 + STANDBY + travelling)).ceil() as u32
+        let in_transit =
+            (link.as_secs_f64() / service_s).min(WINDOW_FACTOR_MAX - 1.0 - QUEUED_PER_SLOT);
+        (f64::from(self.slots) * (1.0 + QUEUED_PER_SLOT + in_transit)).ceil() as u32
     }
 
     /// Takes over a changed number of slots.
@@ -137,11 +138,11 @@
     }
 
     /// The part of what was learned that still counts.
-    fn kept(&self, now: Instant) -> f64 {
-        let Some(last) = self.last_answer else {
+    fn retained_fraction(&self, now: Instant) -> f64 {
+        let Some(last) = self.last_response else {
             return 0.0;
         };
-        let idle = now.duration_since(last).saturating_sub(FORGET_AFTER);
-        0.5_f64.powf(idle.as_secs_f64() / FORGET_HALF_LIFE.as_secs_f64())
+        let idle = now.duration_since(last).saturating_sub(DECAY_AFTER);
+        0.5_f64.powf(idle.as_secs_f64() / DECAY_HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/rudder-decisions/src/operation_limit/bucket.rs
+++ b/crates/rudder-decisions/src/operation_limit/bucket.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Parts of an operation that are counted with.
-const MICRO: u64 = 1_000_000;
+const MICRO_PER_OPERATION: u64 = 1_000_000;
 
 /// How many operations may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,20 +25,20 @@
     /// ```
     #[must_use]
     pub fn in_window(self, window: Duration) -> u64 {
-        refilled(self.milli_per_second, window) / MICRO + u64::from(self.burst)
+        refilled(self.milli_per_second, window) / MICRO_PER_OPERATION + u64::from(self.burst)
     }
 
     /// Where the burst is less than one operation, none could ever run.
     fn capacity(self) -> u64 {
         let burst = if self.milli_per_second > 0 { self.burst.max(1) } else { self.burst };
-        u64::from(burst) * MICRO
+        u64::from(burst) * MICRO_PER_OPERATION
     }
 }
 
 /// Millionths of operations that a rate gives in a time.
 fn refilled(milli_per_second: u64, time: Duration) -> u64 {
-    let micro = u128::from(milli_per_second) * time.as_micros() / 1000;
-    u64::try_from(micro).unwrap_or(u64::MAX)
+    let micro_operations = u128::from(milli_per_second) * time.as_micros() / 1000;
+    u64::try_from(micro_operations).unwrap_or(u64::MAX)
 }
 
 /// Operations that may run now, refilled at the limit's rate up to its burst.
@@ -54,8 +54,8 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct OperationBucket {
-    micro: u64,
-    filled_at: Duration,
+    micro_operations: u64,
+    refilled_at: Duration,
 }
 
 impl OperationBucket {
@@ -64,7 +64,10 @@
     /// See the example of [`OperationBucket`].
     #[must_use]
     pub fn new(limit: OperationLimit, start: u64, now: Duration) -> Self {
-        Self { micro: start.saturating_mul(MICRO).min(limit.capacity()), filled_at: now }
+        Self {
+            micro_operations: start.saturating_mul(MICRO_PER_OPERATION).min(limit.capacity()),
+            refilled_at: now,
+        }
     }
 
     /// Takes one operation out; the error says how long from now until there is one.
@@ -75,14 +78,14 @@
     ///
     /// See the example of [`OperationBucket`].
     pub fn take(&mut self, limit: OperationLimit, now: Duration) -> Result<(), Duration> {
-        let gained = refilled(limit.milli_per_second, now.saturating_sub(self.filled_at));
-        self.micro = self.micro.saturating_add(gained).min(limit.capacity());
-        self.filled_at = self.filled_at.max(now);
-        if self.micro >= MICRO {
-            self.micro -= MICRO;
+        let refill = refilled(limit.milli_per_second, now.saturating_sub(self.refilled_at));
+        self.micro_operations = self.micro_operations.saturating_add(refill).min(limit.capacity());
+        self.refilled_at = self.refilled_at.max(now);
+        if self.micro_operations >= MICRO_PER_OPERATION {
+            self.micro_operations -= MICRO_PER_OPERATION;
             return Ok(());
         }
-        let missing = u128::from(MICRO - self.micro) * 1000;
+        let missing = u128::from(MICRO_PER_OPERATION - self.micro_operations) * 1000;
         match u128::from(limit.milli_per_second) {
             0 => Err(Duration::MAX),
             rate => Err(Duration::from_micros(u64::try_from(missing / rate).unwrap_or(u64::MAX))),
--- a/crates/rudder-decisions/src/operation_limit/ledger.rs
+++ b/crates/rudder-decisions/src/operation_limit/ledger.rs
@@ -1,13 +1,13 @@
 //! What one instance grants to the accounts that it counts for.
 
 use super::bucket::{OperationBucket, OperationLimit};
-use super::watch::OwnerStanding;
+use super::watch::OwnerState;
 use rudder_core::AccountName;
 use std::time::Duration;
 
 /// How long an earlier owner must be silent before its successor grants from the reserve: longer
 /// than a slow machine between regions takes for an answer.
-const RESERVE_AFTER: Duration = Duration::from_millis(200);
+const PROVISIONAL_AFTER: Duration = Duration::from_millis(200);
 
 /// How long before its successor grants in full. An owner that is cut off stops granting
 /// [`LimitBounds::joined_life`] after its last sign of the fleet, which is less.
@@ -15,17 +15,17 @@
 
 /// Twelfths of the allowance above a limit that an owner may grant when it begins to count, by its place
 /// in the order of owners. All of them may begin within a window.
-const START_PARTS: [u64; 3] = [2, 4, 2];
+const START_TWELFTHS: [u64; 3] = [2, 4, 2];
 
 /// Twelfths that a successor may grant in a window while it does not count in full.
-const PROVISIONAL_PART: u64 = 3;
+const PROVISIONAL_TWELFTHS: u64 = 3;
 
 /// Twelfths that an owner may grant in a window, beyond what it holds, while it may be cut off.
-const DETACHED_PART: u64 = 1;
+const DETACHED_TWELFTHS: u64 = 1;
 
 /// Twelfths that are added to the burst, so that an account just below its limit is not refused for
 /// the unevenness of its operations.
-const BURST_PART: u64 = 2;
+const BURST_TWELFTHS: u64 = 2;
 
 /// What of an account's use counts together, and how far it may be above the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,24 +68,24 @@
 
     /// What a new owner may grant at once. Only one that has long counted, or would have, knows that
     /// no other one has just granted.
-    fn start(self, role: OwnerRole, place: usize, limit: OperationLimit) -> u64 {
+    fn start_operations(self, role: OwnerRole, rank: usize, limit: OperationLimit) -> u64 {
         match role {
             OwnerRole::Settled => limit.burst.into(),
-            _ => self.allowance(limit) * START_PARTS.get(place).unwrap_or(&0) / 12,
+            _ => self.allowance(limit) * START_TWELFTHS.get(rank).unwrap_or(&0) / 12,
         }
     }
 
     /// What an owner may grant in a role.
-    fn granted_in(self, role: OwnerRole, limit: OperationLimit) -> OperationLimit {
+    fn effective_limit(self, role: OwnerRole, limit: OperationLimit) -> OperationLimit {
         let allowance = self.allowance(limit);
-        let added = u32::try_from(allowance * BURST_PART / 12).unwrap_or(u32::MAX);
+        let added = u32::try_from(allowance * BURST_TWELFTHS / 12).unwrap_or(u32::MAX);
         let burst = limit.burst.saturating_add(added);
         let window_ms = u64::try_from(self.window.as_millis()).unwrap_or(u64::MAX).max(1);
         let rate = |part: u64| (allowance * part / 12).saturating_mul(1_000_000) / window_ms;
         let milli_per_second = match role {
             OwnerRole::Full | OwnerRole::Settled => limit.milli_per_second,
-            OwnerRole::Provisional => rate(PROVISIONAL_PART),
-            OwnerRole::Detached => rate(DETACHED_PART),
+            OwnerRole::Provisional => rate(PROVISIONAL_TWELFTHS),
+            OwnerRole::Detached => rate(DETACHED_TWELFTHS),
             OwnerRole::Absent => 0,
         };
         OperationLimit { milli_per_second, burst }
@@ -123,25 +123,25 @@
     /// The role of an instance, by its contact with the fleet and what the owners before it do.
     ///
     /// ```
-    /// use rudder_decisions::{FleetContact, OwnerRole, OwnerStanding};
+    /// use rudder_decisions::{FleetContact, OwnerRole, OwnerState};
     /// use std::time::Duration;
-    /// let silent = |ms| OwnerStanding::SilentFor(Duration::from_millis(ms));
+    /// let silent = |ms| OwnerState::SilentFor(Duration::from_millis(ms));
     /// assert_eq!(OwnerRole::of(FleetContact::Settled, &[]), OwnerRole::Settled);
     /// let joined = FleetContact::Joined;
     /// assert_eq!(OwnerRole::of(joined, &[]), OwnerRole::Full);
-    /// assert_eq!(OwnerRole::of(joined, &[OwnerStanding::Granting]), OwnerRole::Absent);
+    /// assert_eq!(OwnerRole::of(joined, &[OwnerState::Granting]), OwnerRole::Absent);
     /// assert_eq!(OwnerRole::of(joined, &[silent(300)]), OwnerRole::Provisional);
-    /// assert_eq!(OwnerRole::of(joined, &[silent(3000), OwnerStanding::Vacant]), OwnerRole::Full);
+    /// assert_eq!(OwnerRole::of(joined, &[silent(3000), OwnerState::NotGranting]), OwnerRole::Full);
     /// assert_eq!(OwnerRole::of(FleetContact::Lost, &[]), OwnerRole::Detached);
     /// ```
     #[must_use]
-    pub fn of(contact: FleetContact, earlier: &[OwnerStanding]) -> Self {
-        let role = |standing: &OwnerStanding| match standing {
-            OwnerStanding::Granting => Self::Absent,
-            OwnerStanding::Vacant => Self::Full,
-            OwnerStanding::SilentFor(time) if *time >= FULL_AFTER => Self::Full,
-            OwnerStanding::SilentFor(time) if *time >= RESERVE_AFTER => Self::Provisional,
-            OwnerStanding::SilentFor(_) => Self::Absent,
+    pub fn of(contact: FleetContact, earlier: &[OwnerState]) -> Self {
+        let role = |state: &OwnerState| match state {
+            OwnerState::Granting => Self::Absent,
+            OwnerState::NotGranting => Self::Full,
+            OwnerState::SilentFor(time) if *time >= FULL_AFTER => Self::Full,
+            OwnerState::SilentFor(time) if *time >= PROVISIONAL_AFTER => Self::Provisional,
+            OwnerState::SilentFor(_) => Self::Absent,
         };
         let roles: Vec<Self> = earlier.iter().map(role).collect();
         if roles.contains(&Self::Absent) {
@@ -168,7 +168,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct AccountHolding {
+struct AccountRecord {
     account: AccountName,
     role: OwnerRole,
     bucket: OperationBucket,
@@ -194,11 +194,11 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LimitLedger {
-    holdings: Vec<AccountHolding>,
+    records: Vec<AccountRecord>,
 }
 
 impl LimitLedger {
-    /// Judges the claim of one operation, for an instance at `place` in the order of owners.
+    /// Judges the claim of one operation, for an instance at `rank` in the order of owners.
     ///
     /// See the example of [`LimitLedger`].
     pub fn claim(
@@ -207,29 +207,30 @@
         limit: OperationLimit,
         bounds: LimitBounds,
         role: OwnerRole,
-        place: usize,
+        rank: usize,
         now: Duration,
     ) -> ClaimVerdict {
-        let found = self.holdings.binary_search_by(|known| known.account.cmp(account));
-        let granted = bounds.granted_in(role, limit);
+        let found = self.records.binary_search_by(|known| known.account.cmp(account));
+        let granted = bounds.effective_limit(role, limit);
         let index = match (found, role) {
             (Ok(index), OwnerRole::Absent) => {
                 // Another one may grant from now on, so this bucket tells nothing any more.
-                self.holdings.remove(index);
+                self.records.remove(index);
                 return ClaimVerdict::NotOwner;
             }
             (Err(_), OwnerRole::Absent | OwnerRole::Detached) => return ClaimVerdict::NotOwner,
             (Ok(index), _) => index,
             (Err(index), _) => {
-                let bucket = OperationBucket::new(granted, bounds.start(role, place, limit), now);
-                let holding = AccountHolding { account: account.clone(), role, bucket };
-                self.holdings.insert(index, holding);
+                let bucket =
+                    OperationBucket::new(granted, bounds.start_operations(role, rank, limit), now);
+                let record = AccountRecord { account: account.clone(), role, bucket };
+                self.records.insert(index, record);
                 index
             }
         };
-        let holding = &mut self.holdings[index];
-        holding.role = role;
-        match holding.bucket.take(granted, now) {
+        let record = &mut self.records[index];
+        record.role = role;
+        match record.bucket.take(granted, now) {
             Ok(()) => ClaimVerdict::Granted,
             Err(after) => ClaimVerdict::Spent(after),
         }
@@ -257,17 +258,17 @@
     /// ```
     #[must_use]
     pub fn role(&self, account: &AccountName) -> OwnerRole {
-        let found = self.holdings.binary_search_by(|known| known.account.cmp(account));
-        found.map_or(OwnerRole::Absent, |index| self.holdings[index].role)
+        let found = self.records.binary_search_by(|known| known.account.cmp(account));
+        found.map_or(OwnerRole::Absent, |index| self.records[index].role)
     }
 
-    /// Forgets the accounts for which `keeps` does not hold.
+    /// Forgets the accounts for which `keep` does not hold.
     ///
     /// ```
     /// let mut ledger = rudder_decisions::LimitLedger::default();
     /// ledger.retain(|_| false);
     /// ```
-    pub fn retain(&mut self, keeps: impl Fn(&AccountName) -> bool) {
-        self.holdings.retain(|holding| keeps(&holding.account));
+    pub fn retain(&mut self, keep: impl Fn(&AccountName) -> bool) {
+        self.records.retain(|record| keep(&record.account));
     }
 }
--- a/crates/rudder-decisions/src/operation_limit/mod.rs
+++ b/crates/rudder-decisions/src/operation_limit/mod.rs
@@ -20,4 +20,4 @@
 pub use ledger::{ClaimVerdict, FleetContact, LimitBounds, LimitLedger, OwnerRole};
 pub use owners::rank_owners;
 pub use plan::{ClaimPlan, RecentNotes};
-pub use watch::{OwnerStanding, OwnerWatch};
+pub use watch::{OwnerState, OwnerWatch};
--- a/crates/rudder-decisions/src/operation_limit/owners.rs
+++ b/crates/rudder-decisions/src/operation_limit/owners.rs
@@ -23,8 +23,8 @@
     count: usize,
 ) -> Vec<&'a InstanceName> {
     let seed = xxh3_64(account.as_str().as_bytes());
-    let draw = |instance: &InstanceName| xxh3_64_with_seed(instance.as_str().as_bytes(), seed);
-    let mut ranked: Vec<_> = instances.map(|instance| (draw(instance), instance)).collect();
+    let hash = |instance: &InstanceName| xxh3_64_with_seed(instance.as_str().as_bytes(), seed);
+    let mut ranked: Vec<_> = instances.map(|instance| (hash(instance), instance)).collect();
     ranked.sort_unstable();
     ranked.dedup();
     ranked.truncate(count);
--- a/crates/rudder-decisions/src/operation_limit/plan.rs
+++ b/crates/rudder-decisions/src/operation_limit/plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// How far behind the first one the owners stand that are asked after it, in a circle.
-const OFFSETS: [usize; 4] = [1, 0, 1, 2];
+const RETRY_OFFSETS: [usize; 4] = [1, 0, 1, 2];
 
 /// The order in which the owners of an account are asked for one operation.
 ///
@@ -47,7 +47,7 @@
         if step < 2 {
             return Some(self.first);
         }
-        let offset = OFFSETS[(step - 2) % OFFSETS.len()];
+        let offset = RETRY_OFFSETS[(step - 2) % RETRY_OFFSETS.len()];
         Some((self.first + offset) % self.count)
     }
 }
@@ -60,38 +60,38 @@
 /// use rudder_decisions::RecentNotes;
 /// use std::time::Duration;
 /// let owner: InstanceName = "entry-1".parse()?;
-/// let mut notes = RecentNotes::new(Duration::from_secs(1));
-/// notes.note(&owner, Duration::ZERO);
-/// assert!(notes.contains(&owner, Duration::from_millis(500)));
-/// assert!(!notes.contains(&owner, Duration::from_millis(1500)));
-/// notes.forget(&owner);
-/// assert!(!notes.contains(&owner, Duration::from_millis(500)));
+/// let mut recent = RecentNotes::new(Duration::from_secs(1));
+/// recent.note(&owner, Duration::ZERO);
+/// assert!(recent.contains(&owner, Duration::from_millis(500)));
+/// assert!(!recent.contains(&owner, Duration::from_millis(1500)));
+/// recent.forget(&owner);
+/// assert!(!recent.contains(&owner, Duration::from_millis(500)));
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[derive(Clone, Debug)]
 pub struct RecentNotes<N> {
-    life: Duration,
-    notes: Vec<(N, Duration)>,
+    retention: Duration,
+    entries: Vec<(N, Duration)>,
 }
 
 impl<N: Ord + Clone> RecentNotes<N> {
-    /// Notes that hold for `life`.
+    /// Notes that hold for `retention`.
     ///
     /// See the example of [`RecentNotes`].
     #[must_use]
-    pub fn new(life: Duration) -> Self {
-        Self { life, notes: Vec::new() }
+    pub fn new(retention: Duration) -> Self {
+        Self { retention, entries: Vec::new() }
     }
 
     /// Takes in a note.
     ///
     /// See the example of [`RecentNotes`].
     pub fn note(&mut self, name: &N, now: Duration) {
-        self.notes.retain(|(_, until)| now < *until);
-        let until = now + self.life;
-        match self.notes.binary_search_by(|(known, _)| known.cmp(name)) {
-            Ok(index) => self.notes[index].1 = until,
-            Err(index) => self.notes.insert(index, (name.clone(), until)),
+        self.entries.retain(|(_, expires_at)| now < *expires_at);
+        let expires_at = now + self.retention;
+        match self.entries.binary_search_by(|(known, _)| known.cmp(name)) {
+            Ok(index) => self.entries[index].1 = expires_at,
+            Err(index) => self.entries.insert(index, (name.clone(), expires_at)),
         }
     }
 
@@ -99,7 +99,7 @@
     ///
     /// See the example of [`RecentNotes`].
     pub fn forget(&mut self, name: &N) {
-        self.notes.retain(|(known, _)| known != name);
+        self.entries.retain(|(known, _)| known != name);
     }
 
     /// Whether something was noted.
@@ -107,7 +107,7 @@
     /// See the example of [`RecentNotes`].
     #[must_use]
     pub fn contains(&self, name: &N, now: Duration) -> bool {
-        let found = self.notes.binary_search_by(|(known, _)| known.cmp(name));
-        found.is_ok_and(|index| now < self.notes[index].1)
+        let found = self.entries.binary_search_by(|(known, _)| known.cmp(name));
+        found.is_ok_and(|index| now < self.entries[index].1)
     }
 }
--- a/crates/rudder-decisions/src/operation_limit/watch.rs
+++ b/crates/rudder-decisions/src/operation_limit/watch.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 
 /// The pause between two questions to an owner.
-const PROBE_GAP: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long an answer counts.
-const ANSWER_LIFE: Duration = Duration::from_millis(300);
+const RESPONSE_VALIDITY: Duration = Duration::from_millis(300);
 
 /// A longer pause between two questions breaks a silence off: an instance that was suspended itself
 /// must not take the time for a silence of the other one.
-const PROBE_BREAK: Duration = Duration::from_millis(1000);
+const SILENCE_RESET_AFTER: Duration = Duration::from_millis(1000);
 
 /// What an earlier owner is known to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerStanding {
+pub enum OwnerState {
     /// It counts for the account.
     Granting,
     /// It lives and says that it does not count for the account.
-    Vacant,
+    NotGranting,
     /// It has not answered for so long.
     SilentFor(Duration),
 }
@@ -29,12 +29,12 @@
     account: AccountName,
     owner: InstanceName,
     probed_at: Duration,
-    unanswered_since: Option<Duration>,
-    answered: Option<OwnerAnswer>,
+    silent_since: Option<Duration>,
+    response: Option<OwnerResponse>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OwnerAnswer {
+struct OwnerResponse {
     at: Duration,
     grants: bool,
 }
@@ -42,15 +42,15 @@
 /// The earlier owners that this instance asks, sorted by account and owner.
 ///
 /// ```
-/// use rudder_decisions::{OwnerStanding, OwnerWatch};
+/// use rudder_decisions::{OwnerState, OwnerWatch};
 /// use std::time::Duration;
 /// let (account, owner) = ("choirs".parse()?, "entry-1".parse()?);
 /// let ms = Duration::from_millis;
 /// let mut watch = OwnerWatch::default();
 /// assert!(watch.probe_is_due(&account, &owner, ms(1000)));
-/// assert_eq!(watch.standing(&account, &owner, ms(1200)), OwnerStanding::SilentFor(ms(200)));
+/// assert_eq!(watch.standing(&account, &owner, ms(1200)), OwnerState::SilentFor(ms(200)));
 /// watch.note_answer(&account, &owner, true, ms(1200));
-/// assert_eq!(watch.standing(&account, &owner, ms(1250)), OwnerStanding::Granting);
+/// assert_eq!(watch.standing(&account, &owner, ms(1250)), OwnerState::Granting);
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -72,11 +72,11 @@
             Ok(index) => {
                 let watched = &mut self.watched[index];
                 let pause = now.saturating_sub(watched.probed_at);
-                if pause < PROBE_GAP {
+                if pause < PROBE_INTERVAL {
                     return false;
                 }
-                if pause > PROBE_BREAK || watched.unanswered_since.is_none() {
-                    watched.unanswered_since = Some(now);
+                if pause > SILENCE_RESET_AFTER || watched.silent_since.is_none() {
+                    watched.silent_since = Some(now);
                 }
                 watched.probed_at = now;
             }
@@ -85,8 +85,8 @@
                     account: account.clone(),
                     owner: owner.clone(),
                     probed_at: now,
-                    unanswered_since: Some(now),
-                    answered: None,
+                    silent_since: Some(now),
+                    response: None,
                 };
                 self.watched.insert(index, watched);
             }
@@ -106,8 +106,8 @@
     ) {
         if let Ok(index) = self.position(account, owner) {
             let watched = &mut self.watched[index];
-            watched.unanswered_since = None;
-            watched.answered = Some(OwnerAnswer { at: now, grants });
+            watched.silent_since = None;
+            watched.response = Some(OwnerResponse { at: now, grants });
         }
     }
 
@@ -120,29 +120,29 @@
         account: &AccountName,
         owner: &InstanceName,
         now: Duration,
-    ) -> OwnerStanding {
+    ) -> OwnerState {
         let Ok(index) = self.position(account, owner) else {
-            return OwnerStanding::SilentFor(Duration::ZERO);
+            return OwnerState::SilentFor(Duration::ZERO);
         };
         let watched = &self.watched[index];
-        match (watched.answered, watched.unanswered_since) {
-            (Some(answer), _) if now < answer.at + ANSWER_LIFE => match answer.grants {
-                true => OwnerStanding::Granting,
-                false => OwnerStanding::Vacant,
+        match (watched.response, watched.silent_since) {
+            (Some(response), _) if now < response.at + RESPONSE_VALIDITY => match response.grants {
+                true => OwnerState::Granting,
+                false => OwnerState::NotGranting,
             },
-            (_, Some(since)) => OwnerStanding::SilentFor(now.saturating_sub(since)),
-            (_, None) => OwnerStanding::SilentFor(Duration::ZERO),
+            (_, Some(since)) => OwnerState::SilentFor(now.saturating_sub(since)),
+            (_, None) => OwnerState::SilentFor(Duration::ZERO),
         }
     }
 
-    /// Forgets the accounts for which `keeps` does not hold.
+    /// Forgets the accounts for which `keep` does not hold.
     ///
     /// ```
     /// let mut watch = rudder_decisions::OwnerWatch::default();
     /// watch.retain(|_| false);
     /// ```
-    pub fn retain(&mut self, keeps: impl Fn(&AccountName) -> bool) {
-        self.watched.retain(|watched| keeps(&watched.account));
+    pub fn retain(&mut self, keep: impl Fn(&AccountName) -> bool) {
+        self.watched.retain(|watched| keep(&watched.account));
     }
 
     fn position(&self, account: &AccountName, owner: &InstanceName) -> Result<usize, usize> {
--- a/crates/rudder-decisions/src/outlier.rs
+++ b/crates/rudder-decisions/src/outlier.rs
@@ -7,8 +7,8 @@
 //! (`docs/design/read-routing.md`).
 //!
 //! Thresholds: a member is bad in a step in which a fifth of its statements failed
-//! ([`FAILURE_PART_BAD`]); a healthy one is near zero, and a twentieth is noise that retries absorb.
-//! A member with few statements is bad after [`STREAK_BAD`] failures in a row. Each bad step halves its weight, down to
+//! ([`FAILURE_DIVISOR_BAD`]); a healthy one is near zero, and a twentieth is noise that retries absorb.
+//! A member with few statements is bad after [`FAILURE_STREAK_BAD`] failures in a row. Each bad step halves its weight, down to
 //! [`WEIGHT_FLOOR`], which leaves enough requests to notice that it is well again; each good step
 //! gives a tenth back, so that ten steps restore it. The best member always keeps its whole weight:
 //! when all are bad, spreading is all that is left.
@@ -19,19 +19,19 @@
 use std::time::{Duration, Instant};
 
 /// One failure in this many outcomes of a step makes a member bad.
-const FAILURE_PART_BAD: u32 = 5;
+const FAILURE_DIVISOR_BAD: u32 = 5;
 
 /// This many failures in a row make a member bad, however few its statements are.
-const STREAK_BAD: u32 = 5;
+const FAILURE_STREAK_BAD: u32 = 5;
 
 /// How often weights move. Long enough for each instance to see some outcomes of each member.
-const STEP: Duration = Duration::from_secs(1);
+const STEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The least weight, in thousandths.
 const WEIGHT_FLOOR: u16 = 50;
 
 /// What one good step gives back, in thousandths.
-const WEIGHT_RISE: u16 = 100;
+const WEIGHT_INCREMENT: u16 = 100;
 
 /// Outcomes needed in a step before its share of failures says something.
 const OUTCOMES_MIN: u32 = 5;
@@ -41,7 +41,7 @@
     name: MemberName,
     outcomes: u32,
     failures: u32,
-    streak: u32,
+    failure_streak: u32,
     weight: u16,
 }
 
@@ -87,27 +87,29 @@
         let record = self.record_of(name);
         record.outcomes += 1;
         record.failures += u32::from(!answered);
-        record.streak = if answered { 0 } else { record.streak.saturating_add(1) };
+        record.failure_streak = if answered { 0 } else { record.failure_streak.saturating_add(1) };
     }
 
     /// Moves the weights, at most once a second; call it before reading weights.
     ///
     /// See the example of [`OutlierTracker`].
     pub fn step(&mut self, now: Instant) {
-        if now.duration_since(self.last_step) < STEP {
+        if now.duration_since(self.last_step) < STEP_INTERVAL {
             return;
         }
         self.last_step = now;
         for record in &mut self.records {
-            record.weight = match judge(record) {
+            record.weight = match assess(record) {
                 Some(true) => (record.weight / 2).max(WEIGHT_FLOOR),
-                Some(false) => (record.weight + WEIGHT_RISE).min(MemberWeight::FULL.permille()),
+                Some(false) => {
+                    (record.weight + WEIGHT_INCREMENT).min(MemberWeight::FULL.permille())
+                }
                 None => record.weight,
             };
             record.outcomes = 0;
             record.failures = 0;
         }
-        self.keep_best();
+        self.restore_best();
     }
 
     /// The weight of a member.
@@ -126,8 +128,8 @@
 
     /// Gives the best member its whole weight. Without it a fault that hits every member, such as
     /// a bad statement or a cut link of this instance, would turn all of them down to the floor.
-    fn keep_best(&mut self) {
-        let rank = |record: &&mut MemberRecord| (record.weight, Reverse(record.streak));
+    fn restore_best(&mut self) {
+        let rank = |record: &&mut MemberRecord| (record.weight, Reverse(record.failure_streak));
         let best = self.records.iter_mut().max_by_key(rank);
         if let Some(record) = best {
             record.weight = MemberWeight::FULL.permille();
@@ -152,21 +154,21 @@
             name: name.clone(),
             outcomes: 0,
             failures: 0,
-            streak: 0,
+            failure_streak: 0,
             weight: MemberWeight::FULL.permille(),
         }
     }
 }
 
 /// Whether a member is bad, or `None` if too little was seen of it since the last step.
-fn judge(record: &MemberRecord) -> Option<bool> {
+fn assess(record: &MemberRecord) -> Option<bool> {
     let enough = record.outcomes >= OUTCOMES_MIN;
-    let share_bad = enough && record.failures * FAILURE_PART_BAD >= record.outcomes;
-    if share_bad || record.streak >= STREAK_BAD {
+    let share_bad = enough && record.failures * FAILURE_DIVISOR_BAD >= record.outcomes;
+    if share_bad || record.failure_streak >= FAILURE_STREAK_BAD {
         return Some(true);
     }
     // A turned-down member gets few requests. They need not be many to let it rise, but none of
     // them may have failed, or it would swing between its floor and the next step up.
-    let well = record.outcomes > 0 && (enough || record.failures == 0);
-    well.then_some(false)
+    let healthy = record.outcomes > 0 && (enough || record.failures == 0);
+    healthy.then_some(false)
 }
--- a/crates/rudder-decisions/src/reconnect.rs
+++ b/crates/rudder-decisions/src/reconnect.rs
@@ -51,7 +51,7 @@
         Self::default()
     }
 
-    /// How long to wait before the first try, when `crowd` connections (from all instances
+    /// How long to wait before the first try, when `connections` connections (from all instances
     /// together) are expected to be opened to the same side at the same time.
     ///
     /// ```
@@ -62,8 +62,8 @@
     /// assert!(pacer.first_try(1, &mut rng) <= Duration::from_millis(3));
     /// ```
     #[must_use]
-    pub fn first_try(&self, crowd: u32, rng: &mut dyn Rng) -> Duration {
-        let window = CONNECT_COST * crowd / CONNECT_PARALLEL;
+    pub fn first_try(&self, connections: u32, rng: &mut dyn Rng) -> Duration {
+        let window = CONNECT_COST * connections / CONNECT_PARALLEL;
         window.min(BACKOFF_MAX).mul_f64(rng.random_range(0.0..1.0))
     }
 
--- a/crates/rudder-decisions/src/replica_progress.rs
+++ b/crates/rudder-decisions/src/replica_progress.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 /// How long a sighting counts: the replica may have caught up since.
-const SIGHT_TIME: Duration = Duration::from_millis(250);
+const OBSERVATION_VALIDITY: Duration = Duration::from_millis(250);
 
 /// How long a replica surely lacks what it lacked: less than any lag that matters, and more than a
 /// burst of reads of one session takes.
-const SURE_TIME: Duration = Duration::from_millis(50);
+const LACK_CERTAIN_TIME: Duration = Duration::from_millis(50);
 
 /// How far a replica was when it was last heard. Moments are counted from any one start.
 ///
@@ -38,11 +38,11 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaProgress {
-    seen: Option<SeenProgress>,
+    observation: Option<ProgressObservation>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct SeenProgress {
+struct ProgressObservation {
     applied: LogStamp,
     /// How long before the sighting the primary had been farther.
     lag: Duration,
@@ -55,7 +55,7 @@
     ///
     /// See the example of [`ReplicaProgress`].
     pub fn note(&mut self, applied: LogStamp, lag: Duration, now: Duration) {
-        self.seen = Some(SeenProgress { applied, lag, at: now });
+        self.observation = Some(ProgressObservation { applied, lag, at: now });
     }
 
     /// Takes in that a read that needs `floor` is being sent to it: until it answers, what was
@@ -73,10 +73,10 @@
     /// assert!(progress.lacks(stamp(180), ms(500), ms(10_310)), "another read tries it already");
     /// ```
     pub fn note_tried(&mut self, floor: LogStamp, now: Duration) {
-        if let Some(seen) = &mut self.seen
-            && seen.applied < floor
+        if let Some(observation) = &mut self.observation
+            && observation.applied < floor
         {
-            seen.at = now;
+            observation.at = now;
         }
     }
 
@@ -85,8 +85,11 @@
     /// See the example of [`ReplicaProgress`].
     #[must_use]
     pub fn lacks(&self, floor: LogStamp, age: Duration, now: Duration) -> bool {
-        let Some(seen) = self.seen.filter(|seen| seen.applied < floor) else { return false };
-        let since = now.saturating_sub(seen.at);
-        since < SURE_TIME || (since < SIGHT_TIME && age < seen.lag)
+        let Some(observation) = self.observation.filter(|observation| observation.applied < floor)
+        else {
+            return false;
+        };
+        let since = now.saturating_sub(observation.at);
+        since < LACK_CERTAIN_TIME || (since < OBSERVATION_VALIDITY && age < observation.lag)
     }
 }
--- a/crates/rudder-decisions/src/routing/router.rs
+++ b/crates/rudder-decisions/src/routing/router.rs
@@ -7,7 +7,7 @@
 //!
 //! The rule is least expected time: link, plus service, plus the wait for a slot. Thresholds: the
 //! primary takes a read that a replica may serve only if the best replica's queue takes more than
-//! [`SPILL_WAITS`] service times and the primary has a free slot and answers sooner. The share of
+//! [`SPILL_WAIT_FACTOR`] service times and the primary has a free slot and answers sooner. The share of
 //! reads on replicas is the first measure, so spilling must stay the exception, and distance is no
 //! reason for it; without it a burst that fills the replicas would queue beside idle slots.
 
@@ -18,22 +18,22 @@
 
 /// Expected wait for a slot of the best replica, in service times, above which the primary takes a
 /// read that the replica may serve.
-const SPILL_WAITS: f64 = 2.0;
+const SPILL_WAIT_FACTOR: f64 = 2.0;
 
 /// Slots of the primary that reads spilled from replicas leave free.
-const SPILL_SLOTS_KEPT: u32 = 1;
+const SPILL_SLOT_RESERVE: u32 = 1;
 
 /// Expected times that differ by less than this share count as equal. A member in the same failure
 /// domain then goes first, which spares the costly links, and among the rest chance decides:
 /// instances with the same view would otherwise all choose the same member.
-const TIE_SHARE: f64 = 0.1;
+const TIE_FRACTION: f64 = 0.1;
 
 /// Shortest wait for a replica to catch up: below it, asking again costs more than it brings.
 const CATCH_UP_MIN: Duration = Duration::from_millis(1);
 
 /// Why a replica cannot answer now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Obstacle {
+enum ReadObstacle {
     Floor,
     Age,
 }
@@ -151,7 +151,9 @@
     }
     let reason = if replicas.is_empty() {
         RouteReason::NoReplica
-    } else if replicas.iter().any(|&index| obstacle(demand, &members[index]) == Some(Obstacle::Age))
+    } else if replicas
+        .iter()
+        .any(|&index| obstacle(demand, &members[index]) == Some(ReadObstacle::Age))
     {
         RouteReason::TooOld
     } else {
@@ -168,10 +170,10 @@
     primary: Option<usize>,
     rng: &mut dyn Rng,
 ) -> RouteChoice {
-    let candidates = draw_by_weight(members, fresh, rng);
+    let candidates = sample_by_weight(members, fresh, rng);
     let best = least_time(demand, members, &candidates, rng);
     if let Some(primary) = primary
-        && spills(&members[primary], &members[best])
+        && should_spill(&members[primary], &members[best])
     {
         return RouteChoice {
             route: ReadRoute::Primary(primary),
@@ -191,7 +193,7 @@
     let waits = replicas
         .iter()
         .copied()
-        .filter(|&index| obstacle(demand, &members[index]) == Some(Obstacle::Floor))
+        .filter(|&index| obstacle(demand, &members[index]) == Some(ReadObstacle::Floor))
         .map(|index| (members[index].lag.saturating_sub(demand.floor_age), index));
     let (wait, index) = waits.min()?;
     let wait = wait.max(CATCH_UP_MIN);
@@ -202,19 +204,19 @@
 }
 
 /// Why `member` cannot answer now, if it cannot. Age comes first: waiting does not mend it.
-fn obstacle(demand: &ReadDemand, member: &MemberView) -> Option<Obstacle> {
+fn obstacle(demand: &ReadDemand, member: &MemberView) -> Option<ReadObstacle> {
     if member.age.is_none_or(|age| age > demand.bound) {
-        return Some(Obstacle::Age);
+        return Some(ReadObstacle::Age);
     }
     if demand.floor.is_some_and(|floor| member.applied < floor) {
-        return Some(Obstacle::Floor);
+        return Some(ReadObstacle::Floor);
     }
     None
 }
 
 /// Leaves each candidate out with the probability that its weight lacks, but never all of them.
-fn draw_by_weight(members: &[MemberView], fresh: &[usize], rng: &mut dyn Rng) -> Vec<usize> {
-    let drawn: Vec<usize> = fresh
+fn sample_by_weight(members: &[MemberView], fresh: &[usize], rng: &mut dyn Rng) -> Vec<usize> {
+    let sampled: Vec<usize> = fresh
         .iter()
         .copied()
         .filter(|&index| {
@@ -222,8 +224,8 @@
             permille >= 1000 || rng.random_range(0..1000) < permille
         })
         .collect();
-    if !drawn.is_empty() {
-        return drawn;
+    if !sampled.is_empty() {
+        return sampled;
     }
     let heaviest = fresh.iter().copied().max_by_key(|&index| members[index].weight);
     heaviest.into_iter().collect()
@@ -237,7 +239,7 @@
     rng: &mut dyn Rng,
 ) -> usize {
     let times = candidates.iter().map(|&index| expected_time_s(&members[index]));
-    let bound = times.fold(f64::INFINITY, f64::min) * (1.0 + TIE_SHARE);
+    let bound = times.fold(f64::INFINITY, f64::min) * (1.0 + TIE_FRACTION);
     let mut ties: Vec<usize> = candidates.to_vec();
     ties.retain(|&index| expected_time_s(&members[index]) <= bound);
     let is_near = |index: &usize| members[*index].domain == demand.domain;
@@ -251,26 +253,26 @@
 ///
 /// An instance sees only its own requests. It takes the others to load the member as it does
 /// itself, so that the choice reacts before its own share alone fills the member.
-fn load_of(member: &MemberView) -> u32 {
+fn estimated_load(member: &MemberView) -> u32 {
     member.in_flight.saturating_mul(member.sharers.max(1))
 }
 
 /// Link, service, and the wait for a slot if all are taken, in seconds.
 fn expected_time_s(member: &MemberView) -> f64 {
-    member.link.as_secs_f64() + member.service.as_secs_f64() * (1.0 + waits_of(member))
+    member.link.as_secs_f64() + member.service.as_secs_f64() * (1.0 + expected_waits(member))
 }
 
 /// The expected wait for a slot, in service times.
-fn waits_of(member: &MemberView) -> f64 {
+fn expected_waits(member: &MemberView) -> f64 {
     let slots = member.slots.max(1);
-    let ahead = load_of(member).saturating_add(1).saturating_sub(slots);
+    let ahead = estimated_load(member).saturating_add(1).saturating_sub(slots);
     f64::from(ahead) / f64::from(slots)
 }
 
 /// Whether the primary should take a read that `replica` may serve: only for a queue there, not for
 /// distance or slow hardware.
-fn spills(primary: &MemberView, replica: &MemberView) -> bool {
-    let has_room = load_of(primary).saturating_add(SPILL_SLOTS_KEPT) < primary.slots;
-    let queues = waits_of(replica) > SPILL_WAITS;
+fn should_spill(primary: &MemberView, replica: &MemberView) -> bool {
+    let has_room = estimated_load(primary).saturating_add(SPILL_SLOT_RESERVE) < primary.slots;
+    let queues = expected_waits(replica) > SPILL_WAIT_FACTOR;
     has_room && queues && expected_time_s(primary) < expected_time_s(replica)
 }
--- a/crates/rudder-decisions/src/share.rs
+++ b/crates/rudder-decisions/src/share.rs
@@ -6,7 +6,7 @@
 //! before growing, the shares add up to more than the whole while instances learn of a change at
 //! different times, and the endpoint refuses connections.
 //!
-//! Thresholds: [`RESERVE`] connections stay out of the division, for control statements of the
+//! Thresholds: [`RESERVED_CONNECTIONS`] connections stay out of the division, for control statements of the
 //! keepers; a greater share counts only after [`GROW_DELAY`], which is longer than the few seconds
 //! that the lagging list of instances takes to reach all of them.
 
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Connections kept for control statements: one for each of three keepers.
-const RESERVE: u32 = 3;
+const RESERVED_CONNECTIONS: u32 = 3;
 
 /// The least that a holder needs: one for reads, one for writes, and one to spare.
 const HOLDER_CONNECTIONS_MIN: u32 = 3;
@@ -25,7 +25,7 @@
 
 /// Connections that every holder gets, whatever its demand, so that none has to wait for the others
 /// to shrink before it can serve its first caller.
-const GUARANTEE: u32 = 1;
+const GUARANTEED_CONNECTIONS: u32 = 1;
 
 /// The part of the holders' demand that one of them has, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,7 +90,7 @@
     /// See the example of [`SlotShare`].
     #[must_use]
     pub fn new(connections: ConnectionCount, holders: u32, now: Instant) -> Self {
-        let share = split(connections, holders, DemandPart::of(0, 0, holders));
+        let share = share_of(connections, holders, DemandPart::of(0, 0, holders));
         Self { connections, current: share, next: share, changed: now }
     }
 
@@ -100,7 +100,7 @@
     /// See the example of [`SlotShare`].
     pub fn set_holders(&mut self, holders: u32, part: DemandPart, now: Instant) {
         self.current = self.current(now);
-        let next = split(self.connections, holders, part);
+        let next = share_of(self.connections, holders, part);
         if next != self.next {
             self.next = next;
             self.changed = now;
@@ -126,7 +126,7 @@
 /// ```
 #[must_use]
 pub fn holders_max(connections: ConnectionCount) -> usize {
-    let holders = connections.0.saturating_sub(RESERVE) / HOLDER_CONNECTIONS_MIN;
+    let holders = connections.0.saturating_sub(RESERVED_CONNECTIONS) / HOLDER_CONNECTIONS_MIN;
     holders.max(1) as usize
 }
 
@@ -154,9 +154,10 @@
 }
 
 /// The guarantee, and the demand's part of what is neither reserved nor guaranteed.
-fn split(connections: ConnectionCount, holders: u32, part: DemandPart) -> u32 {
-    let pool = connections.0.saturating_sub(RESERVE + GUARANTEE * holders);
-    GUARANTEE + pool * part.0 / 1000
+fn share_of(connections: ConnectionCount, holders: u32, part: DemandPart) -> u32 {
+    let pool =
+        connections.0.saturating_sub(RESERVED_CONNECTIONS + GUARANTEED_CONNECTIONS * holders);
+    GUARANTEED_CONNECTIONS + pool * part.0 / 1000
 }
 
 fn rank_of(service: &ServiceName, instance: &InstanceName) -> u64 {
--- a/crates/rudder-decisions/src/wait_queue.rs
+++ b/crates/rudder-decisions/src/wait_queue.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 struct QueueWaiter<T> {
     priority: u8,
-    turn: u64,
+    sequence: u64,
     waiter: T,
 }
 
@@ -58,12 +58,12 @@
 #[derive(Clone, Debug)]
 pub struct WaitQueue<T> {
     waiters: Vec<QueueWaiter<T>>,
-    next_turn: u64,
+    next_sequence: u64,
 }
 
 impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
-        Self { waiters: Vec::new(), next_turn: 0 }
+        Self { waiters: Vec::new(), next_sequence: 0 }
     }
 }
 
@@ -80,10 +80,10 @@
     /// assert_eq!(queue.next(), Some("second order"));
     /// ```
     pub fn join(&mut self, priority: u8, waiter: T) -> u64 {
-        let turn = self.next_turn;
-        self.next_turn += 1;
-        self.rejoin(priority, turn, waiter);
-        turn
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.rejoin(priority, sequence, waiter);
+        sequence
     }
 
     /// Adds one who waited before, at its old turn: what it was given turned out to be of no use.
@@ -91,16 +91,17 @@
     /// ```
     /// use rudder_decisions::WaitQueue;
     /// let mut queue = WaitQueue::default();
-    /// let turn = queue.join(1, "first");
+    /// let sequence = queue.join(1, "first");
     /// queue.join(1, "second");
     /// assert_eq!(queue.next(), Some("first"));
-    /// queue.rejoin(1, turn, "first again");
+    /// queue.rejoin(1, sequence, "first again");
     /// assert_eq!(queue.next(), Some("first again"));
     /// ```
-    pub fn rejoin(&mut self, priority: u8, turn: u64, waiter: T) {
-        let index =
-            self.waiters.partition_point(|known| (known.priority, known.turn) <= (priority, turn));
-        self.waiters.insert(index, QueueWaiter { priority, turn, waiter });
+    pub fn rejoin(&mut self, priority: u8, sequence: u64, waiter: T) {
+        let index = self
+            .waiters
+            .partition_point(|entry| (entry.priority, entry.sequence) <= (priority, sequence));
+        self.waiters.insert(index, QueueWaiter { priority, sequence, waiter });
     }
 
     /// Takes out the one who is next.
@@ -124,7 +125,7 @@
     /// assert_eq!(queue.next_where(|waiter| *waiter == "write"), None);
     /// ```
     pub fn next_where(&mut self, may_be_served: impl Fn(&T) -> bool) -> Option<T> {
-        let index = self.waiters.iter().position(|known| may_be_served(&known.waiter))?;
+        let index = self.waiters.iter().position(|entry| may_be_served(&entry.waiter))?;
         Some(self.waiters.remove(index).waiter)
     }
 
@@ -138,7 +139,7 @@
     /// assert_eq!(queue.len(), 1);
     /// ```
     pub fn retain(&mut self, still_waits: impl Fn(&T) -> bool) {
-        self.waiters.retain(|known| still_waits(&known.waiter));
+        self.waiters.retain(|entry| still_waits(&entry.waiter));
     }
 
     /// How many wait, those who gave up included.
--- a/crates/rudder-decisions/src/work.rs
+++ b/crates/rudder-decisions/src/work.rs
@@ -25,7 +25,7 @@
 const TYPICAL_GAIN: f64 = 0.05;
 
 /// The least time reckoned with, in seconds.
-const HELD_MIN_S: f64 = 1e-6;
+const RUN_TIME_MIN_S: f64 = 1e-6;
 
 /// Fingerprints remembered; the one unused for longest makes room.
 const FINGERPRINTS_MAX: usize = 2048;
@@ -74,7 +74,7 @@
     service: MovingAverage,
     /// Mean of the logarithm of each run's time relative to the typical time before it.
     relative_ln: Option<f64>,
-    used: u64,
+    last_use: u64,
 }
 
 /// Learns how long statements take, by the fingerprint of their text without its constants.
@@ -94,7 +94,7 @@
 pub struct WorkEstimate {
     records: Vec<FingerprintRecord>,
     typical_ln_s: Option<f64>,
-    uses: u64,
+    use_count: u64,
 }
 
 impl WorkEstimate {
@@ -106,7 +106,7 @@
     /// ```
     #[must_use]
     pub fn new() -> Self {
-        Self { records: Vec::new(), typical_ln_s: None, uses: 0 }
+        Self { records: Vec::new(), typical_ln_s: None, use_count: 0 }
     }
 
     /// Takes in how long one run of `fingerprint` held its slot.
@@ -118,18 +118,19 @@
     /// assert_eq!(estimate.expected(7), Some(Duration::from_millis(3)));
     /// ```
     pub fn observe(&mut self, fingerprint: u64, held: Duration) {
-        self.uses += 1;
-        let used = self.uses;
-        let held_ln_s = held.as_secs_f64().max(HELD_MIN_S).ln();
+        self.use_count += 1;
+        let last_use = self.use_count;
+        let held_ln_s = held.as_secs_f64().max(RUN_TIME_MIN_S).ln();
         let relative_ln = held_ln_s - self.typical_ln_s.unwrap_or(held_ln_s);
-        let index = self.slot_of(fingerprint);
+        let index = self.record_index(fingerprint);
         let record = &mut self.records[index];
         record.service.observe(held);
-        record.relative_ln = Some(moved(record.relative_ln, relative_ln, FINGERPRINT_GAIN));
-        record.used = used;
+        record.relative_ln =
+            Some(updated_average(record.relative_ln, relative_ln, FINGERPRINT_GAIN));
+        record.last_use = last_use;
         // The typical time is a geometric mean: a few very long runs would drag an arithmetic
         // mean up until nothing counted as long any more.
-        self.typical_ln_s = Some(moved(self.typical_ln_s, held_ln_s, TYPICAL_GAIN));
+        self.typical_ln_s = Some(updated_average(self.typical_ln_s, held_ln_s, TYPICAL_GAIN));
     }
 
     /// The expected time of `fingerprint` at its slot, or `None` if it has not been seen.
@@ -174,22 +175,22 @@
         self.records.binary_search_by_key(&fingerprint, |record| record.fingerprint)
     }
 
-    fn slot_of(&mut self, fingerprint: u64) -> usize {
+    fn record_index(&mut self, fingerprint: u64) -> usize {
         if let Ok(index) = self.position(fingerprint) {
             return index;
         }
         if self.records.len() >= FINGERPRINTS_MAX {
-            self.forget_oldest();
+            self.evict_least_recent();
         }
         let index = self.records.partition_point(|record| record.fingerprint < fingerprint);
         let service = MovingAverage::new(FINGERPRINT_GAIN);
-        let record = FingerprintRecord { fingerprint, service, relative_ln: None, used: 0 };
+        let record = FingerprintRecord { fingerprint, service, relative_ln: None, last_use: 0 };
         self.records.insert(index, record);
         index
     }
 
-    fn forget_oldest(&mut self) {
-        let ages = self.records.iter().enumerate().map(|(index, record)| (record.used, index));
+    fn evict_least_recent(&mut self) {
+        let ages = self.records.iter().enumerate().map(|(index, record)| (record.last_use, index));
         if let Some((_, index)) = ages.min() {
             self.records.remove(index);
         }
@@ -203,6 +204,6 @@
 }
 
 /// A moving average after one more sample.
-fn moved(average: Option<f64>, sample: f64, gain: f64) -> f64 {
+fn updated_average(average: Option<f64>, sample: f64, gain: f64) -> f64 {
     average.map_or(sample, |average| average + gain * (sample - average))
 }
