--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -284,7 +284,7 @@
     ) -> RefusalReason {
         let record = self.lane_or_insert(key);
         let (backlog, slot_interval) = (record.lane.backlog(), record.lane.slot_interval());
-        let retry_after = record.pacer.next(backlog, slot_interval, now, rng);
+        let retry_after = record.pacer.next_delay(backlog, slot_interval, now, rng);
         RefusalReason { word: cause, retry_after }
     }
 
--- a/crates/rudder-decisions/src/admission/retry_after.rs
+++ b/crates/rudder-decisions/src/admission/retry_after.rs
@@ -25,7 +25,7 @@
 
 impl RetryPacer {
     /// The next return time: not before the `backlog` is served, and `slot_interval` after the last one.
-    pub(crate) fn next(
+    pub(crate) fn next_delay(
         &mut self,
         backlog: Duration,
         slot_interval: Duration,
--- a/crates/rudder-decisions/src/outlier.rs
+++ b/crates/rudder-decisions/src/outlier.rs
@@ -83,11 +83,11 @@
     /// is an answer; a broken connection, a refusal or silence is not.
     ///
     /// See the example of [`OutlierTracker`].
-    pub fn observe(&mut self, name: &MemberName, answered: bool) {
+    pub fn observe(&mut self, name: &MemberName, responded: bool) {
         let record = self.record_of(name);
         record.outcomes += 1;
-        record.failures += u32::from(!answered);
-        record.failure_streak = if answered { 0 } else { record.failure_streak.saturating_add(1) };
+        record.failures += u32::from(!responded);
+        record.failure_streak = if responded { 0 } else { record.failure_streak.saturating_add(1) };
     }
 
     /// Moves the weights, at most once a second; call it before reading weights.
--- a/crates/rudder-decisions/src/routing/router.rs
+++ b/crates/rudder-decisions/src/routing/router.rs
@@ -146,7 +146,7 @@
     if !fresh.is_empty() {
         return Some(choose_fresh(demand, members, &fresh, primary, rng));
     }
-    if let Some(choice) = catch_up(demand, members, &replicas) {
+    if let Some(choice) = choose_catching_up(demand, members, &replicas) {
         return Some(choice);
     }
     let reason = if replicas.is_empty() {
@@ -185,7 +185,7 @@
 }
 
 /// The replica that will have caught up soonest, if that is within the allowed wait.
-fn catch_up(
+fn choose_catching_up(
     demand: &ReadDemand,
     members: &[MemberView],
     replicas: &[usize],
