--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -1,10 +1,11 @@
-//! The gate of one instance: limits per kind and caller, and a lane per member.
+//! The admission gate of one instance: limits per kind and per caller, and a lane per member.
 //!
-//! Thresholds: one caller gets at most [`CALLER_LIMIT_FRACTION`] of its kind's limit, so that a single busy
-//! caller cannot use the limit up and have its neighbours refused. Work that is turned away first
-//! is refused from [`SHED_QUEUE_FRACTION`] of the queue on, so the rest always finds room for a burst. A
-//! request that is not expected to get its slot within its bound is refused at once: it would
-//! only hold a place, and its caller learns sooner when to come back.
+//! Thresholds: one caller gets at most [`CALLER_LIMIT_FRACTION`] of the limit of its kind, so that
+//! a single busy caller cannot exhaust the limit and cause other callers to be refused. Sheddable
+//! requests are refused once [`SHED_QUEUE_FRACTION`] of the queue is in use, so that the queue
+//! always has room for a burst of the others. A request that is not expected to get a slot before
+//! its wait expires is refused at once: queueing it would only take up queue space, and the earlier
+//! refusal lets its caller retry sooner.
 
 use super::lane::{FlowKey, LaneLimits, LaneUsage, MemberLane, WaitingTicket};
 use super::request::{
@@ -16,10 +17,10 @@
 use rudder_core::CallerKind;
 use std::time::Instant;
 
-/// The part of its kind's limit that one caller may use.
+/// Fraction of the limit of its kind that one caller may use.
 const CALLER_LIMIT_FRACTION: f64 = 0.75;
 
-/// The part of the queue from which on work is shed that is turned away first.
+/// Fraction of the queue that has to be in use before sheddable requests are refused.
 const SHED_QUEUE_FRACTION: f64 = 0.5;
 
 #[derive(Clone, Debug)]
@@ -38,14 +39,14 @@
     running_since: Option<Instant>,
 }
 
-/// Counts of one kind, or of one caller of it, by requests that run or wait.
+/// Number of requests, running or waiting, of one kind or of one caller of a kind.
 #[derive(Clone, Debug)]
 struct UsageCount<K> {
     key: K,
     count: u32,
 }
 
-/// Decides which requests run, wait or are refused. One per instance.
+/// Decides which requests run, wait or are refused. Each instance has one gate.
 ///
 /// ```
 /// use rand::SeedableRng;
@@ -87,7 +88,7 @@
 }
 
 impl AdmissionGate {
-    /// A gate without lanes.
+    /// Creates a gate without lanes.
     ///
     /// ```
     /// assert!(rudder_decisions::AdmissionGate::new().next_expiry().is_none());
@@ -97,8 +98,9 @@
         Self::default()
     }
 
-    /// Adds a lane or changes its limits. Call [`AdmissionGate::expire`] afterwards, so that a
-    /// raised limit serves what waits. A lane that was never set gets the default limits.
+    /// Adds a lane or changes its limits. Callers call [`AdmissionGate::expire`] afterwards, so
+    /// that waiting requests get the slots of a raised limit. A lane that was never set has the
+    /// default limits.
     ///
     /// ```
     /// use rudder_decisions::{AdmissionGate, LaneKey, LaneLimits};
@@ -110,7 +112,7 @@
         self.lane_or_insert(key).lane.limits = limits;
     }
 
-    /// How full a lane is.
+    /// Returns the number of running and waiting requests of a lane.
     ///
     /// ```
     /// use rudder_decisions::{AdmissionGate, LaneKey, LaneUsage};
@@ -124,7 +126,7 @@
         index.map_or_else(|_| LaneUsage::default(), |index| self.lanes[index].lane.usage())
     }
 
-    /// Decides over a new request.
+    /// Decides whether a new request runs, waits or is refused.
     ///
     /// See the example of [`AdmissionGate`].
     pub fn offer(
@@ -139,7 +141,8 @@
         let flow = flow_of(request);
         let ticket = self.open_ticket(request, flow);
         let lane = &mut self.lane_or_insert(&request.lane).lane;
-        // After a raised limit, what waits goes first; otherwise newcomers would overtake it.
+        // After a raised limit, waiting requests go first; otherwise new requests would overtake
+        // them.
         if lane.has_room(flow) && !lane.can_serve_next() {
             lane.acquire_slot(flow);
             self.mark_running(ticket, now);
@@ -150,8 +153,8 @@
         AdmissionVerdict::Wait(ticket)
     }
 
-    /// Takes back a ticket, running or waiting, and says what becomes of those that wait. A ticket
-    /// that is not known changes nothing, so it is safe to release twice.
+    /// Releases a ticket, running or waiting, and returns the notices for waiting tickets that now
+    /// run or are refused. An unknown ticket changes nothing, so releasing a ticket twice is safe.
     ///
     /// See the example of [`AdmissionGate`].
     pub fn release(
@@ -173,8 +176,8 @@
         self.expire_and_serve(&record.lane, now, rng)
     }
 
-    /// Refuses what has waited long enough, in every lane, and serves what may run. Call it at
-    /// [`AdmissionGate::next_expiry`].
+    /// Refuses the requests of all lanes whose wait has expired, and gives free slots to waiting
+    /// requests. Callers call it at [`AdmissionGate::next_expiry`].
     ///
     /// ```
     /// use rand::SeedableRng;
@@ -188,7 +191,7 @@
         keys.iter().flat_map(|key| self.expire_and_serve(key, now, rng)).collect()
     }
 
-    /// Refuses everything that waits in a lane, because its member is gone.
+    /// Refuses all waiting requests of a lane whose member was removed.
     ///
     /// ```
     /// use rand::SeedableRng;
@@ -204,7 +207,7 @@
         self.refuse_all(key, &tickets, RefusalCause::LaneClosed, now, rng)
     }
 
-    /// When the next waiting request's wait is over, or `None` if nothing waits.
+    /// Returns the earliest expiry of a waiting request, or `None` if no request waits.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::AdmissionGate::new().next_expiry(), None);
@@ -215,7 +218,7 @@
         waiting_lanes.filter_map(|record| record.lane.next_expiry()).min()
     }
 
-    /// Why a request is refused at once, if it is.
+    /// Returns the cause if a request has to be refused at once.
     fn refusal_cause(&mut self, request: &AdmissionRequest, now: Instant) -> Option<RefusalCause> {
         let caller_key = (request.kind.clone(), request.caller);
         let caller_max = (f64::from(request.in_flight_max) * CALLER_LIMIT_FRACTION).ceil() as u32;
@@ -242,7 +245,8 @@
         (now + lane.expected_wait(flow) > expires_at).then_some(RefusalCause::TooLate)
     }
 
-    /// Refuses what has waited long enough in one lane, then serves what may run.
+    /// Refuses the requests of one lane whose wait has expired, then gives free slots to waiting
+    /// requests.
     fn expire_and_serve(
         &mut self,
         key: &LaneKey,
@@ -306,7 +310,7 @@
         let ticket = TicketId(self.next_ticket);
         increment(&mut self.kinds, request.kind.clone());
         increment(&mut self.callers, (request.kind.clone(), request.caller));
-        // Ticket numbers only grow, so pushing keeps the records sorted.
+        // Ticket numbers only increase, so pushing keeps the records sorted.
         self.tickets.push(TicketRecord {
             ticket,
             lane: request.lane.clone(),
--- a/crates/rudder-decisions/src/admission/lane.rs
+++ b/crates/rudder-decisions/src/admission/lane.rs
@@ -1,14 +1,16 @@
-//! The slots of one member and the queue in front of them.
+//! The slots of one member and the queue of requests that wait for them.
 //!
-//! Order of service: each caller's waiting requests of one class and size form a flow, and flows
-//! take turns. A flow is passed over while its class or size may not take another slot, and keeps
-//! its turn. Work that is turned away last goes before work that is turned away first, except at
-//! every [`SHED_TURN_INTERVAL`]th turn, so that the latter is slow under load, not starved.
+//! Order of service: the waiting requests of one caller with the same class and size form a flow,
+//! and flows are served round robin. A flow whose class or size may not take another slot is
+//! skipped and keeps its position. Requests that are not sheddable are served before sheddable
+//! ones, except at every [`SHED_TURN_INTERVAL`]th turn, so that sheddable requests are slow under
+//! load but do not starve.
 //!
-//! - Reads and writes: each class leaves [`CLASS_RESERVE`] slot to the other where both are served
-//!   and there are two slots or more. With one slot the turns of the flows must do.
-//! - Long work holds [`LONG_SLOTS_MAX`] slot and takes its turn like other work. It can thus neither fill
-//!   the member nor starve.
+//! - Reads and writes: each class leaves [`CLASS_RESERVE`] slot to the other if the member serves
+//!   both and has two slots or more. With one slot, only the round robin order balances the
+//!   classes.
+//! - Long statements hold at most [`LONG_SLOTS_MAX`] slot and take part in the round robin order,
+//!   so they can neither fill the member nor starve.
 
 use super::request::TicketId;
 use crate::average::MovingAverage;
@@ -16,33 +18,35 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Slots that each class leaves to the other. One is enough to keep a class from waiting for the
-/// other class's longest statement; more would idle a fifth or a third of a member each.
+/// Slots that each class leaves to the other. One slot keeps a class from waiting for the longest
+/// statement of the other class; each further slot would leave a fifth or a third of a member idle.
 const CLASS_RESERVE: u32 = 1;
 
-/// Every this many turns, work that is turned away first goes before the rest: it then gets a tenth
-/// of a full lane, and work that cannot wait is served whole up to nine tenths of what it carries.
+/// Interval, in turns, at which sheddable requests go before the others. Sheddable requests then
+/// get a tenth of a saturated lane, and the other requests are served completely while they need no
+/// more than nine tenths of its capacity.
 const SHED_TURN_INTERVAL: u32 = 10;
 
-/// Slots that long work may hold in one lane. Several instances share a member's few slots, so that
-/// even one each can fill it.
+/// Slots that long statements may hold in one lane. Several instances share the few slots of a
+/// member, so even one such slot per instance can fill it.
 const LONG_SLOTS_MAX: u32 = 1;
 
-/// Weight of one more run in a lane's service time: about the last twenty runs count.
+/// Weight of a new sample in the service time of a lane: an average over about the last twenty
+/// runs.
 const SERVICE_GAIN: f64 = 0.05;
 
 /// Service time assumed before the first run.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 
 rudder_core::plain_data! {
-    /// The limits of one lane.
+    /// Limits of one lane.
     #[derive(Copy)]
     pub struct LaneLimits {
-        /// Statements that this instance may keep in flight at the member.
+        /// Maximum number of statements that this instance keeps in flight at the member.
         pub slots: u32,
-        /// Requests that may wait.
+        /// Maximum number of waiting requests.
         pub queue_max: u32,
-        /// Whether both classes are served, so that each is kept a reserve.
+        /// Whether the member serves reads and writes, so that each class gets a reserve.
         pub mixed: bool,
     }
 }
@@ -54,19 +58,19 @@
 }
 
 rudder_core::plain_data! {
-    /// How full a lane is.
+    /// Number of running and waiting requests of a lane.
     #[derive(Copy, Default)]
     pub struct LaneUsage {
         /// Reads that hold a slot.
         pub reads: u32,
         /// Writes that hold a slot.
         pub writes: u32,
-        /// Requests that wait.
+        /// Waiting requests.
         pub waiting: u32,
     }
 }
 
-/// What decides the turn of a request.
+/// Properties of a request that assign it to a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowKey {
     pub(crate) caller: u64,
@@ -75,7 +79,7 @@
     pub(crate) shed: bool,
 }
 
-/// A waiting request.
+/// A waiting request and the expiry of its wait.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingTicket {
     pub(crate) ticket: TicketId,
@@ -88,7 +92,7 @@
     tickets: VecDeque<WaitingTicket>,
 }
 
-/// One member's slots and queue. Flows stand in the order of their turns.
+/// Slots and queue of one member. The flows are kept in the order in which they are served.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberLane {
     pub(crate) limits: LaneLimits,
@@ -119,20 +123,20 @@
         LaneUsage { reads: self.reads, writes: self.writes, waiting: self.waiting }
     }
 
-    /// The time between two slots becoming free when all are taken.
+    /// Returns the mean interval at which a slot becomes free while all are in use.
     pub(crate) fn slot_interval(&self) -> Duration {
         self.service.value().unwrap_or(INITIAL_SERVICE_TIME) / self.limits.slots.max(1)
     }
 
-    /// The time until everything that waits now has got a slot.
+    /// Returns the time until all requests that wait now have got a slot.
     pub(crate) fn backlog(&self) -> Duration {
         self.slot_interval() * self.waiting
     }
 
-    /// The expected wait of one more request of this flow. Flows take turns, so what stands before
-    /// it is its own flow's queue times the number of flows, and never more than the whole queue.
-    /// Flows that are turned away first do not stand before the others, and get only every
-    /// [`SHED_TURN_INTERVAL`]th turn while others wait.
+    /// Returns the expected wait of one more request of this flow. As flows are served round robin,
+    /// the number of requests ahead of it is the length of its own flow's queue times the number of
+    /// flows, and at most the length of the whole queue. Sheddable flows are not ahead of the
+    /// others, and get only every [`SHED_TURN_INTERVAL`]th turn while others wait.
     pub(crate) fn expected_wait(&self, key: FlowKey) -> Duration {
         let (mut flows, mut waiting, mut own_waiting) = (0, 0, 0);
         for flow in self.flows.iter().filter(|flow| flow.key.shed == key.shed) {
@@ -147,8 +151,8 @@
         self.slot_interval() * position.saturating_mul(turns)
     }
 
-    /// Whether a request of this flow may take a slot now. A free slot goes to a newcomer only if
-    /// no waiting request may use it, which the gate ensures by serving the queue at every release.
+    /// Whether a request of this flow may take a slot now. A new request gets a free slot only if
+    /// no waiting request may use it; the gate ensures this by serving the queue at every release.
     pub(crate) fn has_room(&self, key: FlowKey) -> bool {
         let slots = self.limits.slots;
         let reserve = if self.limits.mixed && slots > CLASS_RESERVE { CLASS_RESERVE } else { 0 };
@@ -171,7 +175,7 @@
         self.long += u32::from(key.size == WorkSize::Long);
     }
 
-    /// Gives a slot back after `held`.
+    /// Releases a slot that was held for `held`.
     pub(crate) fn release_slot(&mut self, key: FlowKey, held: Duration) {
         let count = self.class_count(key.class);
         *count = count.saturating_sub(1);
@@ -188,7 +192,7 @@
         self.flows.push_back(WaitingFlow { key, tickets: VecDeque::from([waiting]) });
     }
 
-    /// Takes the next waiting request that may have a slot, and gives it one.
+    /// Removes the next waiting request that may take a slot, and assigns it one.
     pub(crate) fn serve_next(&mut self) -> Option<TicketId> {
         let index = self.next_flow()?;
         let mut flow = self.flows.remove(index)?;
@@ -202,22 +206,22 @@
         Some(waiting.ticket)
     }
 
-    /// Takes out every waiting request whose wait is over.
+    /// Removes all waiting requests whose wait has expired.
     pub(crate) fn remove_expired(&mut self, now: Instant) -> Vec<TicketId> {
         self.remove_waiting(|waiting| waiting.expires_at <= now)
     }
 
-    /// Takes out one waiting request, for example because its caller went away.
+    /// Removes one waiting request, for example because its caller disconnected.
     pub(crate) fn remove_ticket(&mut self, ticket: TicketId) -> bool {
         !self.remove_waiting(|waiting| waiting.ticket == ticket).is_empty()
     }
 
-    /// Takes out everything that waits.
+    /// Removes all waiting requests.
     pub(crate) fn remove_all(&mut self) -> Vec<TicketId> {
         self.remove_waiting(|_| true)
     }
 
-    /// When the next waiting request's wait is over.
+    /// Returns the earliest expiry of a waiting request.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
         let tickets = self.flows.iter().flat_map(|flow| flow.tickets.iter());
         tickets.map(|waiting| waiting.expires_at).min()
--- a/crates/rudder-decisions/src/admission/mod.rs
+++ b/crates/rudder-decisions/src/admission/mod.rs
@@ -1,15 +1,15 @@
-//! What is let in, what waits, and what is turned away.
+//! Admission control: which requests run at once, which wait, and which are rejected.
 //!
-//! Load patterns and what goes wrong without this module:
-//! - A burst or saturation: without a bounded queue every request waits longer than its caller
-//!   does, slots are spent on answers that nobody reads, and goodput falls as load rises.
-//! - A few callers that take most of the load: with one queue in order of arrival, everybody waits
-//!   behind the busiest caller.
-//! - Reads beside writes: with one queue, catalogue reads wait behind a rehearsal week's orders.
-//! - Long work among short: a few reports take every slot.
+//! Load patterns and the failures without this module:
+//! - Bursts and saturation: without a bounded queue every request waits longer than its caller
+//!   does, slots are spent on responses that nobody reads, and goodput falls as load rises.
+//! - A few callers that send most of the load: with one first-in, first-out queue, all callers wait
+//!   behind the busiest one.
+//! - Reads beside writes: with one queue, catalogue reads wait behind a seasonal burst of orders.
+//! - Long statements among short ones: a few reports occupy every slot.
 //!
-//! The constants and the reasons for their values stand where they are used: the order of service
-//! in `lane`, the limits in `gate`, the spread of retries in `retry_after`.
+//! Each constant is documented with the reason for its value where it is used: the order of service
+//! in `lane`, the limits in `gate`, the spreading of retries in `retry_after`.
 
 mod gate;
 mod lane;
--- a/crates/rudder-decisions/src/admission/request.rs
+++ b/crates/rudder-decisions/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the admission gate.
+//! Input and output types of the admission gate.
 
 use crate::work::{WorkClass, WorkSize};
 use rudder_core::{CallerKind, MemberName, ServiceName, plain_data};
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 plain_data! {
-    /// The lane of one member of one service.
+    /// Key of the lane of one member of one service.
     #[derive(PartialOrd, Ord)]
     pub struct LaneKey {
-        /// The service.
+        /// Service of the member.
         pub service: ServiceName,
-        /// The member.
+        /// Name of the member.
         pub member: MemberName,
     }
 }
@@ -23,30 +23,30 @@
 }
 
 plain_data! {
-    /// One statement or transaction that asks for a slot.
+    /// A statement or transaction that requests a slot.
     pub struct AdmissionRequest {
-        /// The member that it is meant for.
+        /// Lane of the member that would run it.
         pub lane: LaneKey,
-        /// The kind of its caller.
+        /// Kind of its caller.
         pub kind: CallerKind,
-        /// A hash that tells callers apart.
+        /// Hash that identifies its caller.
         pub caller: u64,
-        /// Whether it may change data.
+        /// Class of the work: whether it may change data.
         pub class: WorkClass,
-        /// Whether it is expected to hold its slot for long.
+        /// Size of the work: whether it is expected to hold its slot for long.
         pub size: WorkSize,
-        /// Whether it is turned away before others.
+        /// Whether it is sheddable: refused before other requests when the queue fills up.
         pub shed: bool,
-        /// Requests of this kind that may run or wait at once.
+        /// Maximum number of running and waiting requests of this kind.
         pub in_flight_max: u32,
-        /// How long it may wait for a slot.
+        /// Maximum wait for a slot.
         pub queue_wait: Duration,
-        /// When its answer is of no more use.
+        /// Time after which its response is of no use to the caller.
         pub deadline: Instant,
     }
 }
 
-/// Names a request from its offer until it is released or refused.
+/// Identifier of a request from its offer until it is released or refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
@@ -56,44 +56,44 @@
     }
 }
 
-/// The gate's answer to an offer.
+/// Decision of the gate on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionVerdict {
-    /// It holds a slot now; release the ticket when it is done.
+    /// The request holds a slot; its ticket has to be released when it is done.
     Run(TicketId),
-    /// It waits; a later notice says what becomes of the ticket.
+    /// The request waits; a later notice reports the outcome of the ticket.
     Wait(TicketId),
-    /// It has not run and will not: the final answer.
+    /// The request was refused: it has not run and will not run.
     Refuse(RefusalReason),
 }
 
 plain_data! {
-    /// Why a request was turned away, and when to come back.
+    /// Reason why a request was refused, and the delay before a retry.
     #[derive(Copy)]
     pub struct RefusalReason {
-        /// The reason as a fixed word.
+        /// Reason code.
         pub word: RefusalCause,
-        /// When to come back; spread, so that refused callers do not return together.
+        /// Delay before a retry, spread so that refused callers do not retry at the same time.
         pub retry_after: Duration,
     }
 }
 
-/// Why a request was turned away, as a fixed word.
+/// Reason code of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalCause {
-    /// The caller's kind has as many requests as it may.
+    /// The kind of the caller has reached its maximum number of requests.
     KindLimit,
-    /// The caller has as many requests as one caller of its kind may.
+    /// The caller has reached the maximum number of requests of one caller of its kind.
     CallerLimit,
-    /// The queue is so long that work which can come back later is turned away.
+    /// The request is sheddable, and the queue is too long to accept sheddable requests.
     Shed,
     /// The queue is full.
     QueueFull,
-    /// It would not get a slot in time.
+    /// The request would not get a slot in time.
     TooLate,
-    /// Its wait is over.
+    /// The wait of the request expired.
     WaitOver,
-    /// The lane was closed while it waited.
+    /// The lane was closed while the request waited.
     LaneClosed,
 }
 
@@ -112,21 +112,21 @@
 }
 
 plain_data! {
-    /// What became of a waiting ticket.
+    /// Outcome of a waiting ticket.
     #[derive(Copy)]
     pub struct TicketNotice {
-        /// The ticket.
+        /// Ticket of the request.
         pub ticket: TicketId,
-        /// What became of it.
+        /// Outcome of the ticket.
         pub outcome: TicketOutcome,
     }
 }
 
-/// What became of a waiting ticket.
+/// Outcome of a waiting ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TicketOutcome {
-    /// It holds a slot now; release the ticket when it is done.
+    /// The request holds a slot; its ticket has to be released when it is done.
     Run,
-    /// It has not run and will not: the final answer.
+    /// The request was refused: it has not run and will not run.
     Refuse(RefusalReason),
 }
--- a/crates/rudder-decisions/src/admission/retry_after.rs
+++ b/crates/rudder-decisions/src/admission/retry_after.rs
@@ -1,30 +1,32 @@
-//! When refused callers are told to come back.
+//! Retry delays for refused callers.
 //!
-//! Load pattern: a burst far above what a lane serves. Without spreading, everyone who was refused
-//! in the same moment is told the same time and returns in the same moment, so the burst repeats
-//! itself. Here each refusal reserves the next return time at the pace at which the lane serves,
-//! so the returns arrive no faster than they can be served.
+//! Load pattern: a burst far above the capacity of a lane. Without spreading, all callers that are
+//! refused at the same moment get the same delay and retry at the same moment, so the burst
+//! repeats. Each refusal therefore reserves the next retry time at the rate at which the lane
+//! serves requests, so that retries arrive no faster than they can be served.
 
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
 
-/// No caller is told to come back sooner: a return costs a round trip and a routing decision.
+/// Minimum delay: each retry costs a round trip and a routing decision.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
-/// No caller is told to come back later. Refusals beyond it share the second half of the time.
+/// Maximum delay. Refusals that would exceed it get a random delay in its second half.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
-/// Share of the time that is drawn at random, so that lanes and instances do not agree by chance.
+/// Fraction of the delay that is added as random jitter, so that the retry times of several lanes
+/// and instances do not coincide.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// Hands out return times.
+/// Assigns retry times to refused requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryPacer {
     next_retry_at: Option<Instant>,
 }
 
 impl RetryPacer {
-    /// The next return time: not before the `backlog` is served, and `slot_interval` after the last one.
+    /// Returns the delay until the next retry time: not before the `backlog` is served, and
+    /// `slot_interval` after the previous retry time.
     pub(crate) fn next_delay(
         &mut self,
         backlog: Duration,
--- a/crates/rudder-decisions/src/average.rs
+++ b/crates/rudder-decisions/src/average.rs
@@ -1,8 +1,8 @@
-//! An exponentially weighted moving average over seconds, shared by the learned estimates.
+//! Exponentially weighted moving average of durations, used by the service time estimates.
 
 use std::time::Duration;
 
-/// A moving average that starts at its first sample.
+/// Moving average that starts at its first sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct MovingAverage {
     value_s: Option<f64>,
@@ -10,12 +10,12 @@
 }
 
 impl MovingAverage {
-    /// An average in which each new sample counts for `gain`, between 0 and 1.
+    /// Creates an average in which each new sample has the weight `gain`, between 0 and 1.
     pub(crate) fn new(gain: f64) -> Self {
         Self { value_s: None, gain }
     }
 
-    /// Takes in one sample.
+    /// Records one sample.
     pub(crate) fn observe(&mut self, sample: Duration) {
         let sample_s = sample.as_secs_f64();
         self.value_s = Some(match self.value_s {
@@ -24,7 +24,7 @@
         });
     }
 
-    /// The average, or `None` before the first sample.
+    /// Returns the average, or `None` before the first sample.
     pub(crate) fn value(&self) -> Option<Duration> {
         self.value_s.map(Duration::from_secs_f64)
     }
--- a/crates/rudder-decisions/src/connection_headroom.rs
+++ b/crates/rudder-decisions/src/connection_headroom.rs
@@ -1,23 +1,24 @@
-//! Connections beyond an instance's share, while a member takes them.
+//! Connections beyond an instance's share, as long as a member accepts them.
 //!
-//! Load pattern: there are more instances than a member takes connections, so that each may hold one.
-//! A transaction holds it over its caller's pauses, and all other callers of that instance wait or are
-//! refused, although most of the member's connections are free: few instances need theirs at a time.
+//! Load pattern: there are more instances than connections to a member, so each instance may hold
+//! one. A transaction holds it while its caller is idle, and all other callers of that instance
+//! wait or are refused, although most of the member's connections are free: few instances need
+//! theirs at the same time.
 //!
-//! So an instance may open a few more, until the member refuses one. Then there is not enough for
-//! all, and each keeps to its share for a while. Where shares add up to what the member takes there
-//! is no headroom, as it would be taken from others.
+//! An instance may therefore open a few more, until the member refuses one. The connections are
+//! then scarce, and each instance keeps to its share for a while. If the shares add up to no more
+//! than the member accepts there is no headroom, as it would be taken from other instances.
 
 use std::time::{Duration, Instant};
 
-/// Connections beyond the share.
+/// Maximum number of connections beyond the share.
 const EXTRA_MAX: u32 = 2;
 
-/// How long an instance keeps to its share after a refusal. Members count the connections of a lost
-/// machine for some seconds.
+/// How long an instance keeps to its share after a refusal. Members count the connections of a
+/// failed machine for some seconds.
 const REFUSED_PAUSE: Duration = Duration::from_millis(1500);
 
-/// How many connections beyond its share an instance may hold to one member.
+/// Number of connections beyond its share that an instance may hold to one member.
 ///
 /// ```
 /// use rudder_decisions::ConnectionHeadroom;
@@ -38,21 +39,21 @@
 }
 
 impl ConnectionHeadroom {
-    /// Takes in whether there are more instances than connections.
+    /// Sets whether there are more instances than connections.
     ///
     /// See the example of [`ConnectionHeadroom`].
     pub fn set_scarce(&mut self, scarce: bool) {
         self.scarce = scarce;
     }
 
-    /// Takes in that the member had as many connections as it takes.
+    /// Records that the member refused a connection because it was at its limit.
     ///
     /// See the example of [`ConnectionHeadroom`].
     pub fn note_refusal(&mut self, now: Instant) {
         self.refused_at = Some(now);
     }
 
-    /// Connections that may be held beyond the share.
+    /// Returns the number of connections that may be held beyond the share.
     ///
     /// See the example of [`ConnectionHeadroom`].
     #[must_use]
--- a/crates/rudder-decisions/src/connection_share.rs
+++ b/crates/rudder-decisions/src/connection_share.rs
@@ -1,23 +1,23 @@
-//! How many connections to a member each instance may hold.
+//! Share of each instance in the connections to a member.
 //!
-//! Load pattern: a member takes a few dozen connections from all instances together. Without a
-//! division the busiest instance takes them all. Shares that are rounded down leave up to one
-//! connection for each instance to nobody: of 18 for nine instances in three uneven failure
-//! domains, seven, while callers were refused.
+//! Load pattern: a member accepts a few dozen connections from all instances together. Without a
+//! division the busiest instance takes all of them. Shares that are rounded down leave up to one
+//! connection per instance unused: seven of 18 for nine instances in three uneven failure domains,
+//! while callers are refused.
 //!
-//! So all instances have equal shares, and what is left over goes to some of them by a draw that
-//! comes out differently for each member. The shares add up to just what is to be divided, as each
-//! instance works them out from the same list, unless there are more instances than connections:
-//! then each may hold one, and the member itself refuses what it does not take.
+//! All instances therefore have equal shares, and the remainder goes to some of them by a hash that
+//! gives a different order for each member. As each instance computes the shares from the same
+//! list, they add up exactly to the connections to be divided, unless there are more instances than
+//! connections: then each may hold one, and the member itself refuses the excess.
 
 use rudder_core::{InstanceName, MemberName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Connections left free for changes of the primary and for watching it: about one for each
-/// instance that reads the store for all, of which there are three to seven.
+/// Connections reserved for changes of the primary and for monitoring it: about one for each
+/// instance that reads the store on behalf of all, of which there are three to seven.
 const RESERVED_CONNECTIONS: u32 = 4;
 
-/// How many connections one instance may hold to one member.
+/// Number of connections that one instance may hold to one member.
 ///
 /// ```
 /// use rudder_decisions::ConnectionShare;
@@ -30,8 +30,8 @@
 pub struct ConnectionShare(pub u32);
 
 impl ConnectionShare {
-    /// Whether there are more instances than connections to divide, so that the shares add up to more
-    /// than a member takes.
+    /// Whether there are more instances than connections to divide, so that the shares add up to
+    /// more than a member accepts.
     ///
     /// ```
     /// use rudder_decisions::ConnectionShare;
@@ -43,8 +43,8 @@
         (connections_max.saturating_sub(RESERVED_CONNECTIONS) as usize) < instances
     }
 
-    /// The share of `own` in the connections that `member` takes from `all` instances, this one
-    /// included; at least one.
+    /// Returns the share of `own` in the connections that `member` accepts from `all` instances,
+    /// including this one; at least one.
     ///
     /// See the example of [`ConnectionShare`].
     #[must_use]
--- a/crates/rudder-decisions/src/detector.rs
+++ b/crates/rudder-decisions/src/detector.rs
@@ -1,39 +1,39 @@
-//! The bound between a late answer and a dead primary.
+//! Failure detector that distinguishes late responses from a failed primary.
 //!
-//! Load pattern: links whose delay varies and which lose packets, under a bound on the failover
-//! gap. Without a learned bound a fixed one is either shorter than a lossy link's usual pauses, and
-//! they start successions, or longer than needed on a quiet link, and the failover gap is spent on
-//! waiting.
+//! Load pattern: links with variable delay and packet loss, under a bound on the failover gap. A
+//! fixed bound is either shorter than the usual pauses of a lossy link, which then trigger
+//! successions, or longer than needed on a good link, which prolongs the failover gap.
 //!
-//! The bound is the longest gap between two answers seen lately, with a margin, between a floor and
-//! a ceiling. Mean plus some deviations is no better than a fixed bound: a lost packet costs a whole
-//! retransmission time, so the gaps that matter are far out in the tail, where mean and deviation
-//! say little. Thresholds: `docs/design/failure-detection.md`.
+//! The bound is the longest recent gap between two responses, times a margin, clamped to a floor
+//! and a ceiling. Mean plus some deviations is no better than a fixed bound: a lost packet costs a
+//! whole retransmission time, so the relevant gaps are far out in the tail, which mean and
+//! deviation hardly describe. Thresholds: `docs/design/failure-detection.md`.
 
 use std::time::{Duration, Instant};
 
-/// What the longest gap is multiplied by, in percent: a retransmission later than the last time.
+/// Factor on the longest gap, in percent: covers a retransmission that comes later than the
+/// previous one.
 const MARGIN_PERCENT: u32 = 125;
 
-/// The longest gap counts half after this time: long enough to remember pauses that come a few
-/// times an hour, short enough to forget an outage within the hour.
+/// Half-life of the longest gap: long enough to keep pauses that occur a few times an hour, short
+/// enough to drop an outage within the hour.
 const GAP_HALF_LIFE: Duration = Duration::from_secs(600);
 
 rudder_core::plain_data! {
-    /// The limits between which a detector may set its bound.
+    /// Limits within which a detector sets its bound.
     #[derive(Copy)]
     pub struct SuspicionBound {
-        /// Silence shorter than this is never suspect.
+        /// Silence up to this long never makes a member suspect.
         pub floor: Duration,
-        /// Silence longer than this always is.
+        /// Silence longer than this always makes a member suspect.
         pub ceiling: Duration,
-        /// What the longest gap seen lately is multiplied by, in percent.
+        /// Factor on the longest recent gap, in percent.
         pub margin_percent: u32,
     }
 }
 
 impl SuspicionBound {
-    /// Limits around the `suspect_after` that operators set: from it to twice it.
+    /// Returns limits from the configured `suspect_after` to twice that time.
     ///
     /// ```
     /// use rudder_decisions::SuspicionBound;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Watches one member's answers from one observer.
+/// Tracks the responses of one member to one observer.
 ///
 /// ```
 /// use rudder_decisions::{SilenceDetector, SuspicionBound};
@@ -68,7 +68,7 @@
 }
 
 impl SilenceDetector {
-    /// A detector of a member that answers about every `interval`.
+    /// Creates a detector for a member that responds about once per `interval`.
     ///
     /// See the example of [`SilenceDetector`].
     #[must_use]
@@ -76,20 +76,20 @@
         Self { limits, longest_gap_s: interval.as_secs_f64(), last_response_at: now }
     }
 
-    /// Takes in an answer of the member, to a probe or to a request.
+    /// Records a response of the member to a probe or to a request.
     ///
     /// See the example of [`SilenceDetector`].
     pub fn heard(&mut self, now: Instant) {
         let gap = now.duration_since(self.last_response_at);
         let half_lives = gap.as_secs_f64() / GAP_HALF_LIFE.as_secs_f64();
-        // A silence longer than the ceiling was an outage, not a property of the link. It counts
-        // as the ceiling, so that it cannot hold the bound there for longer than other pauses do.
+        // A silence longer than the ceiling is an outage, not a property of the link. It counts as
+        // the ceiling, so that it does not keep the bound there for longer than other pauses do.
         let gap = gap.min(self.limits.ceiling);
         self.longest_gap_s = (self.longest_gap_s * 0.5_f64.powf(half_lives)).max(gap.as_secs_f64());
         self.last_response_at = self.last_response_at.max(now);
     }
 
-    /// How long the member may be silent now before it is suspect.
+    /// Returns how long the member may currently be silent before it is suspect.
     ///
     /// ```
     /// use rudder_decisions::{SilenceDetector, SuspicionBound};
@@ -105,7 +105,7 @@
         bound.clamp(self.limits.floor, self.limits.ceiling)
     }
 
-    /// Whether the member has been silent for too long.
+    /// Whether the member has been silent for longer than the bound.
     ///
     /// See the example of [`SilenceDetector`].
     #[must_use]
@@ -113,7 +113,7 @@
         now.duration_since(self.last_response_at) > self.bound()
     }
 
-    /// When the member becomes suspect if it stays silent.
+    /// Returns the time at which the member becomes suspect if it stays silent.
     ///
     /// ```
     /// use rudder_decisions::{SilenceDetector, SuspicionBound};
--- a/crates/rudder-decisions/src/dial_gate.rs
+++ b/crates/rudder-decisions/src/dial_gate.rs
@@ -1,37 +1,37 @@
-//! When a connection to a member may be opened, after it could not be reached or had too many.
+//! Limit on new connections to a member that was unreachable or at its connection limit.
 //!
-//! Load pattern: all instances lose power and return together. The members still count their old
+//! Load pattern: all instances lose power and restart together. The members still count the old
 //! connections for seconds and refuse all but a few new ones, while hundreds of callers wait at
-//! every instance. If each refusal lets the next caller dial, an instance sends hundreds of dials a
-//! second that are known to be refused, and the place that does come free goes to whoever happens to
-//! knock; if nobody dials until callers come anew, it stays unused.
+//! every instance. If each refusal lets the next caller dial, an instance makes hundreds of dials
+//! per second that are known to be refused, and a connection that becomes free goes to an arbitrary
+//! caller; if no instance dials until new callers arrive, it stays unused.
 //!
-//! So after a refusal there is a pause, then one dial at a time. The pause grows while refusals go
-//! on, so that many instances together cost the member little, and stays short enough that a place
-//! is found soon after it came free. A member that cannot be reached is left alone for about the
-//! time of a failed attempt, so that callers do not all wait for it.
+//! After a refusal there is therefore a pause, then one dial at a time. The pause grows with
+//! repeated refusals, so that many instances together cost the member little, and stays short
+//! enough that a free connection is found soon. A member that cannot be reached is not dialed for
+//! about the duration of a failed attempt, so that not all callers wait for it.
 
 use std::time::{Duration, Instant};
 
-/// The first pause after a refusal.
+/// Pause after the first refusal.
 const REFUSED_PAUSE_MIN: Duration = Duration::from_millis(50);
 
-/// The longest pause after a refusal: a place that came free is found half of it later.
+/// Maximum pause after a refusal: a free connection is found after half of it on average.
 const REFUSED_PAUSE_MAX: Duration = Duration::from_millis(200);
 
-/// How long a member that could not be reached is left alone.
+/// Pause after a member could not be reached.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Why a dial did not succeed.
+/// Reason why a dial failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialFailure {
-    /// The member has as many connections as it takes.
+    /// The member is at its connection limit.
     ConnectionLimit,
-    /// It could not be reached.
+    /// The member could not be reached.
     Unreachable,
 }
 
-/// What the dials to a member came to lately.
+/// Recent results of the dials to a member.
 ///
 /// ```
 /// use rudder_decisions::{DialFailure, DialGate};
@@ -57,12 +57,12 @@
 struct RefusedState {
     retry_at: Instant,
     pause: Duration,
-    /// Whether the one dial that tries the member again is under way.
+    /// Whether the single dial that probes the member is in progress.
     probing: bool,
 }
 
 impl DialGate {
-    /// Whether a dial may begin now; one that may counts as begun until its end is noted.
+    /// Whether a dial may begin now; if so, it counts as begun until its result is recorded.
     ///
     /// See the example of [`DialGate`].
     pub fn try_begin(&mut self, now: Instant) -> bool {
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Whether a dial might begin now.
+    /// Whether a dial could begin now.
     ///
     /// ```
     /// let gate = rudder_decisions::DialGate::default();
@@ -87,7 +87,7 @@
         open && !self.is_unreachable(now)
     }
 
-    /// Whether the member could not be reached a moment ago.
+    /// Whether the member was unreachable at the last dial, within the pause after it.
     ///
     /// ```
     /// use rudder_decisions::{DialFailure, DialGate};
@@ -103,14 +103,14 @@
         self.unreachable_until.is_some_and(|retry_at| now < retry_at)
     }
 
-    /// Takes in that a dial succeeded: the member can be reached and has room.
+    /// Records a successful dial: the member is reachable and accepts connections.
     ///
     /// See the example of [`DialGate`].
     pub fn note_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes in that a dial failed; returns how long none may begin.
+    /// Records a failed dial and returns how long no dial may begin.
     ///
     /// See the example of [`DialGate`].
     pub fn note_failure(&mut self, failure: DialFailure, now: Instant) -> Duration {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes in that a dial was given up before its end.
+    /// Records that a dial was cancelled.
     ///
     /// ```
     /// use rudder_decisions::{DialFailure, DialGate};
@@ -143,7 +143,8 @@
         }
     }
 
-    /// A refusal of a dial that began before the last one came says nothing new.
+    /// Records a refusal. A refusal of a dial that began before the previous refusal does not
+    /// lengthen the pause.
     fn record_refusal(&mut self, now: Instant) -> Duration {
         let pause = match self.refused {
             None => REFUSED_PAUSE_MIN,
--- a/crates/rudder-decisions/src/lib.rs
+++ b/crates/rudder-decisions/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions under load: what is let in, what waits, what is turned away, where work goes, and how
-//! fast the system shifts.
+//! Decisions under load: which requests run, wait or are refused, which member serves them, and how
+//! fast load moves between members.
 //!
-//! Nothing here opens a socket, reads a clock or depends on an async runtime. Time is passed in as
+//! The crate opens no sockets, reads no clock and depends on no async runtime. Time is passed in as
 //! [`std::time::Instant`] and randomness as a `&mut dyn rand::Rng`, so every decision can be
-//! played in virtual time. The header of each module says which load pattern it answers, what
-//! goes wrong without it, and why its thresholds are what they are.
+//! simulated in virtual time. Each module's documentation names the load pattern that the module
+//! handles, the failure without it, and the reasons for its thresholds.
 
 mod admission;
 mod average;
--- a/crates/rudder-decisions/src/meter.rs
+++ b/crates/rudder-decisions/src/meter.rs
@@ -1,45 +1,48 @@
-//! What this instance learns about one member: its service time, and how many statements must be
-//! in flight to keep its slots busy.
+//! Measured service time of one member, and the number of statements in flight that keeps its slots
+//! busy.
 //!
-//! Load pattern: old and new hardware side by side, at different distances. Without a learned time
-//! equal shares go to unequal members and the slow one's queue grows without end; without the
-//! window a member behind a long link stands idle while answers and new statements travel.
+//! Load pattern: old and new hardware side by side, at different distances. Without a measured
+//! service time, equal shares go to unequal members and the queue of the slow one grows without
+//! bound. Without the window, a member behind a long link is idle while responses and new
+//! statements are in transit.
 //!
-//! Thresholds: service times that vary as much as an exponential distribution move an average of
-//! [`SERVICE_GAIN`]'s length by an eighth, which is near the share by which the router takes two
-//! members for equal. A limit that falls when answers grow slow, and rises again, was tried in this
-//! module's place and removed: see `docs/design/slots.md`.
+//! Thresholds: if service times vary as much as an exponential distribution, an average with
+//! [`SERVICE_GAIN`] deviates by an eighth, which is close to the fraction within which the router
+//! takes two members for equal. The window is not an adaptive limit, one that falls when responses
+//! get slow and rises again; `docs/design/slots.md` has the reasons.
 
 use std::time::{Duration, Instant};
 
-/// Weight of one answer: about the last thirty count. With the last ten, chance moved the choice
-/// between members often enough to raise the mean wait by up to a tenth.
+/// Weight of a new sample: an average over about the last thirty responses. With the last ten,
+/// random variation changes the choice between members often enough to raise the mean wait by up to
+/// a tenth.
 const SERVICE_GAIN: f64 = 0.03;
 
-/// Weight of the first answer, which is worth more than a guess.
+/// Weight of the first response, which is more reliable than the initial value.
 const FIRST_GAIN: f64 = 0.5;
 
-/// A member that gets work is heard more often than this. What is known of it is then kept, as the
-/// estimate of a rarely used member would else be half guess.
+/// Time without responses after which the estimate starts to decay. A member that gets work
+/// responds more often. Without this delay the estimate of a rarely used member would be half
+/// initial value.
 const DECAY_AFTER: Duration = Duration::from_secs(1);
 
-/// Without answers, half of the distance to the first guess is forgotten in this time, so that a
-/// member once slow is tried again.
+/// Half-life of the decay toward the initial value while no responses arrive, so that a member that
+/// was once slow is tried again.
 const DECAY_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Statements that stand by inside the member for each of its slots. Without them a slot whose
-/// statement was short stands idle until the next one has travelled.
+/// Statements queued inside the member for each of its slots. Without them a slot whose statement
+/// was short is idle until the next one has arrived.
 const QUEUED_PER_SLOT: f64 = 0.5;
 
-/// The window is at most this multiple of the slots, however far the member and however short its
-/// statements: more in flight would only move the queue into the member, where nothing can be
-/// reordered, shed or refused any more.
+/// Maximum of the window as a multiple of the slots, for distant members and short statements: more
+/// statements in flight would only move the queue into the member, where nothing can be reordered,
+/// shed or refused.
 const WINDOW_FACTOR_MAX: f64 = 4.0;
 
-/// The least service time reckoned with.
+/// Minimum service time in seconds, which keeps the division in the window finite.
 const SERVICE_MIN_S: f64 = 1e-6;
 
-/// What this instance has learned about one member.
+/// Measurements of one member.
 ///
 /// ```
 /// use rudder_decisions::MemberMeter;
@@ -58,7 +61,8 @@
 }
 
 impl MemberMeter {
-    /// A meter of a member with `slots` slots, whose service time is first taken to be `initial`.
+    /// Creates a meter of a member with `slots` slots and `initial` as its service time before the
+    /// first response.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -71,16 +75,16 @@
         Self { slots: slots.max(1), initial_s, service_s: initial_s, last_response: None }
     }
 
-    /// Takes in one answer: the time from sending the statement to its end, without the link's
-    /// round trip. Waiting inside the member is part of it, so that a member which others load
-    /// looks as slow as it is.
+    /// Records one response: the time from sending the statement to its end, without the round trip
+    /// of the link. The time includes waiting inside the member, so that a member that is loaded by
+    /// other instances appears as slow as it is.
     ///
     /// See the example of [`MemberMeter`].
     pub fn observe(&mut self, latency: Duration, now: Instant) {
-        // What was forgotten stays forgotten, and its weight goes to this answer. Otherwise the
-        // first good answer of a member that has recovered would bring its old, slow estimate back,
-        // or the first slow one of a member that has not would hardly count; either way the member
-        // would be used wrongly for as long again.
+        // The decay is applied before the sample, and the sample gets the weight that the old
+        // estimate has lost. Otherwise the first fast response of a recovered member would restore
+        // its old, slow estimate, or the first slow response of a member that has not recovered
+        // would hardly change it; either way the estimate would be wrong for another decay time.
         let retained_fraction = self.retained_fraction(now);
         self.service_s = self.service(now).as_secs_f64();
         let gain = SERVICE_GAIN.max(FIRST_GAIN * (1.0 - retained_fraction));
@@ -88,8 +92,8 @@
         self.last_response = Some(now);
     }
 
-    /// The expected time of a statement at the member, from sending to its end without the link.
-    /// Drifts back to the first guess while no answers come.
+    /// Returns the expected time of a statement at the member, from sending to its end without the
+    /// link. The value decays to the initial one while no responses arrive.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -107,10 +111,11 @@
         Duration::from_secs_f64(service_s)
     }
 
-    /// How many statements must be in flight to keep all slots busy: while an answer and the next
-    /// statement travel over a link with this round trip, a slot stands idle.
+    /// Returns the number of statements that must be in flight to keep all slots busy: a slot is
+    /// idle while a response and the next statement travel over a link with this round trip.
     ///
-    /// Use it as the lane's limit, but never above this instance's share of the connections.
+    /// Callers use it as the limit of the lane, but never above this instance's share of the
+    /// connections.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -125,7 +130,7 @@
         (f64::from(self.slots) * (1.0 + QUEUED_PER_SLOT + in_transit)).ceil() as u32
     }
 
-    /// Takes over a changed number of slots.
+    /// Sets a changed number of slots.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -137,7 +142,7 @@
         self.slots = slots.max(1);
     }
 
-    /// The part of what was learned that still counts.
+    /// Returns the fraction of the estimate that has not decayed.
     fn retained_fraction(&self, now: Instant) -> f64 {
         let Some(last) = self.last_response else {
             return 0.0;
--- a/crates/rudder-decisions/src/operation_limit/bucket.rs
+++ b/crates/rudder-decisions/src/operation_limit/bucket.rs
@@ -1,21 +1,21 @@
-//! The token bucket of one account.
+//! Token bucket of one account.
 
 use std::time::Duration;
 
-/// Parts of an operation that are counted with.
+/// Units per operation: buckets count in millionths of an operation.
 const MICRO_PER_OPERATION: u64 = 1_000_000;
 
-/// How many operations may run.
+/// Rate limit and burst of an account's operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationLimit {
-    /// Operations a second, in thousandths.
+    /// Rate in thousandths of an operation per second.
     pub milli_per_second: u64,
-    /// Operations at once beyond the rate.
+    /// Number of operations that may run at once beyond the rate.
     pub burst: u32,
 }
 
 impl OperationLimit {
-    /// Operations that may run in a window, rounded down.
+    /// Returns the number of operations that may run in a window, rounded down.
     ///
     /// ```
     /// use rudder_decisions::OperationLimit;
@@ -28,20 +28,21 @@
         refilled(self.milli_per_second, window) / MICRO_PER_OPERATION + u64::from(self.burst)
     }
 
-    /// Where the burst is less than one operation, none could ever run.
+    /// Returns the capacity of a bucket: at least one operation if the rate is not zero, as
+    /// otherwise no operation could ever run.
     fn capacity(self) -> u64 {
         let burst = if self.milli_per_second > 0 { self.burst.max(1) } else { self.burst };
         u64::from(burst) * MICRO_PER_OPERATION
     }
 }
 
-/// Millionths of operations that a rate gives in a time.
+/// Returns the millionths of operations that a rate adds in a time.
 fn refilled(milli_per_second: u64, time: Duration) -> u64 {
     let micro_operations = u128::from(milli_per_second) * time.as_micros() / 1000;
     u64::try_from(micro_operations).unwrap_or(u64::MAX)
 }
 
-/// Operations that may run now, refilled at the limit's rate up to its burst.
+/// Token bucket of operations, refilled at the limit's rate up to its burst.
 ///
 /// ```
 /// use rudder_decisions::{OperationBucket, OperationLimit};
@@ -59,7 +60,7 @@
 }
 
 impl OperationBucket {
-    /// A bucket that holds `start` operations, at most the burst.
+    /// Creates a bucket that holds `start` operations, at most the burst.
     ///
     /// See the example of [`OperationBucket`].
     #[must_use]
@@ -70,11 +71,11 @@
         }
     }
 
-    /// Takes one operation out; the error says how long from now until there is one.
+    /// Takes one operation out of the bucket.
     ///
     /// # Errors
     ///
-    /// The time until an operation is free.
+    /// Returns the time until the next operation is available if the bucket is empty.
     ///
     /// See the example of [`OperationBucket`].
     pub fn take(&mut self, limit: OperationLimit, now: Duration) -> Result<(), Duration> {
--- a/crates/rudder-decisions/src/operation_limit/ledger.rs
+++ b/crates/rudder-decisions/src/operation_limit/ledger.rs
@@ -1,45 +1,47 @@
-//! What one instance grants to the accounts that it counts for.
+//! Grants of one instance to the accounts that it owns.
 
 use super::bucket::{OperationBucket, OperationLimit};
 use super::watch::OwnerState;
 use rudder_core::AccountName;
 use std::time::Duration;
 
-/// How long an earlier owner must be silent before its successor grants from the reserve: longer
-/// than a slow machine between regions takes for an answer.
+/// How long an earlier owner has to be silent before its successor grants provisionally: longer
+/// than the response time of a slow machine in another region.
 const PROVISIONAL_AFTER: Duration = Duration::from_millis(200);
 
-/// How long before its successor grants in full. An owner that is cut off stops granting
-/// [`LimitBounds::joined_life`] after its last sign of the fleet, which is less.
+/// How long an earlier owner has to be silent before its successor grants in full. An owner that is
+/// cut off stops granting earlier: [`LimitBounds::joined_life`] after its last contact with the
+/// fleet.
 const FULL_AFTER: Duration = Duration::from_millis(1900);
 
-/// Twelfths of the allowance above a limit that an owner may grant when it begins to count, by its place
-/// in the order of owners. All of them may begin within a window.
+/// Twelfths of the allowance above a limit that a new owner may grant at once, by its rank in the
+/// order of owners. All owners may start within one window.
 const START_TWELFTHS: [u64; 3] = [2, 4, 2];
 
-/// Twelfths that a successor may grant in a window while it does not count in full.
+/// Twelfths of the allowance that a provisional owner may grant in a window.
 const PROVISIONAL_TWELFTHS: u64 = 3;
 
-/// Twelfths that an owner may grant in a window, beyond what it holds, while it may be cut off.
+/// Twelfths of the allowance that an owner that may be cut off may grant in a window, beyond the
+/// content of its bucket.
 const DETACHED_TWELFTHS: u64 = 1;
 
-/// Twelfths that are added to the burst, so that an account just below its limit is not refused for
-/// the unevenness of its operations.
+/// Twelfths of the allowance that are added to the burst, so that an account just below its limit
+/// is not refused because its operations arrive unevenly.
 const BURST_TWELFTHS: u64 = 2;
 
-/// What of an account's use counts together, and how far it may be above the limit.
+/// Window in which an account's operations are counted, and the permitted excess over the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitBounds {
-    /// The time in which operations are counted.
+    /// Length of the window.
     pub window: Duration,
-    /// The part of the limit that may be used beyond it, in thousandths.
+    /// Permitted excess over the limit, in thousandths of the limit.
     pub overage_permille: u32,
-    /// Operations in a window that may be used beyond that.
+    /// Operations in a window that are permitted in addition to `overage_permille`.
     pub tolerance: u32,
 }
 
 impl LimitBounds {
-    /// For how long after its last sign of the fleet an instance may count for accounts.
+    /// Returns how long after its last contact with the fleet an instance may grant as an owner.
     ///
     /// ```
     /// use rudder_decisions::LimitBounds;
@@ -50,7 +52,7 @@
         Duration::from_millis(1800)
     }
 
-    /// Operations in a window that may run beyond a limit.
+    /// Returns the number of operations in a window that may run beyond a limit.
     ///
     /// ```
     /// use rudder_decisions::{LimitBounds, OperationLimit};
@@ -66,8 +68,9 @@
         overage / 1000 + u64::from(self.tolerance)
     }
 
-    /// What a new owner may grant at once. Only one that has long counted, or would have, knows that
-    /// no other one has just granted.
+    /// Returns the number of operations that a new owner may grant at once. Only a settled owner
+    /// may start with the full burst, because only it knows that no other owner has granted one
+    /// within the window.
     fn start_operations(self, role: OwnerRole, rank: usize, limit: OperationLimit) -> u64 {
         match role {
             OwnerRole::Settled => limit.burst.into(),
@@ -75,7 +78,7 @@
         }
     }
 
-    /// What an owner may grant in a role.
+    /// Returns the limit that applies to the grants of an owner in a role.
     fn effective_limit(self, role: OwnerRole, limit: OperationLimit) -> OperationLimit {
         let allowance = self.allowance(limit);
         let added = u32::try_from(allowance * BURST_TWELFTHS / 12).unwrap_or(u32::MAX);
@@ -92,35 +95,37 @@
     }
 }
 
-/// Whether an instance counts for an account.
+/// Role of an instance for an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerRole {
-    /// Another one does.
+    /// Another instance is the owner.
     Absent,
-    /// It may be cut off, and another one may count elsewhere: it grants what it holds, and little
-    /// more.
+    /// This instance may be cut off, and another owner may grant elsewhere: it grants the content
+    /// of its bucket and little more.
     Detached,
-    /// An earlier owner has just gone silent: a part of what may run beyond the limit is granted.
+    /// An earlier owner has recently become silent: this instance grants part of the permitted
+    /// excess over the limit.
     Provisional,
-    /// It does.
+    /// This instance is the owner.
     Full,
-    /// It does, and no other one can have done so for a whole window.
+    /// This instance is the owner, and no other instance can have granted for a whole window.
     Settled,
 }
 
-/// What an instance knows of its own place in the fleet.
+/// Contact of an instance with the rest of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetContact {
-    /// It has had no sign of the fleet within [`LimitBounds::joined_life`].
+    /// No contact within [`LimitBounds::joined_life`].
     Lost,
-    /// It has.
+    /// Contact within [`LimitBounds::joined_life`].
     Joined,
-    /// It has had one all the time for a whole window.
+    /// Uninterrupted contact for a whole window.
     Settled,
 }
 
 impl OwnerRole {
-    /// The role of an instance, by its contact with the fleet and what the owners before it do.
+    /// Returns the role of an instance, given its contact with the fleet and the states of the
+    /// owners that precede it.
     ///
     /// ```
     /// use rudder_decisions::{FleetContact, OwnerRole, OwnerState};
@@ -131,7 +136,8 @@
     /// assert_eq!(OwnerRole::of(joined, &[]), OwnerRole::Full);
     /// assert_eq!(OwnerRole::of(joined, &[OwnerState::Granting]), OwnerRole::Absent);
     /// assert_eq!(OwnerRole::of(joined, &[silent(300)]), OwnerRole::Provisional);
-    /// assert_eq!(OwnerRole::of(joined, &[silent(3000), OwnerState::NotGranting]), OwnerRole::Full);
+    /// let earlier = [silent(3000), OwnerState::NotGranting];
+    /// assert_eq!(OwnerRole::of(joined, &earlier), OwnerRole::Full);
     /// assert_eq!(OwnerRole::of(FleetContact::Lost, &[]), OwnerRole::Detached);
     /// ```
     #[must_use]
@@ -156,14 +162,14 @@
     }
 }
 
-/// What a claim is answered with.
+/// Response to the claim of one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// The operation may run.
     Granted,
-    /// The limit is used up until this long from now.
+    /// The limit is exhausted for this long.
     Spent(Duration),
-    /// This instance does not count for the account.
+    /// This instance is not the owner of the account.
     NotOwner,
 }
 
@@ -174,7 +180,7 @@
     bucket: OperationBucket,
 }
 
-/// The buckets of the accounts that an instance counts for, sorted by account.
+/// Token buckets of the accounts that an instance owns, sorted by account.
 ///
 /// ```
 /// use rudder_decisions::{ClaimVerdict, LimitBounds, LimitLedger, OperationLimit, OwnerRole};
@@ -198,7 +204,7 @@
 }
 
 impl LimitLedger {
-    /// Judges the claim of one operation, for an instance at `rank` in the order of owners.
+    /// Decides on the claim of one operation, for an instance with `rank` in the order of owners.
     ///
     /// See the example of [`LimitLedger`].
     pub fn claim(
@@ -214,7 +220,8 @@
         let granted = bounds.effective_limit(role, limit);
         let index = match (found, role) {
             (Ok(index), OwnerRole::Absent) => {
-                // Another one may grant from now on, so this bucket tells nothing any more.
+                // Another instance may grant from now on, so the content of this bucket is out of
+                // date.
                 self.records.remove(index);
                 return ClaimVerdict::NotOwner;
             }
@@ -248,7 +255,7 @@
         }
     }
 
-    /// The role in which the last claim of an account was judged.
+    /// Returns the role in which this instance decided on the account's last claim.
     ///
     /// ```
     /// use rudder_decisions::{LimitLedger, OwnerRole};
@@ -262,7 +269,7 @@
         found.map_or(OwnerRole::Absent, |index| self.records[index].role)
     }
 
-    /// Forgets the accounts for which `keep` does not hold.
+    /// Removes the accounts for which `keep` returns false.
     ///
     /// ```
     /// let mut ledger = rudder_decisions::LimitLedger::default();
--- a/crates/rudder-decisions/src/operation_limit/mod.rs
+++ b/crates/rudder-decisions/src/operation_limit/mod.rs
@@ -1,14 +1,15 @@
-//! How many operations of a client account may run, over all instances.
+//! Rate limit of a client account's operations over all instances.
 //!
-//! Load pattern: an account's operations arrive at every instance, a few a second at each, and its
-//! limit holds for all of them together. Equal shares refuse an account far below its limit, because
-//! its callers are spread unevenly; counting without a common place lets an account that sends many
-//! times its usual run many times its limit.
+//! Load pattern: an account's operations arrive at all instances, a few per second at each, and its
+//! limit applies to their sum. Equal shares per instance refuse an account far below its limit,
+//! because its callers are spread unevenly; counting at each instance alone lets an account that
+//! sends many times its usual load run many times its limit.
 //!
-//! So one instance counts for an account: the first by a hash over the list of instances. Each
-//! operation is claimed there before it runs. When that one is lost the next in the order takes
-//! over, at first with a small reserve, and in full once the lost one must have noticed that it is
-//! cut off. No new owner starts with a full burst, as the one before may just have granted it.
+//! One instance, the owner, therefore counts the operations of an account: the first by a hash over
+//! the list of instances. Each operation is claimed at the owner before it runs. If the owner
+//! fails, the next instance in the order takes over: first with a small reserve, and in full once
+//! the failed owner must have detected that it is cut off. No new owner starts with a full burst,
+//! as the previous owner may just have granted one.
 
 mod bucket;
 mod ledger;
--- a/crates/rudder-decisions/src/operation_limit/owners.rs
+++ b/crates/rudder-decisions/src/operation_limit/owners.rs
@@ -1,10 +1,10 @@
-//! Which instances count for an account.
+//! Order of the instances that own an account.
 
 use rudder_core::{AccountName, InstanceName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The instances that count for an account, the first one first; at most `count`. All instances
-/// work out the same order from the same list, and a change of the list moves few accounts.
+/// Returns the owners of an account in order, at most `count`. All instances compute the same order
+/// from the same list, and a change of the list reassigns few accounts.
 ///
 /// ```
 /// use rudder_decisions::rank_owners;
--- a/crates/rudder-decisions/src/operation_limit/plan.rs
+++ b/crates/rudder-decisions/src/operation_limit/plan.rs
@@ -1,14 +1,14 @@
-//! Which owner is asked next for an operation, and which ones are passed over.
+//! Order in which an instance sends a claim to the owners of an account.
 
 use std::time::Duration;
 
-/// How far behind the first one the owners stand that are asked after it, in a circle.
+/// Offsets, modulo the number of owners, from the first owner to those that get the claim after it.
 const RETRY_OFFSETS: [usize; 4] = [1, 0, 1, 2];
 
-/// The order in which the owners of an account are asked for one operation.
+/// Iterator over the owners that get the claim of one operation, in order.
 ///
-/// The first one is asked twice, as a datagram may be lost; then all are asked by turns, as the next
-/// one grants only once it has found the first one silent.
+/// The first owner gets the claim twice, as a datagram may be lost. Then all owners get it in turn,
+/// as the next owner grants only once it has detected that the first one is silent.
 ///
 /// ```
 /// use rudder_decisions::ClaimPlan;
@@ -25,7 +25,7 @@
 }
 
 impl ClaimPlan {
-    /// A plan for owners of whom some are passed over at first.
+    /// Creates a plan that starts at the first owner that is not marked as silent.
     ///
     /// See the example of [`ClaimPlan`].
     #[must_use]
@@ -52,8 +52,8 @@
     }
 }
 
-/// Names that something was noted of a moment ago, sorted: owners that did not answer, and accounts
-/// whose claims nobody answered.
+/// Names that expire after a fixed time, sorted: owners that did not respond, and accounts whose
+/// claims got no response.
 ///
 /// ```
 /// use rudder_core::InstanceName;
@@ -75,7 +75,7 @@
 }
 
 impl<N: Ord + Clone> RecentNotes<N> {
-    /// Notes that hold for `retention`.
+    /// Creates an empty set whose names expire after `retention`.
     ///
     /// See the example of [`RecentNotes`].
     #[must_use]
@@ -83,7 +83,7 @@
         Self { retention, entries: Vec::new() }
     }
 
-    /// Takes in a note.
+    /// Adds a name or renews its expiry.
     ///
     /// See the example of [`RecentNotes`].
     pub fn note(&mut self, name: &N, now: Duration) {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Takes a note back.
+    /// Removes a name.
     ///
     /// See the example of [`RecentNotes`].
     pub fn forget(&mut self, name: &N) {
         self.entries.retain(|(known, _)| known != name);
     }
 
-    /// Whether something was noted.
+    /// Whether the set holds a name that has not expired.
     ///
     /// See the example of [`RecentNotes`].
     #[must_use]
--- a/crates/rudder-decisions/src/operation_limit/watch.rs
+++ b/crates/rudder-decisions/src/operation_limit/watch.rs
@@ -1,26 +1,26 @@
-//! What an instance knows of those that come before it in an account's order of owners.
+//! State of the owners that precede this instance in an account's order of owners.
 
 use rudder_core::{AccountName, InstanceName};
 use std::time::Duration;
 
-/// The pause between two questions to an owner.
+/// Interval between two probes of an owner.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer counts.
+/// How long the response of an owner is valid.
 const RESPONSE_VALIDITY: Duration = Duration::from_millis(300);
 
-/// A longer pause between two questions breaks a silence off: an instance that was suspended itself
-/// must not take the time for a silence of the other one.
+/// A longer pause between two probes restarts the measurement of an owner's silence: an instance
+/// that was itself suspended must not count that time as silence of the owner.
 const SILENCE_RESET_AFTER: Duration = Duration::from_millis(1000);
 
-/// What an earlier owner is known to do.
+/// State of an owner that precedes this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerState {
-    /// It counts for the account.
+    /// The owner grants the account's operations.
     Granting,
-    /// It lives and says that it does not count for the account.
+    /// The owner runs and reports that it does not grant the account's operations.
     NotGranting,
-    /// It has not answered for so long.
+    /// The owner has not responded for this long.
     SilentFor(Duration),
 }
 
@@ -39,7 +39,7 @@
     grants: bool,
 }
 
-/// The earlier owners that this instance asks, sorted by account and owner.
+/// Owners that this instance probes, sorted by account and owner.
 ///
 /// ```
 /// use rudder_decisions::{OwnerState, OwnerWatch};
@@ -59,7 +59,8 @@
 }
 
 impl OwnerWatch {
-    /// Whether the owner is to be asked now; the caller then asks it.
+    /// Whether a probe of the owner is due. If so, it counts as sent, and the caller has to send
+    /// it.
     ///
     /// See the example of [`OwnerWatch`].
     pub fn probe_is_due(
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Takes in an answer, and whether the owner counts for the account.
+    /// Records the response of an owner: whether it grants the account's operations.
     ///
     /// See the example of [`OwnerWatch`].
     pub fn note_answer(
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What an owner is known to do.
+    /// Returns the state of an owner.
     ///
     /// See the example of [`OwnerWatch`].
     #[must_use]
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Forgets the accounts for which `keep` does not hold.
+    /// Removes the accounts for which `keep` returns false.
     ///
     /// ```
     /// let mut watch = rudder_decisions::OwnerWatch::default();
--- a/crates/rudder-decisions/src/outlier.rs
+++ b/crates/rudder-decisions/src/outlier.rs
@@ -1,39 +1,41 @@
-//! Takes work away from a member that fails its statements, by degrees.
+//! Gradual reduction of the load on a member whose statements fail.
 //!
-//! Load pattern: one endpoint of a group goes bad while it still answers. Without this module a
-//! member that fails at once looks like the fastest of all, so routing by least expected time sends
-//! it even more than its share; and one that is taken out whole, on chance, throws its load at the
-//! others. A member that is merely slow needs no tracker: least expected time avoids it
-//! (`docs/design/read-routing.md`).
+//! Load pattern: one endpoint of a group fails its statements but still responds. A member that
+//! fails immediately has the shortest response times, so without this module routing by least
+//! expected time sends it even more than its share; and removing a member completely because of a
+//! few random failures moves its load to the others. A member that is only slow needs no tracker,
+//! as least expected time avoids it (`docs/design/read-routing.md`).
 //!
 //! Thresholds: a member is bad in a step in which a fifth of its statements failed
-//! ([`FAILURE_DIVISOR_BAD`]); a healthy one is near zero, and a twentieth is noise that retries absorb.
-//! A member with few statements is bad after [`FAILURE_STREAK_BAD`] failures in a row. Each bad step halves its weight, down to
-//! [`WEIGHT_FLOOR`], which leaves enough requests to notice that it is well again; each good step
-//! gives a tenth back, so that ten steps restore it. The best member always keeps its whole weight:
-//! when all are bad, spreading is all that is left.
+//! ([`FAILURE_DIVISOR_BAD`]); the rate of a healthy one is near zero, and a twentieth is noise that
+//! retries absorb. A member with few statements is bad after [`FAILURE_STREAK_BAD`] consecutive
+//! failures. Each bad step halves its weight, down to [`WEIGHT_FLOOR`], which leaves enough
+//! requests to detect its recovery; each good step restores a tenth, so ten steps restore the full
+//! weight. The best member always keeps its full weight: if all members are bad, distributing the
+//! load is the only option left.
 
 use crate::routing::MemberWeight;
 use rudder_core::MemberName;
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
-/// One failure in this many outcomes of a step makes a member bad.
+/// A member is bad if at least one in this many outcomes of a step is a failure.
 const FAILURE_DIVISOR_BAD: u32 = 5;
 
-/// This many failures in a row make a member bad, however few its statements are.
+/// Number of consecutive failures that make a member bad, even if it has few statements.
 const FAILURE_STREAK_BAD: u32 = 5;
 
-/// How often weights move. Long enough for each instance to see some outcomes of each member.
+/// Interval at which weights change, long enough for each instance to see some outcomes of each
+/// member.
 const STEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The least weight, in thousandths.
+/// Minimum weight, in thousandths.
 const WEIGHT_FLOOR: u16 = 50;
 
-/// What one good step gives back, in thousandths.
+/// Weight that one good step restores, in thousandths.
 const WEIGHT_INCREMENT: u16 = 100;
 
-/// Outcomes needed in a step before its share of failures says something.
+/// Minimum number of outcomes in a step for its failure rate to be significant.
 const OUTCOMES_MIN: u32 = 5;
 
 #[derive(Clone, Debug)]
@@ -45,7 +47,7 @@
     weight: u16,
 }
 
-/// Watches the outcomes of one group's members.
+/// Tracks the outcomes of the members of one group.
 ///
 /// ```
 /// use rudder_decisions::{MemberWeight, OutlierTracker};
@@ -69,7 +71,7 @@
 }
 
 impl OutlierTracker {
-    /// A tracker that knows no members: all have their whole weight.
+    /// Creates a tracker without members; every member has its full weight.
     ///
     /// ```
     /// let _tracker = rudder_decisions::OutlierTracker::new(std::time::Instant::now());
@@ -79,8 +81,8 @@
         Self { records: Vec::new(), last_step: now }
     }
 
-    /// Takes in one outcome: whether the member answered. An endpoint's own error about a statement
-    /// is an answer; a broken connection, a refusal or silence is not.
+    /// Records one outcome: whether the member responded. An endpoint's own error about a statement
+    /// is a response; a broken connection, a refusal or a timeout is not.
     ///
     /// See the example of [`OutlierTracker`].
     pub fn observe(&mut self, name: &MemberName, responded: bool) {
@@ -90,7 +92,7 @@
         record.failure_streak = if responded { 0 } else { record.failure_streak.saturating_add(1) };
     }
 
-    /// Moves the weights, at most once a second; call it before reading weights.
+    /// Updates the weights, at most once a second; callers call it before they read weights.
     ///
     /// See the example of [`OutlierTracker`].
     pub fn step(&mut self, now: Instant) {
@@ -112,7 +114,7 @@
         self.restore_best();
     }
 
-    /// The weight of a member.
+    /// Returns the weight of a member.
     ///
     /// ```
     /// use rudder_decisions::{MemberWeight, OutlierTracker};
@@ -126,8 +128,9 @@
         index.map_or(MemberWeight::FULL, |index| MemberWeight::new(self.records[index].weight))
     }
 
-    /// Gives the best member its whole weight. Without it a fault that hits every member, such as
-    /// a bad statement or a cut link of this instance, would turn all of them down to the floor.
+    /// Restores the full weight of the best member. Otherwise a fault that affects every member,
+    /// such as a bad statement or a broken link of this instance, would reduce all of them to the
+    /// floor.
     fn restore_best(&mut self) {
         let rank = |record: &&mut MemberRecord| (record.weight, Reverse(record.failure_streak));
         let best = self.records.iter_mut().max_by_key(rank);
@@ -160,15 +163,16 @@
     }
 }
 
-/// Whether a member is bad, or `None` if too little was seen of it since the last step.
+/// Returns whether a member is bad, or `None` if it had too few outcomes since the last step.
 fn assess(record: &MemberRecord) -> Option<bool> {
     let enough = record.outcomes >= OUTCOMES_MIN;
     let share_bad = enough && record.failures * FAILURE_DIVISOR_BAD >= record.outcomes;
     if share_bad || record.failure_streak >= FAILURE_STREAK_BAD {
         return Some(true);
     }
-    // A turned-down member gets few requests. They need not be many to let it rise, but none of
-    // them may have failed, or it would swing between its floor and the next step up.
+    // A member with a reduced weight gets few requests. Few outcomes are enough to raise its
+    // weight, but none of them may have failed, or the weight would oscillate between the floor and
+    // the next step.
     let healthy = record.outcomes > 0 && (enough || record.failures == 0);
     healthy.then_some(false)
 }
--- a/crates/rudder-decisions/src/place.rs
+++ b/crates/rudder-decisions/src/place.rs
@@ -1,29 +1,29 @@
-//! Where instances and members are, and how far apart.
+//! Locations of instances and members, and the distance between them.
 
 use rudder_core::DomainName;
 
-/// Where an instance or a member is.
+/// Location of an instance or a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodePlace {
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: DomainName,
-    /// The region of that domain.
+    /// Region of the failure domain.
     pub region: String,
 }
 
-/// How far apart two places are, the nearest first.
+/// Distance between two locations, the nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlaceDistance {
-    /// In one failure domain.
+    /// In the same failure domain.
     SameDomain,
-    /// In two domains of one region.
+    /// In two failure domains of the same region.
     SameRegion,
     /// In two regions.
     Elsewhere,
 }
 
 impl NodePlace {
-    /// How far it is to another place.
+    /// Returns the distance to another location.
     ///
     /// ```
     /// use rudder_decisions::{PlaceDistance, NodePlace};
--- a/crates/rudder-decisions/src/ramp.rs
+++ b/crates/rudder-decisions/src/ramp.rs
@@ -1,22 +1,24 @@
-//! How fast load moves to a member that is new, restarted, or back after a failover.
+//! Gradual increase of the load on a member that is new, restarted, or back after a failover.
 //!
-//! Load pattern: a member appears whose caches are cold while every instance still believes its
-//! declared speed. Without a ramp all instances send it its full share in the same moment; the
-//! requests that find it cold are as many as all instances' slots together, and wait for each other
-//! inside the member. Thresholds: it starts at [`RAMP_START`], enough to warm it and to measure its
-//! speed, and gets its whole weight after [`RAMP_TIME`]: a few hundred statements at a tenth of
-//! a member's usual rate, by which time its observed speed, not the ramp, steers the load.
+//! Load pattern: a member with cold caches joins while every instance still assumes its declared
+//! speed. Without a ramp all instances send it its full share at the same moment; the requests that
+//! run on cold caches are as many as the slots of all instances together, and wait for each other
+//! inside the member.
+//!
+//! Thresholds: the weight starts at [`RAMP_START`], enough to warm the caches and to measure the
+//! member's speed, and is full after [`RAMP_TIME`]: a few hundred statements at a tenth of a
+//! member's usual rate. By then its measured speed, not the ramp, controls the load.
 
 use crate::routing::MemberWeight;
 use std::time::{Duration, Instant};
 
-/// The weight at the start, in thousandths.
+/// Initial weight, in thousandths.
 const RAMP_START: u16 = 100;
 
-/// How long the weight takes to become whole.
+/// Time until the weight is full.
 const RAMP_TIME: Duration = Duration::from_secs(10);
 
-/// The weight of one member that has just come or come back.
+/// Weight of one member that has joined or returned.
 ///
 /// ```
 /// use rudder_decisions::{MemberWeight, RampSchedule};
@@ -33,7 +35,7 @@
 }
 
 impl RampSchedule {
-    /// A ramp that starts now.
+    /// Starts a ramp.
     ///
     /// ```
     /// let _ramp = rudder_decisions::RampSchedule::new(std::time::Instant::now());
@@ -43,7 +45,7 @@
         Self { start: now }
     }
 
-    /// The member's weight.
+    /// Returns the weight of the member.
     ///
     /// See the example of [`RampSchedule`].
     #[must_use]
@@ -54,7 +56,7 @@
         MemberWeight::new(RAMP_START + rise.round() as u16)
     }
 
-    /// Whether the weight is whole, so that the schedule can be dropped.
+    /// Whether the weight is full, so that the schedule can be dropped.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
--- a/crates/rudder-decisions/src/reconnect.rs
+++ b/crates/rudder-decisions/src/reconnect.rs
@@ -1,30 +1,32 @@
-//! When to try a connection again, and how reconnections spread after an outage.
+//! Backoff and spreading of reconnections after an outage.
 //!
-//! Load pattern: a primary changes, or the platform returns after an outage, and every instance
-//! reconnects. Without spreading all of them arrive in the same round trip; a new connection costs
-//! a member about 12 ms, so the crowd itself makes the first tries time out, and tries repeated at
-//! a fixed interval arrive together again. Thresholds: a first try is spread over the time that the
-//! other side needs for all of them ([`CONNECT_COST`] each, [`CONNECT_PARALLEL`] at once); a failed
-//! one is repeated after a random time up to a bound that doubles from [`BACKOFF_MIN`] to
-//! [`BACKOFF_MAX`]. The smallest bound is two round trips between regions; the greatest keeps an
-//! instance within a few seconds of a side that has returned.
+//! Load pattern: the primary changes, or the platform returns after an outage, and every instance
+//! reconnects. Without spreading, all of them connect within the same round trip; a new connection
+//! costs a member about 12 ms, so the simultaneous connections make the first attempts time out,
+//! and retries at a fixed interval coincide again.
+//!
+//! Thresholds: a first attempt is delayed by a random part of the time that the target needs for
+//! all of them ([`CONNECT_COST`] each, [`CONNECT_PARALLEL`] at once). A failed attempt is retried
+//! after a random delay up to a bound that doubles from [`BACKOFF_MIN`] to [`BACKOFF_MAX`]. The
+//! minimum is two round trips between regions; the maximum lets an instance reconnect within a few
+//! seconds of the target's return.
 
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// What a new connection costs the other side.
+/// Time that a new connection costs the target.
 const CONNECT_COST: Duration = Duration::from_millis(12);
 
-/// New connections that the other side works on at once.
+/// Number of new connections that the target handles concurrently.
 const CONNECT_PARALLEL: u32 = 4;
 
-/// Bound of the wait after the first failure.
+/// Upper bound of the delay after the first failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(80);
 
-/// Bound of the wait after many failures.
+/// Upper bound of the delay after many failures.
 const BACKOFF_MAX: Duration = Duration::from_secs(3);
 
-/// Times the tries to reach one other side.
+/// Schedules the attempts to reach one target.
 ///
 /// ```
 /// use rand::SeedableRng;
@@ -41,7 +43,7 @@
 }
 
 impl ReconnectPacer {
-    /// A pacer without failures.
+    /// Creates a pacer without failures.
     ///
     /// ```
     /// let _pacer = rudder_decisions::ReconnectPacer::new();
@@ -51,8 +53,8 @@
         Self::default()
     }
 
-    /// How long to wait before the first try, when `connections` connections (from all instances
-    /// together) are expected to be opened to the same side at the same time.
+    /// Returns the delay before the first attempt, when `connections` connections (from all
+    /// instances together) are expected to be opened to the same target at the same time.
     ///
     /// ```
     /// use rand::SeedableRng;
@@ -67,7 +69,7 @@
         window.min(BACKOFF_MAX).mul_f64(rng.random_range(0.0..1.0))
     }
 
-    /// How long to wait after a failed try.
+    /// Returns the delay after a failed attempt.
     ///
     /// See the example of [`ReconnectPacer`].
     pub fn after_failure(&mut self, rng: &mut dyn Rng) -> Duration {
@@ -77,7 +79,7 @@
         bound.mul_f64(rng.random_range(0.0..1.0))
     }
 
-    /// Forgets the failures once a connection works.
+    /// Resets the backoff after a successful connection.
     ///
     /// ```
     /// let mut pacer = rudder_decisions::ReconnectPacer::new();
--- a/crates/rudder-decisions/src/replica_progress.rs
+++ b/crates/rudder-decisions/src/replica_progress.rs
@@ -1,25 +1,26 @@
-//! Whether a replica is worth asking for a position that it was last seen without.
+//! Prediction whether a replica still lacks a position that it recently lacked.
 //!
-//! Load pattern: a replica trails by two seconds, or receives nothing any more, while reads of
-//! several bounds and of sessions that have just written come in by the hundred. Asked for each of
-//! them, it turns most away after a round trip. Left alone after one refusal, it also stands idle
-//! for the reads that it could serve, and the primary is asked for those as well, until it is full.
+//! Load pattern: a replica lags by two seconds, or receives nothing any more, while hundreds of
+//! reads arrive, with several staleness bounds and from sessions that have just written. If each of
+//! them is sent to the replica, it refuses most of them after a round trip. If it is not used at
+//! all after one refusal, it is idle although it could serve some reads, and those go to the
+//! primary as well, until the primary is full.
 //!
-//! So a refusal counts for the position that was asked for, and for how long it takes the replica
-//! to get there: a floor that the primary reached longer ago than the replica trails has arrived by
-//! now. What was seen counts for a moment only; then one read at a time tries the replica anew.
+//! A refusal therefore applies to the requested position, and for as long as the replica needs to
+//! reach it: a floor that the primary reached longer ago than the replica's lag has arrived by now.
+//! An observation is valid only for a short time; then one read at a time tries the replica again.
 
 use rudder_core::LogStamp;
 use std::time::Duration;
 
-/// How long a sighting counts: the replica may have caught up since.
+/// Validity of an observation: the replica may have caught up since.
 const OBSERVATION_VALIDITY: Duration = Duration::from_millis(250);
 
-/// How long a replica surely lacks what it lacked: less than any lag that matters, and more than a
-/// burst of reads of one session takes.
+/// Time for which a replica certainly still lacks a position: less than any relevant lag, and
+/// longer than a burst of reads of one session.
 const LACK_CERTAIN_TIME: Duration = Duration::from_millis(50);
 
-/// How far a replica was when it was last heard. Moments are counted from any one start.
+/// Last observed progress of a replica. Times are measured from an arbitrary common start.
 ///
 /// ```
 /// use rudder_core::LogStamp;
@@ -30,10 +31,10 @@
 /// let mut progress = ReplicaProgress::default();
 /// progress.note(stamp(100), ms(2000), ms(10_000));
 /// assert!(!progress.lacks(stamp(100), ms(0), ms(10_100)));
-/// // It trails by two seconds; the primary had this one half a second ago, and that one three.
+/// // It lags by two seconds; the primary reached 180 half a second ago, and 110 three seconds ago.
 /// assert!(progress.lacks(stamp(180), ms(500), ms(10_100)));
 /// assert!(!progress.lacks(stamp(110), ms(3000), ms(10_100)));
-/// // Nobody has heard it for a while.
+/// // The last observation is no longer valid.
 /// assert!(!progress.lacks(stamp(180), ms(500), ms(10_300)));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,22 +45,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ProgressObservation {
     applied: LogStamp,
-    /// How long before the sighting the primary had been farther.
+    /// How long before the observation the primary had already been ahead of `applied`.
     lag: Duration,
     at: Duration,
 }
 
 impl ReplicaProgress {
-    /// Takes in that the replica had applied its log up to `applied`, and that the primary had been
-    /// farther for `lag` by then.
+    /// Records that the replica had applied its log up to `applied`, and that the primary had been
+    /// ahead of that position for `lag` by then.
     ///
     /// See the example of [`ReplicaProgress`].
     pub fn note(&mut self, applied: LogStamp, lag: Duration, now: Duration) {
         self.observation = Some(ProgressObservation { applied, lag, at: now });
     }
 
-    /// Takes in that a read that needs `floor` is being sent to it: until it answers, what was
-    /// known of it holds for the other reads.
+    /// Records that a read that needs `floor` is being sent to the replica: until it responds, the
+    /// last observation is valid for other reads.
     ///
     /// ```
     /// use rudder_core::LogStamp;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether it most likely still lacks `floor`, which the primary reached `age` ago.
+    /// Whether the replica most likely still lacks `floor`, which the primary reached `age` ago.
     ///
     /// See the example of [`ReplicaProgress`].
     #[must_use]
--- a/crates/rudder-decisions/src/retry.rs
+++ b/crates/rudder-decisions/src/retry.rs
@@ -1,25 +1,27 @@
-//! Which requests may be sent again, and how many.
+//! Retry budget: which requests may be sent again, and how many.
 //!
-//! Load pattern: a member or a primary fails while everyone is busy. Without a budget each request
-//! is sent again while the rest of the group already carries the failed member's load: with three
-//! tries the load triples at the worst moment, and stays tripled, because the overload itself
-//! makes requests fail. Thresholds: retries are a tenth of the successes ([`CREDIT_PER_SUCCESS`]),
-//! so they add at most a tenth to the load; [`CREDIT_MAX`] lets a burst of failures as large as
-//! all slots of one group (three members of five) be retried at once.
+//! Load pattern: a member or a primary fails under high load. Without a budget each request is
+//! retried while the rest of the group already carries the failed member's load: with three
+//! attempts the load triples at the worst moment, and stays tripled, because the overload itself
+//! makes requests fail.
+//!
+//! Thresholds: retries are a tenth of the successes ([`CREDIT_PER_SUCCESS`]), so they add at most a
+//! tenth to the load; [`CREDIT_MAX`] allows a burst of failures as large as all slots of one group
+//! (three members of five) to be retried at once.
 
 use crate::work::WorkClass;
 use rudder_core::OutcomeClass;
 
-/// Retries earned by one success, in thousandths.
+/// Credit for one successful request, in thousandths of a retry.
 const CREDIT_PER_SUCCESS: u64 = 100;
 
-/// What one retry costs, in thousandths.
+/// Cost of one retry, in thousandths of a retry.
 const RETRY_COST: u64 = 1000;
 
-/// The most that can be saved up, in thousandths: 15 retries.
+/// Maximum credit, in thousandths of a retry: 15 retries.
 const CREDIT_MAX: u64 = 15 * RETRY_COST;
 
-/// The retries that this instance may spend on one service.
+/// Retries that this instance may spend on one service.
 ///
 /// ```
 /// use rudder_core::OutcomeClass;
@@ -35,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::RetryBudget::new().remaining(), 15);
@@ -45,7 +47,7 @@
         Self { credit: CREDIT_MAX }
     }
 
-    /// Takes in a request that succeeded at its first try.
+    /// Records a request that succeeded at its first attempt.
     ///
     /// ```
     /// let mut budget = rudder_decisions::RetryBudget::new();
@@ -56,10 +58,10 @@
         self.credit = (self.credit + CREDIT_PER_SUCCESS).min(CREDIT_MAX);
     }
 
-    /// Whether a request may be sent again, and if so, spends one retry.
+    /// Whether a request may be sent again; if so, one retry is spent.
     ///
-    /// A write is sent again only if it provably did not run; sending it again after an unknown
-    /// outcome could apply it twice. An endpoint's own error is an answer, not a failure to retry.
+    /// A write is sent again only if it provably did not run, as sending it again after an unknown
+    /// outcome could apply it twice. An endpoint's own error is a response, not a failure to retry.
     ///
     /// ```
     /// use rudder_core::OutcomeClass;
@@ -80,7 +82,7 @@
         true
     }
 
-    /// How many retries may be spent now.
+    /// Returns the number of retries that may be spent now.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::RetryBudget::default().remaining(), 15);
--- a/crates/rudder-decisions/src/routing/demand.rs
+++ b/crates/rudder-decisions/src/routing/demand.rs
@@ -1,36 +1,36 @@
-//! The inputs and outputs of a read's routing decision.
+//! Input and output types of the routing of reads.
 
 use rudder_core::{DomainName, LogStamp, MemberName, MemberRole, plain_data};
 use std::fmt;
 use std::time::Duration;
 
 plain_data! {
-    /// What a read demands.
+    /// Requirements of a read.
     pub struct ReadDemand {
-        /// The least stamp that the session must see, if it has one.
+        /// Minimum stamp that the session has to see, if it has one.
         pub floor: Option<LogStamp>,
-        /// How long ago the floor was written, as far as this instance knows; zero if unknown.
+        /// Time since the floor was written, as far as this instance knows; zero if unknown.
         pub floor_age: Duration,
-        /// The greatest age of the data that the caller accepts.
+        /// Maximum staleness that the caller accepts.
         pub bound: Duration,
-        /// The failure domain of this instance.
+        /// Failure domain of this instance.
         pub domain: DomainName,
-        /// How long the read may wait for a replica to catch up.
+        /// Maximum wait for a replica to catch up.
         pub wait_max: Duration,
     }
 }
 
-/// Whether a member may get work.
+/// Health of a member, which decides whether it may get work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberHealth {
-    /// Answers.
+    /// Responds.
     #[default]
     Ready,
-    /// Has not answered lately; used only when nothing else may serve.
+    /// Has not responded recently; used only if no other member may serve.
     Suspect,
-    /// Leaving: no new work.
+    /// Draining: gets no new work.
     Leaving,
-    /// Known not to answer.
+    /// Known not to respond.
     Down,
 }
 
@@ -45,15 +45,15 @@
     }
 }
 
-/// The share of its usual work that a member gets, in thousandths.
+/// Share of its usual work that a member gets, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberWeight(u16);
 
 impl MemberWeight {
-    /// The whole of its usual work.
+    /// Full share of its usual work.
     pub const FULL: Self = Self(1000);
 
-    /// A weight of `permille` thousandths, at most 1000.
+    /// Creates a weight of `permille` thousandths, at most 1000.
     ///
     /// ```
     /// use rudder_decisions::MemberWeight;
@@ -64,7 +64,7 @@
         Self(permille.min(Self::FULL.0))
     }
 
-    /// The weight in thousandths.
+    /// Returns the weight in thousandths.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::MemberWeight::FULL.permille(), 1000);
@@ -74,7 +74,8 @@
         self.0
     }
 
-    /// The smaller of two weights; use it to join the verdicts of an outlier tracker and a ramp.
+    /// Returns the smaller of two weights, for example that of an outlier tracker and that of a
+    /// ramp.
     ///
     /// ```
     /// use rudder_decisions::MemberWeight;
@@ -100,75 +101,75 @@
 }
 
 plain_data! {
-    /// What this instance believes about one member. All of it may be out of date.
+    /// This instance's view of one member. Any part of it may be out of date.
     pub struct MemberView {
-        /// The member's name.
+        /// Name of the member.
         pub name: MemberName,
-        /// The role that it is believed to have.
+        /// Last known role.
         pub role: MemberRole,
-        /// The failure domain that it stands in.
+        /// Failure domain of the member.
         pub domain: DomainName,
-        /// The last stamp that its reads are known to show.
+        /// Last stamp that its reads are known to include.
         pub applied: LogStamp,
-        /// The greatest age that its answer can have, or `None` if that is not known.
+        /// Maximum age of the data that it returns, or `None` if unknown.
         pub age: Option<Duration>,
-        /// How far it usually trails the primary.
+        /// Usual lag behind the primary.
         pub lag: Duration,
-        /// Statements of this instance that it runs or that wait for it here.
+        /// Statements of this instance that run at the member or wait for it at this instance.
         pub in_flight: u32,
-        /// Statements that it runs at the same time, for all instances together.
+        /// Number of statements that it runs concurrently, for all instances together.
         pub slots: u32,
-        /// Instances that send it work, this one included.
+        /// Number of instances that send it work, including this one.
         pub sharers: u32,
-        /// The expected time of a statement there, without the link.
+        /// Expected time of a statement at the member, without the link.
         pub service: Duration,
-        /// The link's round trip, plus what its use costs, expressed as time.
+        /// Round trip of the link plus the cost of its use, expressed as time.
         pub link: Duration,
-        /// Whether it may get work.
+        /// Health of the member.
         pub health: MemberHealth,
-        /// The share of its usual work that it gets.
+        /// Share of its usual work that it gets.
         pub weight: MemberWeight,
     }
 }
 
-/// Where a read goes. Indexes point into the slice of views that was given.
+/// Route of a read. Indexes refer to the slice of views that was passed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadRoute {
-    /// To this replica, now.
+    /// Send it to this replica now.
     Replica(usize),
-    /// To this replica, once it has caught up; ask again after this long.
+    /// Send it to this replica once the replica has caught up; choose again after this time.
     WaitFor(usize, Duration),
-    /// To the primary.
+    /// Send it to the primary.
     Primary(usize),
-    /// Nowhere: no member may serve it.
+    /// Refuse it: no member may serve it.
     Refuse,
 }
 
 plain_data! {
-    /// Where a read goes, and why.
+    /// Route of a read and the reason for it.
     #[derive(Copy)]
     pub struct RouteChoice {
-        /// Where it goes.
+        /// Route of the read.
         pub route: ReadRoute,
-        /// Why, for the log line and the metric.
+        /// Reason code for the log line and the metric.
         pub reason: RouteReason,
     }
 }
 
-/// Why a read goes where it goes, as a fixed word.
+/// Reason code for the route of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RouteReason {
-    /// The fresh replica with the least expected time.
+    /// Chosen among several fresh replicas for the least expected time.
     LeastTime,
     /// The only fresh replica.
     OnlyFresh,
-    /// A replica is expected to catch up within the allowed wait.
+    /// A replica is expected to catch up within the permitted wait.
     CatchUp,
-    /// No replica holds what the session must see.
+    /// No replica has applied the floor of the session.
     FloorAhead,
-    /// No replica is known to be young enough for the staleness bound.
+    /// No replica is known to be within the staleness bound.
     TooOld,
-    /// The fresh replicas are so loaded that the primary answers much sooner.
+    /// The fresh replicas are so loaded that the primary is expected to respond much sooner.
     ReplicasBusy,
     /// No replica may get work.
     NoReplica,
--- a/crates/rudder-decisions/src/routing/mod.rs
+++ b/crates/rudder-decisions/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which member answers a read.
+//! Choice of the member that serves a read.
 
 mod demand;
 mod router;
--- a/crates/rudder-decisions/src/routing/router.rs
+++ b/crates/rudder-decisions/src/routing/router.rs
@@ -1,15 +1,16 @@
-//! Which replica answers a read, or whether it waits for one to catch up, or goes to the primary.
+//! Router of reads: to a replica, to a replica once it has caught up, or to the primary.
 //!
-//! Load pattern: reads over old and new hardware at different distances, with replicas that trail.
-//! Without it: round robin gives a member at 0.4 of the others' speed as much work as them, its
-//! queue grows without end at a load that the group as a whole carries easily, and reads that the
-//! replicas may serve queue behind writes at the primary.
+//! Load pattern: reads over old and new hardware at different distances, with replicas that lag.
+//! Round robin gives a member at 0.4 of the others' speed as much work as them, so its queue grows
+//! without bound at a load that the group as a whole can serve, and reads that the replicas may
+//! serve queue behind writes at the primary.
 //!
-//! The rule is least expected time: link, plus service, plus the wait for a slot. Thresholds: the
-//! primary takes a read that a replica may serve only if the best replica's queue takes more than
-//! [`SPILL_WAIT_FACTOR`] service times and the primary has a free slot and answers sooner. The share of
-//! reads on replicas is the first measure, so spilling must stay the exception, and distance is no
-//! reason for it; without it a burst that fills the replicas would queue beside idle slots.
+//! Members are ranked by least expected time: link, plus service time, plus the wait for a slot.
+//! Thresholds: the primary takes a read that a replica may serve only if the wait for a slot of the
+//! best replica takes more than [`SPILL_WAIT_FACTOR`] service times and the primary has a free slot
+//! and is expected to respond sooner. The share of reads on replicas is the primary goal, so such
+//! spilling has to stay the exception, and distance is no reason for it; without spilling, a burst
+//! that fills the replicas would queue while slots of the primary are idle.
 
 use super::demand::{MemberHealth, MemberView, ReadDemand, ReadRoute, RouteChoice, RouteReason};
 use rand::{Rng, RngExt};
@@ -20,25 +21,25 @@
 /// read that the replica may serve.
 const SPILL_WAIT_FACTOR: f64 = 2.0;
 
-/// Slots of the primary that reads spilled from replicas leave free.
+/// Number of the primary's slots that spilled reads leave free.
 const SPILL_SLOT_RESERVE: u32 = 1;
 
-/// Expected times that differ by less than this share count as equal. A member in the same failure
-/// domain then goes first, which spares the costly links, and among the rest chance decides:
+/// Expected times within this fraction of the least one count as equal. Members in the same failure
+/// domain are then preferred, to save the costly links, and the choice among the rest is random:
 /// instances with the same view would otherwise all choose the same member.
 const TIE_FRACTION: f64 = 0.1;
 
-/// Shortest wait for a replica to catch up: below it, asking again costs more than it brings.
+/// Minimum wait for a replica to catch up: choosing again sooner costs more than it gains.
 const CATCH_UP_MIN: Duration = Duration::from_millis(1);
 
-/// Why a replica cannot answer now.
+/// Reason why a replica cannot serve a read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadObstacle {
     Floor,
     Age,
 }
 
-/// Chooses the member for a read. Holds no state: everything learned comes in with the views.
+/// Chooses the member for a read. It holds no state; all measurements are part of the views.
 ///
 /// ```
 /// use rand::SeedableRng;
@@ -60,9 +61,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadRouter;
 
-/// The rule by which reads find their member. Baselines go through the same border.
+/// Interface of routing policies, which baseline policies implement as well.
 pub trait ReadPolicy: Send + Sync {
-    /// Chooses where a read goes; the views may be out of date.
+    /// Chooses the route of a read; the views may be out of date.
     fn choose(&self, demand: &ReadDemand, members: &[MemberView], rng: &mut dyn Rng)
     -> RouteChoice;
 }
@@ -79,7 +80,7 @@
 }
 
 impl ReadRouter {
-    /// A router.
+    /// Creates a router.
     ///
     /// ```
     /// let _router = rudder_decisions::ReadRouter::new();
@@ -89,10 +90,10 @@
         Self
     }
 
-    /// Chooses where a read goes.
+    /// Chooses the route of a read.
     ///
-    /// The views may be out of date: whether the answer may be used is decided from what the
-    /// member says along with it.
+    /// The views may be out of date: the stamp that the member returns with its response decides
+    /// whether the response is used.
     ///
     /// ```
     /// use rand::SeedableRng;
@@ -126,7 +127,7 @@
     }
 }
 
-/// The choice among the members of one health, or `None` if none of them may serve.
+/// Returns the route among the members of one health, or `None` if none of them may serve.
 fn choose_among(
     demand: &ReadDemand,
     members: &[MemberView],
@@ -162,7 +163,7 @@
     primary.map(|index| RouteChoice { route: ReadRoute::Primary(index), reason })
 }
 
-/// The fresh replica with the least expected time, or the primary if they are all too busy.
+/// Chooses the fresh replica with the least expected time, or the primary if all are too busy.
 fn choose_fresh(
     demand: &ReadDemand,
     members: &[MemberView],
@@ -184,7 +185,7 @@
     RouteChoice { route: ReadRoute::Replica(best), reason }
 }
 
-/// The replica that will have caught up soonest, if that is within the allowed wait.
+/// Chooses the replica that is expected to catch up first, if that is within the permitted wait.
 fn choose_catching_up(
     demand: &ReadDemand,
     members: &[MemberView],
@@ -203,7 +204,8 @@
     })
 }
 
-/// Why `member` cannot answer now, if it cannot. Age comes first: waiting does not mend it.
+/// Returns the reason why `member` cannot serve the read now. Age is checked first, as waiting does
+/// not remove it.
 fn obstacle(demand: &ReadDemand, member: &MemberView) -> Option<ReadObstacle> {
     if member.age.is_none_or(|age| age > demand.bound) {
         return Some(ReadObstacle::Age);
@@ -214,7 +216,7 @@
     None
 }
 
-/// Leaves each candidate out with the probability that its weight lacks, but never all of them.
+/// Drops each candidate with a probability of one minus its weight, but keeps at least one.
 fn sample_by_weight(members: &[MemberView], fresh: &[usize], rng: &mut dyn Rng) -> Vec<usize> {
     let sampled: Vec<usize> = fresh
         .iter()
@@ -231,7 +233,8 @@
     heaviest.into_iter().collect()
 }
 
-/// The candidate with the least expected time; of near ties one in the same failure domain.
+/// Chooses the candidate with the least expected time; among near ties one in the same failure
+/// domain.
 fn least_time(
     demand: &ReadDemand,
     members: &[MemberView],
@@ -249,28 +252,28 @@
     ties[rng.random_range(0..ties.len())]
 }
 
-/// Statements that the member is taken to have in flight from all instances.
+/// Returns the estimated number of statements that the member has in flight from all instances.
 ///
-/// An instance sees only its own requests. It takes the others to load the member as it does
-/// itself, so that the choice reacts before its own share alone fills the member.
+/// An instance sees only its own requests. It assumes that every other instance loads the member as
+/// much, so that the choice reacts before its own requests alone fill the member.
 fn estimated_load(member: &MemberView) -> u32 {
     member.in_flight.saturating_mul(member.sharers.max(1))
 }
 
-/// Link, service, and the wait for a slot if all are taken, in seconds.
+/// Returns the sum of link, service time and wait for a slot, in seconds.
 fn expected_time_s(member: &MemberView) -> f64 {
     member.link.as_secs_f64() + member.service.as_secs_f64() * (1.0 + expected_waits(member))
 }
 
-/// The expected wait for a slot, in service times.
+/// Returns the expected wait for a slot, in service times.
 fn expected_waits(member: &MemberView) -> f64 {
     let slots = member.slots.max(1);
     let ahead = estimated_load(member).saturating_add(1).saturating_sub(slots);
     f64::from(ahead) / f64::from(slots)
 }
 
-/// Whether the primary should take a read that `replica` may serve: only for a queue there, not for
-/// distance or slow hardware.
+/// Whether the primary should take a read that `replica` may serve: only because of the replica's
+/// queue, not because of distance or slow hardware.
 fn should_spill(primary: &MemberView, replica: &MemberView) -> bool {
     let has_room = estimated_load(primary).saturating_add(SPILL_SLOT_RESERVE) < primary.slots;
     let queues = expected_waits(replica) > SPILL_WAIT_FACTOR;
--- a/crates/rudder-decisions/src/share.rs
+++ b/crates/rudder-decisions/src/share.rs
@@ -1,39 +1,40 @@
-//! How an endpoint's connections are divided among the instances, whose number changes.
+//! Division of an endpoint's connections among a changing number of instances.
 //!
 //! Load pattern: 3 to 5 slots and 30 to 40 connections per endpoint for all instances together.
-//! Without a division the instance that comes first takes the connections, the last ones find
-//! none, and after a failover nobody can reach the new primary to make room. Without shrinking
-//! before growing, the shares add up to more than the whole while instances learn of a change at
+//! Without a division the first instances take all connections and the last ones get none, and
+//! after a failover no instance can reach the new primary to free connections. Unless shares shrink
+//! before others grow, they add up to more than the total while instances learn of a change at
 //! different times, and the endpoint refuses connections.
 //!
-//! Thresholds: [`RESERVED_CONNECTIONS`] connections stay out of the division, for control statements of the
-//! keepers; a greater share counts only after [`GROW_DELAY`], which is longer than the few seconds
-//! that the lagging list of instances takes to reach all of them.
+//! Thresholds: [`RESERVED_CONNECTIONS`] connections are excluded from the division, for control
+//! statements of the keepers (the instances that monitor a group); a greater share applies only
+//! after [`GROW_DELAY`], which is longer than the few seconds that a change of the instance list
+//! takes to reach all instances.
 
 use rudder_core::{ConnectionCount, InstanceName, ServiceName};
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Connections kept for control statements: one for each of three keepers.
+/// Connections reserved for control statements: one for each of three keepers.
 const RESERVED_CONNECTIONS: u32 = 3;
 
-/// The least that a holder needs: one for reads, one for writes, and one to spare.
+/// Minimum number of connections of a holder: one for reads, one for writes, and one spare.
 const HOLDER_CONNECTIONS_MIN: u32 = 3;
 
-/// How long a greater share waits before it counts.
+/// Delay before a greater share applies.
 const GROW_DELAY: Duration = Duration::from_secs(8);
 
-/// Connections that every holder gets, whatever its demand, so that none has to wait for the others
-/// to shrink before it can serve its first caller.
+/// Connections that every holder gets regardless of its demand, so that none has to wait until the
+/// others shrink before it can serve its first caller.
 const GUARANTEED_CONNECTIONS: u32 = 1;
 
-/// The part of the holders' demand that one of them has, in thousandths.
+/// Part of the demand of all holders that one holder has, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DemandPart(u32);
 
 impl DemandPart {
-    /// The part that `own` is of `total`, both in any one unit; even among `holders` if nobody has
-    /// any demand.
+    /// Returns the part of `own` in `total`, both in the same unit; an even part among `holders` if
+    /// there is no demand.
     ///
     /// ```
     /// use rudder_decisions::DemandPart;
@@ -49,7 +50,7 @@
         Self(u32::try_from(permille.min(1000)).unwrap_or(1000))
     }
 
-    /// The part in thousandths.
+    /// Returns the part in thousandths.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::DemandPart::of(1, 2, 2).permille(), 500);
@@ -60,7 +61,7 @@
     }
 }
 
-/// The share of one endpoint's connections that this instance may hold.
+/// Share of one endpoint's connections that this instance may hold.
 ///
 /// ```
 /// use rudder_core::ConnectionCount;
@@ -84,8 +85,9 @@
 }
 
 impl SlotShare {
-    /// The even share of one of `holders` instances in an endpoint's connections. Counts at once: an
-    /// instance that starts is part of the list by which the others shrank, or will refuse itself.
+    /// Creates the even share of one of `holders` instances in an endpoint's connections. It
+    /// applies at once: a new instance is in the list by which the others shrank their shares,
+    /// or itself refuses requests.
     ///
     /// See the example of [`SlotShare`].
     #[must_use]
@@ -94,8 +96,8 @@
         Self { connections, current: share, next: share, changed: now }
     }
 
-    /// Takes over a changed number of holders, or a changed part of their demand. A smaller share
-    /// counts at once.
+    /// Sets a changed number of holders or a changed part of their demand. A smaller share applies
+    /// at once.
     ///
     /// See the example of [`SlotShare`].
     pub fn set_holders(&mut self, holders: u32, part: DemandPart, now: Instant) {
@@ -108,7 +110,7 @@
         self.current = self.current.min(next);
     }
 
-    /// How many connections this instance may hold now.
+    /// Returns the number of connections that this instance may hold now.
     ///
     /// See the example of [`SlotShare`].
     #[must_use]
@@ -117,8 +119,8 @@
     }
 }
 
-/// How many instances may hold connections to an endpoint, so that each has at least
-/// three. Others forward their requests to a holder.
+/// Returns how many instances may hold connections to an endpoint, so that each has at least three.
+/// Other instances forward their requests to a holder.
 ///
 /// ```
 /// use rudder_core::ConnectionCount;
@@ -130,9 +132,10 @@
     holders.max(1) as usize
 }
 
-/// The instances that hold connections to the members of `service`, the preferred one first: at most
-/// `holders_max` of the live `instances`, by rendezvous hashing, so that a lost instance moves only
-/// what it held. They are the same for all members, so that one instance can choose among these.
+/// Returns the instances that hold connections to the members of `service`, in order of preference:
+/// at most `holders_max` of the live `instances`, by rendezvous hashing, so that the loss of an
+/// instance moves only the connections that it held. All members of a service have the same
+/// holders, so that one instance can choose among the members.
 ///
 /// ```
 /// use rudder_decisions::holders_of;
@@ -153,7 +156,8 @@
     ranked.into_iter().take(holders_max).map(|(_, instance)| instance.clone()).collect()
 }
 
-/// The guarantee, and the demand's part of what is neither reserved nor guaranteed.
+/// Returns the guaranteed connections plus the demand's part of those neither reserved nor
+/// guaranteed.
 fn share_of(connections: ConnectionCount, holders: u32, part: DemandPart) -> u32 {
     let pool =
         connections.0.saturating_sub(RESERVED_CONNECTIONS + GUARANTEED_CONNECTIONS * holders);
--- a/crates/rudder-decisions/src/standing.rs
+++ b/crates/rudder-decisions/src/standing.rs
@@ -1,18 +1,19 @@
-//! Which member a read is offered first, where answers are checked in band.
+//! Order in which members are tried for a read whose response itself shows whether it is fresh
+//! enough.
 //!
-//! Load pattern: three copies of the data, one beside each instance, of which one or two trail for
-//! seconds, are full, or are gone. A member that is chosen in vain costs a round trip and a place in
-//! its queue, for each of hundreds of reads a second; one that is farther away than need be costs
-//! bytes between domains. Without an order all reads of a domain go to the near member while it
-//! trails, and every one of them is asked twice.
+//! Load pattern: three copies of the data, one beside each instance, of which one or two lag for
+//! seconds, are full, or have failed. A member that cannot serve the read costs a round trip and a
+//! place in its queue, for each of hundreds of reads per second; a member that is farther away than
+//! necessary costs bytes between domains. Without an order, all reads of a domain go to the near
+//! member while it lags, and each of them is sent twice.
 //!
-//! There are no thresholds here: what makes a member doubtful and for how long is the caller's to
-//! say. The order is of certainty: what cannot answer at all, what will say that it lacks the
-//! position, what failed lately, what would make the read wait, and only then the distance.
+//! There are no thresholds here: the caller decides what makes a member doubtful and for how long.
+//! The order is by certainty: members that cannot be reached, members that lack the position,
+//! members that failed recently, members that would make the read wait, and only then the distance.
 
 use crate::place::PlaceDistance;
 
-/// How a member stands for one read; the least is tried first.
+/// Rank of a member for one read; the member with the least rank is tried first.
 ///
 /// ```
 /// use rudder_decisions::{PlaceDistance, ReadStanding};
@@ -30,15 +31,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadStanding {
-    /// It could not be reached a moment ago.
+    /// Whether the member was unreachable at a recent attempt.
     pub unreachable: bool,
-    /// It was seen a moment ago without the position that the read needs.
+    /// Whether the member recently lacked the position that the read needs.
     pub behind: bool,
-    /// It failed a read lately.
+    /// Whether the member failed a read recently.
     pub doubtful: bool,
-    /// No connection to it is free.
+    /// Whether no connection to the member is free.
     pub full: bool,
-    /// How far away it is.
+    /// Distance to the member.
     pub distance: PlaceDistance,
 }
 
--- a/crates/rudder-decisions/src/wait_queue.rs
+++ b/crates/rudder-decisions/src/wait_queue.rs
@@ -1,13 +1,13 @@
-//! Who gets the next connection that comes free.
+//! Priority queue of the callers that wait for a connection.
 //!
-//! Load pattern: a burst of reads that may wait for seconds, and among them orders whose callers wait
-//! for an answer. Served in the order of their arrival, an order stands behind hundreds of reads;
-//! served by priority alone, equal ones overtake each other and the first to come may wait for ever.
+//! Load pattern: a burst of reads that may wait for seconds, mixed with orders whose callers wait
+//! for the response. Served in order of arrival, an order waits behind hundreds of reads; served by
+//! priority alone, requests of equal priority overtake each other and the oldest may starve.
 //!
-//! So it goes by priority, and among equals by turn. There is no bound on the length: each waiter
-//! has a time of its own after which it gives up, and those who gave up are passed over.
+//! The queue is therefore ordered by priority, and by arrival among equal priorities. Its length
+//! has no bound: each waiter has its own timeout, and waiters that timed out are skipped.
 
-/// What a connection is waited for.
+/// Kind of work that waits for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitingWork {
     /// One statement that only the primary may run.
@@ -16,16 +16,17 @@
     StrictTransaction,
     /// One read that other members may serve as well.
     Read,
-    /// A transaction of such reads.
+    /// A read-only transaction that other members may serve as well.
     ReadTransaction,
 }
 
 impl WaitingWork {
-    /// Where the work stands in a queue, by its route's priority first; the least is served first.
+    /// Returns the rank of the work in a queue, ordered by the priority of its route first; the
+    /// lowest rank is served first.
     ///
-    /// A transaction holds its connection over its caller's pauses, for as long as dozens of single
-    /// statements take: those go first, which costs it little. Reads go last, as they wait in other
-    /// queues, too.
+    /// A transaction holds its connection while its caller is idle, as long as dozens of single
+    /// statements do. Single statements go first, which delays a transaction only a little. Reads
+    /// go last, as they also wait in the queues of other members.
     ///
     /// ```
     /// use rudder_decisions::WaitingWork;
@@ -46,7 +47,7 @@
     }
 }
 
-/// One who waits.
+/// A waiter and its position in the queue.
 #[derive(Clone, Debug)]
 struct QueueWaiter<T> {
     priority: u8,
@@ -54,7 +55,7 @@
     waiter: T,
 }
 
-/// Those who wait for one thing, the next one first.
+/// Waiters for one resource, in the order in which they are served.
 #[derive(Clone, Debug)]
 pub struct WaitQueue<T> {
     waiters: Vec<QueueWaiter<T>>,
@@ -68,7 +69,7 @@
 }
 
 impl<T> WaitQueue<T> {
-    /// Adds one who waits, and returns its turn; priority 0 is served first.
+    /// Adds a waiter and returns its sequence number; priority 0 is served first.
     ///
     /// ```
     /// use rudder_decisions::WaitQueue;
@@ -86,7 +87,8 @@
         sequence
     }
 
-    /// Adds one who waited before, at its old turn: what it was given turned out to be of no use.
+    /// Adds a waiter again with its previous sequence number, because the resource that it got was
+    /// unusable.
     ///
     /// ```
     /// use rudder_decisions::WaitQueue;
@@ -104,7 +106,7 @@
         self.waiters.insert(index, QueueWaiter { priority, sequence, waiter });
     }
 
-    /// Takes out the one who is next.
+    /// Removes and returns the first waiter.
     ///
     /// ```
     /// let mut queue: rudder_decisions::WaitQueue<&str> = rudder_decisions::WaitQueue::default();
@@ -115,7 +117,7 @@
         (!self.waiters.is_empty()).then(|| self.waiters.remove(0).waiter)
     }
 
-    /// Takes out the first one who may be served now.
+    /// Removes and returns the first waiter that may be served now.
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
@@ -129,7 +131,7 @@
         Some(self.waiters.remove(index).waiter)
     }
 
-    /// Keeps only those who still wait.
+    /// Removes the waiters for which `still_waits` returns false.
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
@@ -142,7 +144,7 @@
         self.waiters.retain(|entry| still_waits(&entry.waiter));
     }
 
-    /// How many wait, those who gave up included.
+    /// Returns the number of waiters, including those that timed out.
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
@@ -154,7 +156,7 @@
         self.waiters.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     ///
     /// ```
     /// assert!(rudder_decisions::WaitQueue::<u8>::default().is_empty());
--- a/crates/rudder-decisions/src/work.rs
+++ b/crates/rudder-decisions/src/work.rs
@@ -1,11 +1,13 @@
 //! Classes and sizes of work, and the estimate of a statement's size from its fingerprint.
 //!
-//! Load pattern: long work among short (a batch of condition maps among page claims). Without it a
-//! few reports fill every slot of a member, and each short statement waits for the longest of them.
-//! Thresholds: work counts as long from [`LONG_FACTOR`] times the typical time upwards. Smaller
-//! differences come from hardware (old members run at 0.4 of the speed of new ones). Each run is
-//! compared with what was typical at that moment: in an overload everything takes longer, and no
-//! statement must count as long for that, or the cap on long work would make the overload worse.
+//! Load pattern: long statements among short ones (a batch of reports among page requests). Without
+//! a distinction a few reports occupy every slot of a member, and each short statement waits for
+//! the longest of them.
+//!
+//! Thresholds: work counts as long from [`LONG_FACTOR`] times the typical time. Smaller differences
+//! come from hardware (old members run at 0.4 of the speed of new ones). Each run is compared with
+//! the typical time at that moment: all statements take longer in an overload, and if they counted
+//! as long for that reason, the limit on long work would make the overload worse.
 
 use crate::average::MovingAverage;
 use std::fmt;
@@ -14,23 +16,23 @@
 /// Multiple of the typical service time from which work counts as long.
 const LONG_FACTOR: f64 = 8.0;
 
-/// Work shorter than this is never long, however fast the typical statement is.
+/// Minimum service time of long work, however short the typical statement is.
 const LONG_MIN: Duration = Duration::from_millis(40);
 
-/// Weight of one more run in a fingerprint's estimate: about the last ten runs count.
+/// Weight of a new sample in a fingerprint's estimate: an average over about the last ten runs.
 const FINGERPRINT_GAIN: f64 = 0.2;
 
-/// Weight of one more run in the typical time: about the last twenty runs count, so that it follows
-/// an overload as fast as the runs that are compared with it.
+/// Weight of a new sample in the typical time: an average over about the last twenty runs, so that
+/// it follows an overload as fast as the runs that are compared with it.
 const TYPICAL_GAIN: f64 = 0.05;
 
-/// The least time reckoned with, in seconds.
+/// Lower bound of a run's time in seconds; its logarithm has to be finite.
 const RUN_TIME_MIN_S: f64 = 1e-6;
 
-/// Fingerprints remembered; the one unused for longest makes room.
+/// Maximum number of fingerprints kept; the least recently used one is evicted.
 const FINGERPRINTS_MAX: usize = 2048;
 
-/// Whether a statement changes data.
+/// Whether a statement may change data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WorkClass {
     /// Reads only.
@@ -51,7 +53,7 @@
 /// Whether a statement is expected to hold its slot much longer than the typical one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WorkSize {
-    /// Of the typical size, or not known.
+    /// Of the typical size, or unknown.
     #[default]
     Short,
     /// Much longer than the typical statement.
@@ -67,17 +69,17 @@
     }
 }
 
-/// What is remembered of one fingerprint.
+/// Estimates for one fingerprint.
 #[derive(Clone, Debug)]
 struct FingerprintRecord {
     fingerprint: u64,
     service: MovingAverage,
-    /// Mean of the logarithm of each run's time relative to the typical time before it.
+    /// Mean of the logarithm of each run's time relative to the typical time before that run.
     relative_ln: Option<f64>,
     last_use: u64,
 }
 
-/// Learns how long statements take, by the fingerprint of their text without its constants.
+/// Estimates the duration of statements by the fingerprint of their text without constants.
 ///
 /// ```
 /// use rudder_decisions::{WorkEstimate, WorkSize};
@@ -98,7 +100,7 @@
 }
 
 impl WorkEstimate {
-    /// An estimate that knows nothing: all work is short.
+    /// Creates an estimate without samples, which takes all work for short.
     ///
     /// ```
     /// use rudder_decisions::{WorkEstimate, WorkSize};
@@ -109,7 +111,7 @@
         Self { records: Vec::new(), typical_ln_s: None, use_count: 0 }
     }
 
-    /// Takes in how long one run of `fingerprint` held its slot.
+    /// Records the time for which one run of `fingerprint` held its slot.
     ///
     /// ```
     /// use std::time::Duration;
@@ -128,12 +130,13 @@
         record.relative_ln =
             Some(updated_average(record.relative_ln, relative_ln, FINGERPRINT_GAIN));
         record.last_use = last_use;
-        // The typical time is a geometric mean: a few very long runs would drag an arithmetic
-        // mean up until nothing counted as long any more.
+        // The typical time is a geometric mean: a few very long runs would raise an arithmetic mean
+        // until no statement counted as long.
         self.typical_ln_s = Some(updated_average(self.typical_ln_s, held_ln_s, TYPICAL_GAIN));
     }
 
-    /// The expected time of `fingerprint` at its slot, or `None` if it has not been seen.
+    /// Returns the expected time for which `fingerprint` holds its slot, or `None` if it is
+    /// unknown.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::WorkEstimate::new().expected(7), None);
@@ -144,7 +147,7 @@
         self.records[index].service.value()
     }
 
-    /// The time of a typical statement, or `None` before the first run.
+    /// Returns the time of a typical statement, or `None` before the first run.
     ///
     /// ```
     /// assert_eq!(rudder_decisions::WorkEstimate::new().typical(), None);
@@ -154,7 +157,7 @@
         self.typical_ln_s.map(|typical| Duration::from_secs_f64(typical.exp()))
     }
 
-    /// The size of `fingerprint`; short while nothing is known of it.
+    /// Returns the size of `fingerprint`; short if it is unknown.
     ///
     /// ```
     /// use rudder_decisions::WorkSize;
@@ -203,7 +206,7 @@
     }
 }
 
-/// A moving average after one more sample.
+/// Returns an exponential moving average after one more sample.
 fn updated_average(average: Option<f64>, sample: f64, gain: f64) -> f64 {
     average.map_or(sample, |average| average + gain * (sample - average))
 }
