--- a/crates/rudder-decisions/examples/costs.rs
+++ b/crates/rudder-decisions/examples/costs.rs
@@ -19,13 +19,16 @@
 
 fn main() {
     for lanes in [9, 37, 2340] {
-        report(&format!("offer and release, {lanes} lanes"), admission(lanes));
+        print_cost(&format!("offer and release, {lanes} lanes"), time_admission(lanes));
     }
     for members in [3, 5] {
-        report(&format!("choose among {members} members"), routing(members));
+        print_cost(&format!("choose among {members} members"), time_routing(members));
     }
     for fingerprints in [16, 2048] {
-        report(&format!("estimate among {fingerprints} fingerprints"), estimate(fingerprints));
+        print_cost(
+            &format!("estimate among {fingerprints} fingerprints"),
+            time_estimate(fingerprints),
+        );
     }
     let sizes = [
         ("MemberMeter", size_of::<MemberMeter>()),
@@ -38,7 +41,7 @@
     }
 }
 
-fn report(name: &str, elapsed: Duration) {
+fn print_cost(name: &str, elapsed: Duration) {
     let each_ns = elapsed.as_nanos() / u128::from(ROUNDS);
     println!("{}", json!({"step": name, "ns_each": each_ns}));
 }
@@ -50,7 +53,7 @@
     }
 }
 
-fn admission(lanes: usize) -> Duration {
+fn time_admission(lanes: usize) -> Duration {
     let rng = &mut StdRng::seed_from_u64(1);
     let now = Instant::now();
     let mut gate = AdmissionGate::new();
@@ -74,15 +77,15 @@
         .collect();
     let start = Instant::now();
     for round in 0..ROUNDS as usize {
-        let verdict = gate.offer(&requests[round * 7 % lanes], now, rng);
-        if let AdmissionVerdict::Run(ticket) = verdict {
+        let decision = gate.offer(&requests[round * 7 % lanes], now, rng);
+        if let AdmissionVerdict::Run(ticket) = decision {
             black_box(gate.release(ticket, now, rng));
         }
     }
     start.elapsed()
 }
 
-fn routing(members: usize) -> Duration {
+fn time_routing(members: usize) -> Duration {
     let rng = &mut StdRng::seed_from_u64(1);
     let view = |index: usize| MemberView {
         name: format!("member-{index}").parse().expect("a valid name"),
@@ -114,7 +117,7 @@
     start.elapsed()
 }
 
-fn estimate(fingerprints: u64) -> Duration {
+fn time_estimate(fingerprints: u64) -> Duration {
     let mut estimate = WorkEstimate::new();
     let start = Instant::now();
     for round in 0..u64::from(ROUNDS) {
--- a/crates/rudder-decisions/examples/trials/adaptive.rs
+++ b/crates/rudder-decisions/examples/trials/adaptive.rs
@@ -21,11 +21,17 @@
 }
 
 impl AdaptiveLimit {
-    /// A limit that starts at the member's slots.
-    pub(crate) fn new(slots: u32, guess: Duration) -> Self {
+    /// Creates a limit that starts at the member's slots.
+    pub(crate) fn new(slots: u32, initial_service_time: Duration) -> Self {
         let slots = f64::from(slots);
-        let guess_s = guess.as_secs_f64();
-        Self { slots, limit: slots, recent_s: guess_s, baseline_s: guess_s, until_decrease: 0 }
+        let initial_service_time_s = initial_service_time.as_secs_f64();
+        Self {
+            slots,
+            limit: slots,
+            recent_s: initial_service_time_s,
+            baseline_s: initial_service_time_s,
+            until_decrease: 0,
+        }
     }
 
     /// The limit now.
--- a/crates/rudder-decisions/examples/trials/arrivals.rs
+++ b/crates/rudder-decisions/examples/trials/arrivals.rs
@@ -14,9 +14,9 @@
 pub(crate) struct ArrivalPattern {
     /// Requests per second of all instances together.
     pub(crate) rate: f64,
-    /// How long they arrive.
-    pub(crate) length: Duration,
-    /// Instances among which they fall.
+    /// Duration of the arrivals.
+    pub(crate) duration: Duration,
+    /// Number of instances that receive requests.
     pub(crate) instances: usize,
     /// Callers among whom they fall.
     pub(crate) callers: u64,
@@ -26,22 +26,23 @@
     pub(crate) session_share: f64,
     /// The rate is this many times higher in the first fifth of each second, and lower otherwise.
     pub(crate) burst: f64,
-    /// How long a caller waits for its answer.
-    pub(crate) patience: Duration,
+    /// Time after which a caller no longer waits for its response.
+    pub(crate) timeout: Duration,
 }
 
 impl ArrivalPattern {
-    /// Steady reads of a hundred patient callers.
-    pub(crate) fn steady(rate: f64, length: Duration, instances: usize) -> Self {
+    /// Creates a pattern of reads at a constant rate, from a hundred callers with a timeout of one
+    /// minute.
+    pub(crate) fn steady(rate: f64, duration: Duration, instances: usize) -> Self {
         Self {
             rate,
-            length,
+            duration,
             instances,
             callers: 100,
             write_share: 0.0,
             session_share: 0.0,
             burst: 1.0,
-            patience: Duration::from_secs(60),
+            timeout: Duration::from_secs(60),
         }
     }
 
@@ -49,7 +50,7 @@
     pub(crate) fn draw(&self, rng: &mut StdRng) -> Vec<Request> {
         let mut requests = Vec::new();
         let mut now_s = 0.0;
-        while now_s < self.length.as_secs_f64() {
+        while now_s < self.duration.as_secs_f64() {
             now_s += exponential(1.0 / self.rate_at(now_s), rng);
             requests.push(self.request(Duration::from_secs_f64(now_s), rng));
         }
@@ -74,7 +75,7 @@
             class: if writes { WorkClass::Write } else { WorkClass::Read },
             service: Duration::from_secs_f64(exponential(SERVICE_MEAN.as_secs_f64(), rng)),
             fingerprint: u64::from(writes),
-            patience: self.patience,
+            timeout: self.timeout,
             queue_wait: None,
             floor: session.then_some(at),
         }
--- a/crates/rudder-decisions/examples/trials/baseline.rs
+++ b/crates/rudder-decisions/examples/trials/baseline.rs
@@ -23,7 +23,7 @@
 }
 
 impl LoadPolicy for RoundRobinPolicy {
-    fn arrive(
+    fn on_request(
         &mut self,
         id: usize,
         request: &Request,
@@ -37,7 +37,7 @@
         vec![Action::Send(id, self.next % self.members)]
     }
 
-    fn answer(
+    fn on_response(
         &mut self,
         _id: usize,
         _member: usize,
@@ -48,11 +48,11 @@
         Vec::new()
     }
 
-    fn wake_at(&self) -> Option<Instant> {
+    fn next_wake(&self) -> Option<Instant> {
         None
     }
 
-    fn wake(&mut self, _time: Instant, _rng: &mut StdRng) -> Vec<Action> {
+    fn on_wake(&mut self, _time: Instant, _rng: &mut StdRng) -> Vec<Action> {
         Vec::new()
     }
 }
@@ -131,12 +131,13 @@
 /// The paper's threshold for a slot of the member at `index`.
 fn threshold(members: &[MemberSpec], readers: &[usize], index: usize) -> f64 {
     let own = members[index].speed;
-    let faster = readers.iter().map(|&other| &members[other]).filter(|other| other.speed > own);
-    faster.map(|other| f64::from(other.slots) * (other.speed / own - 1.0)).sum()
+    let faster_members =
+        readers.iter().map(|&other| &members[other]).filter(|other| other.speed > own);
+    faster_members.map(|other| f64::from(other.slots) * (other.speed / own - 1.0)).sum()
 }
 
 impl LoadPolicy for SharedQueuePolicy {
-    fn arrive(
+    fn on_request(
         &mut self,
         id: usize,
         request: &Request,
@@ -151,7 +152,7 @@
         self.dispatch()
     }
 
-    fn answer(
+    fn on_response(
         &mut self,
         _id: usize,
         member: usize,
@@ -163,11 +164,11 @@
         self.dispatch()
     }
 
-    fn wake_at(&self) -> Option<Instant> {
+    fn next_wake(&self) -> Option<Instant> {
         None
     }
 
-    fn wake(&mut self, _time: Instant, _rng: &mut StdRng) -> Vec<Action> {
+    fn on_wake(&mut self, _time: Instant, _rng: &mut StdRng) -> Vec<Action> {
         Vec::new()
     }
 }
--- a/crates/rudder-decisions/examples/trials/current.rs
+++ b/crates/rudder-decisions/examples/trials/current.rs
@@ -40,15 +40,15 @@
     pub(crate) limit: LimitRule,
     /// Whether speeds are known from the start; otherwise all members are first taken for equal.
     pub(crate) speeds_known: bool,
-    /// Whether long work is told from short.
-    pub(crate) sized: bool,
-    /// Whether reads and writes leave each other a slot.
-    pub(crate) reserved: bool,
-    /// Whether the router counts the other instances' requests.
+    /// Whether long statements are distinguished from short ones.
+    pub(crate) sizes_estimated: bool,
+    /// Whether the primary reserves slots for reads and for writes.
+    pub(crate) slots_reserved: bool,
+    /// Whether the router takes the requests of other instances into account.
     pub(crate) sharers_known: bool,
-    /// Whether outliers are tracked.
-    pub(crate) outliers: bool,
-    /// The member that has just come back, if its load is raised by a ramp.
+    /// Whether failing members get less work.
+    pub(crate) outliers_tracked: bool,
+    /// Member whose load is raised gradually, as after a restart.
     pub(crate) ramp: Option<usize>,
     /// Requests of one kind that may run or wait.
     pub(crate) in_flight_max: u32,
@@ -65,10 +65,10 @@
         Self {
             limit: LimitRule::Window,
             speeds_known: false,
-            sized: true,
-            reserved: true,
+            sizes_estimated: true,
+            slots_reserved: true,
             sharers_known: true,
-            outliers: true,
+            outliers_tracked: true,
             ramp: None,
             in_flight_max: 100_000,
             queue_wait: Duration::from_secs(60),
@@ -78,7 +78,8 @@
     }
 }
 
-struct SentTicket {
+/// Running or waiting ticket.
+struct OpenTicket {
     ticket: TicketId,
     id: usize,
     member: usize,
@@ -97,9 +98,11 @@
     tracker: OutlierTracker,
     estimate: WorkEstimate,
     ramp: RampSchedule,
-    sent: Vec<SentTicket>,
+    open_tickets: Vec<OpenTicket>,
+    /// Request indexes and fingerprints.
     fingerprints: Vec<(usize, u64)>,
-    waits: Vec<(Instant, usize, Request)>,
+    /// Reads that wait for a replica to catch up, with the time of the next attempt.
+    delayed_reads: Vec<(Instant, usize, Request)>,
 }
 
 impl CurrentPolicy {
@@ -109,15 +112,15 @@
         members: &[MemberSpec],
         instance: usize,
         origin: Instant,
-        guess: Duration,
+        initial_service_time: Duration,
     ) -> Self {
         let lane_of = |index| LaneKey {
             service: "service".parse().expect("a valid name"),
             member: format!("member-{index}").parse().expect("a valid name"),
         };
         let meter_of = |member: &MemberSpec| {
-            let known = if settings.speeds_known { member.speed } else { 1.0 };
-            MemberMeter::new(member.slots, guess.div_f64(known))
+            let speed = if settings.speeds_known { member.speed } else { 1.0 };
+            MemberMeter::new(member.slots, initial_service_time.div_f64(speed))
         };
         Self {
             settings,
@@ -125,7 +128,7 @@
             meters: members.iter().map(meter_of).collect(),
             adaptive: members
                 .iter()
-                .map(|member| AdaptiveLimit::new(member.slots, guess))
+                .map(|member| AdaptiveLimit::new(member.slots, initial_service_time))
                 .collect(),
             members: members.to_vec(),
             instance,
@@ -134,9 +137,9 @@
             tracker: OutlierTracker::new(origin),
             estimate: WorkEstimate::new(),
             ramp: RampSchedule::new(origin),
-            sent: Vec::new(),
+            open_tickets: Vec::new(),
             fingerprints: Vec::new(),
-            waits: Vec::new(),
+            delayed_reads: Vec::new(),
         }
     }
 
@@ -149,25 +152,29 @@
             LimitRule::Fixed(limit) => limit,
             LimitRule::Adaptive => self.adaptive[member].limit(),
             LimitRule::Window => window,
-            LimitRule::WindowEven => window.min(self.share(1000 / self.instances())),
-            LimitRule::WindowByDemand(first) => {
-                let rest = (1000 - first) / (self.instances() - 1);
-                window.min(self.share(if self.instance == 0 { first } else { rest }))
+            LimitRule::WindowEven => window.min(self.settled_share(1000 / self.instances())),
+            LimitRule::WindowByDemand(first_permille) => {
+                let rest_permille = (1000 - first_permille) / (self.instances() - 1);
+                window.min(self.settled_share(if self.instance == 0 {
+                    first_permille
+                } else {
+                    rest_permille
+                }))
             }
         }
     }
 
     fn instances(&self) -> u32 {
-        u32::try_from(self.members[0].links.len()).expect("few instances")
+        u32::try_from(self.members[0].links.len()).expect("the number of instances fits into u32")
     }
 
-    /// Connections of this instance once the shares have settled.
-    fn share(&self, permille: u32) -> u32 {
-        let settled = self.origin + Duration::from_secs(10);
+    /// Returns this instance's connections once its share has taken effect.
+    fn settled_share(&self, permille: u32) -> u32 {
+        let settled_at = self.origin + Duration::from_secs(10);
         let mut share = SlotShare::new(CONNECTIONS, self.instances(), self.origin);
         let part = DemandPart::of(permille, 1000, self.instances());
         share.set_holders(self.instances(), part, self.origin);
-        share.current(settled)
+        share.current(settled_at)
     }
 
     fn set_lanes(&mut self, now: Instant) {
@@ -175,17 +182,24 @@
             let limits = LaneLimits {
                 slots: self.limit(member, now),
                 queue_max: self.settings.queue_max,
-                mixed: self.settings.reserved && self.members[member].primary,
+                mixed: self.settings.slots_reserved && self.members[member].primary,
             };
             self.gate.set_lane(&self.lanes[member], limits);
         }
     }
 
-    fn learn(&mut self, id: usize, member: usize, latency: Duration, in_flight: u32, now: Instant) {
+    fn record_response(
+        &mut self,
+        id: usize,
+        member: usize,
+        latency: Duration,
+        in_flight: u32,
+        now: Instant,
+    ) {
         self.meters[member].observe(latency, now);
         self.adaptive[member].observe(latency, in_flight);
         let found = self.fingerprints.binary_search_by_key(&id, |(id, _)| *id);
-        let fingerprint = self.fingerprints[found.expect("the request arrived")].1;
+        let fingerprint = self.fingerprints[found.expect("the request was recorded on arrival")].1;
         self.estimate.observe(fingerprint, latency);
     }
 
@@ -197,23 +211,27 @@
     fn own_domain(&self) -> DomainName {
         let links = || self.members.iter().map(|member| member.links[self.instance]);
         let nearest = links().min().unwrap_or_default();
-        let near: Vec<usize> = links()
+        let nearest_members: Vec<usize> = links()
             .enumerate()
             .filter(|(_, link)| *link == nearest)
             .map(|(index, _)| index)
             .collect();
-        if let [index] = near[..] { domain_of(index) } else { domain_of(self.members.len()) }
+        if let [index] = nearest_members[..] {
+            domain_of(index)
+        } else {
+            domain_of(self.members.len())
+        }
     }
 
     fn view(&self, index: usize, now: Instant) -> MemberView {
         let member = &self.members[index];
         let usage = self.gate.usage(&self.lanes[index]);
         let applied = now.duration_since(self.origin).saturating_sub(member.lag);
-        let ramped = self.settings.ramp == Some(index);
-        let ramp = if ramped { self.ramp.weight(now) } else { MemberWeight::FULL };
-        let tracked = self.settings.outliers;
-        let tracked =
-            if tracked { self.tracker.weight(self.name(index)) } else { MemberWeight::FULL };
+        let is_ramped = self.settings.ramp == Some(index);
+        let ramp_weight = if is_ramped { self.ramp.weight(now) } else { MemberWeight::FULL };
+        let is_tracked = self.settings.outliers_tracked;
+        let outlier_weight =
+            if is_tracked { self.tracker.weight(self.name(index)) } else { MemberWeight::FULL };
         MemberView {
             name: self.name(index).clone(),
             role: if member.primary { MemberRole::Primary } else { MemberRole::Replica },
@@ -227,7 +245,7 @@
             service: self.meters[index].service(now),
             link: member.links[self.instance],
             health: MemberHealth::Ready,
-            weight: ramp.and(tracked),
+            weight: ramp_weight.and(outlier_weight),
         }
     }
 
@@ -250,7 +268,11 @@
     }
 
     fn size_of(&self, request: &Request) -> WorkSize {
-        if self.settings.sized { self.estimate.size(request.fingerprint) } else { WorkSize::Short }
+        if self.settings.sizes_estimated {
+            self.estimate.size(request.fingerprint)
+        } else {
+            WorkSize::Short
+        }
     }
 
     fn offer(
@@ -270,15 +292,15 @@
             shed: request.shed,
             in_flight_max: self.settings.in_flight_max,
             queue_wait: request.queue_wait.unwrap_or(self.settings.queue_wait),
-            deadline: self.origin + request.at + request.patience,
+            deadline: self.origin + request.at + request.timeout,
         };
         match self.gate.offer(&offer, now, rng) {
             AdmissionVerdict::Run(ticket) => {
-                self.sent.push(SentTicket { ticket, id, member });
+                self.open_tickets.push(OpenTicket { ticket, id, member });
                 vec![Action::Send(id, member)]
             }
             AdmissionVerdict::Wait(ticket) => {
-                self.sent.push(SentTicket { ticket, id, member });
+                self.open_tickets.push(OpenTicket { ticket, id, member });
                 Vec::new()
             }
             AdmissionVerdict::Refuse(reason) => vec![Action::Refuse(id, reason.retry_after)],
@@ -288,13 +310,13 @@
     fn apply(&mut self, notices: &[TicketNotice]) -> Vec<Action> {
         let mut actions = Vec::new();
         for notice in notices {
-            let found = self.sent.binary_search_by_key(&notice.ticket, |sent| sent.ticket);
-            let index = found.expect("every ticket of a notice was offered");
-            let (id, member) = (self.sent[index].id, self.sent[index].member);
+            let found = self.open_tickets.binary_search_by_key(&notice.ticket, |open| open.ticket);
+            let index = found.expect("a notice belongs to an open ticket");
+            let (id, member) = (self.open_tickets[index].id, self.open_tickets[index].member);
             match notice.outcome {
                 TicketOutcome::Run => actions.push(Action::Send(id, member)),
                 TicketOutcome::Refuse(reason) => {
-                    self.sent.remove(index);
+                    self.open_tickets.remove(index);
                     actions.push(Action::Refuse(id, reason.retry_after));
                 }
             }
@@ -302,7 +324,8 @@
         actions
     }
 
-    fn decide(
+    /// Routes a request and offers it to the gate, or delays it until a replica has caught up.
+    fn route_and_offer(
         &mut self,
         id: usize,
         request: &Request,
@@ -314,7 +337,7 @@
                 self.offer(id, request, member, now, rng)
             }
             ReadRoute::WaitFor(_, wait) => {
-                self.waits.push((now + wait, id, request.clone()));
+                self.delayed_reads.push((now + wait, id, request.clone()));
                 Vec::new()
             }
             ReadRoute::Refuse => vec![Action::Refuse(id, Duration::from_secs(1))],
@@ -332,7 +355,7 @@
 }
 
 impl LoadPolicy for CurrentPolicy {
-    fn arrive(
+    fn on_request(
         &mut self,
         id: usize,
         request: &Request,
@@ -341,10 +364,10 @@
     ) -> Vec<Action> {
         self.fingerprints.push((id, request.fingerprint));
         self.set_lanes(time);
-        self.decide(id, request, time, rng)
+        self.route_and_offer(id, request, time, rng)
     }
 
-    fn answer(
+    fn on_response(
         &mut self,
         id: usize,
         member: usize,
@@ -352,12 +375,15 @@
         time: Instant,
         rng: &mut StdRng,
     ) -> Vec<Action> {
-        let index =
-            self.sent.iter().position(|sent| sent.id == id).expect("answers follow sending");
-        let ticket = self.sent.remove(index).ticket;
+        let index = self
+            .open_tickets
+            .iter()
+            .position(|open| open.id == id)
+            .expect("a response belongs to an open ticket");
+        let ticket = self.open_tickets.remove(index).ticket;
         let usage = self.gate.usage(&self.lanes[member]);
         if let Some(latency) = latency {
-            self.learn(id, member, latency, usage.reads + usage.writes, time);
+            self.record_response(id, member, latency, usage.reads + usage.writes, time);
         }
         let name = self.name(member).clone();
         self.tracker.observe(&name, latency.is_some());
@@ -367,19 +393,19 @@
         self.apply(&notices)
     }
 
-    fn wake_at(&self) -> Option<Instant> {
-        let waits = self.waits.iter().map(|(at, _, _)| *at).min();
-        waits.into_iter().chain(self.gate.next_expiry()).min()
+    fn next_wake(&self) -> Option<Instant> {
+        let delayed = self.delayed_reads.iter().map(|(at, _, _)| *at).min();
+        delayed.into_iter().chain(self.gate.next_expiry()).min()
     }
 
-    fn wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action> {
+    fn on_wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action> {
         let notices = self.gate.expire(time, rng);
         let mut actions = self.apply(&notices);
         let (due, later): (Vec<_>, Vec<_>) =
-            self.waits.drain(..).partition(|(at, _, _)| *at <= time);
-        self.waits = later;
+            self.delayed_reads.drain(..).partition(|(at, _, _)| *at <= time);
+        self.delayed_reads = later;
         for (_, id, request) in due {
-            actions.extend(self.decide(id, &request, time, rng));
+            actions.extend(self.route_and_offer(id, &request, time, rng));
         }
         actions
     }
--- a/crates/rudder-decisions/examples/trials/detection.rs
+++ b/crates/rudder-decisions/examples/trials/detection.rs
@@ -20,8 +20,8 @@
 /// First time after which TCP sends a lost packet again; it doubles.
 const RETRANSMIT_MIN: Duration = Duration::from_millis(200);
 
-/// Mean time between two stalls of the primary, and their mean length, in seconds.
-const STALL_EVERY_S: f64 = 120.0;
+/// Mean time between two stalls of the primary, and their mean duration, in seconds.
+const STALL_INTERVAL_S: f64 = 120.0;
 const STALL_MEAN_S: f64 = 0.08;
 
 /// The properties of a link.
@@ -31,9 +31,9 @@
     one_way_ms: f64,
     jitter_ms: f64,
     loss: f64,
-    /// Mean time between two short cuts, and their mean length, in seconds.
-    cut_every_s: f64,
-    cut_mean_s: f64,
+    /// Mean time between two short outages, and their mean duration, in seconds.
+    outage_interval_s: f64,
+    outage_mean_s: f64,
 }
 
 const LINKS: [LinkKind; 3] = [
@@ -42,24 +42,24 @@
         one_way_ms: 4.0,
         jitter_ms: 1.0,
         loss: 0.0,
-        cut_every_s: 1e9,
-        cut_mean_s: 0.0,
+        outage_interval_s: 1e9,
+        outage_mean_s: 0.0,
     },
     LinkKind {
         name: "1% loss, cuts of 200 ms",
         one_way_ms: 12.0,
         jitter_ms: 5.0,
         loss: 0.01,
-        cut_every_s: 300.0,
-        cut_mean_s: 0.2,
+        outage_interval_s: 300.0,
+        outage_mean_s: 0.2,
     },
     LinkKind {
         name: "5% loss, cuts of 400 ms",
         one_way_ms: 20.0,
         jitter_ms: 20.0,
         loss: 0.05,
-        cut_every_s: 120.0,
-        cut_mean_s: 0.4,
+        outage_interval_s: 120.0,
+        outage_mean_s: 0.4,
     },
 ];
 
@@ -67,13 +67,13 @@
 struct DownTimes(Vec<(f64, f64)>);
 
 impl DownTimes {
-    fn draw(every_s: f64, mean_s: f64, rng: &mut StdRng) -> Self {
+    fn draw(interval_s: f64, mean_s: f64, rng: &mut StdRng) -> Self {
         let mut times = Vec::new();
-        let mut start = exponential(every_s, rng);
+        let mut start = exponential(interval_s, rng);
         while start < LENGTH.as_secs_f64() {
             let end = start + exponential(mean_s, rng);
             times.push((start, end));
-            start = end + exponential(every_s, rng);
+            start = end + exponential(interval_s, rng);
         }
         Self(times)
     }
@@ -90,9 +90,9 @@
     let mut rows = Vec::new();
     for link in LINKS {
         let mut rng = StdRng::seed_from_u64(seed);
-        let stalls = DownTimes::draw(STALL_EVERY_S, STALL_MEAN_S, &mut rng);
+        let stalls = DownTimes::draw(STALL_INTERVAL_S, STALL_MEAN_S, &mut rng);
         let observers: Vec<Vec<Duration>> =
-            (0..OBSERVERS).map(|_| answers(link, &stalls, &mut rng)).collect();
+            (0..OBSERVERS).map(|_| response_times(link, &stalls, &mut rng)).collect();
         rows.extend(bounds().into_iter().map(|(name, rule)| row(link, &name, rule, &observers)));
     }
     print_rows("failure_detection", &rows);
@@ -135,45 +135,46 @@
     factor: f64,
     gap_s: f64,
     deviation_s: f64,
-    last_heard: Duration,
+    last_response: Duration,
 }
 
 impl DeviationDetector {
     /// Weight of one gap: about the last thirty count.
     const GAIN: f64 = 1.0 / 32.0;
 
-    fn heard(&mut self, at: Duration) -> Duration {
-        let gap_s = (at - self.last_heard).as_secs_f64();
+    /// Records a response and returns the time at which the next silence becomes suspect.
+    fn record_response(&mut self, at: Duration) -> Duration {
+        let gap_s = (at - self.last_response).as_secs_f64();
         self.deviation_s += Self::GAIN * ((gap_s - self.gap_s).abs() - self.deviation_s);
         self.gap_s += Self::GAIN * (gap_s - self.gap_s);
-        self.last_heard = at;
+        self.last_response = at;
         let bound = Duration::from_secs_f64(self.gap_s + self.factor * self.deviation_s);
         at + bound.clamp(Duration::from_millis(400), Duration::from_millis(1600))
     }
 }
 
-/// When one observer hears the answers to its probes.
-fn answers(link: LinkKind, stalls: &DownTimes, rng: &mut StdRng) -> Vec<Duration> {
-    let cuts = DownTimes::draw(link.cut_every_s, link.cut_mean_s, rng);
+/// Draws the times at which one observer receives the responses to its probes.
+fn response_times(link: LinkKind, stalls: &DownTimes, rng: &mut StdRng) -> Vec<Duration> {
+    let outages = DownTimes::draw(link.outage_interval_s, link.outage_mean_s, rng);
     let offset_s = rng.random_range(0.0..INTERVAL.as_secs_f64());
-    let mut answers = Vec::new();
-    let (mut last_there_s, mut last_back_s) = (0.0_f64, 0.0_f64);
+    let mut responses = Vec::new();
+    let (mut last_arrival_s, mut last_return_s) = (0.0_f64, 0.0_f64);
     let mut probe_s = offset_s;
     while probe_s < LENGTH.as_secs_f64() {
-        last_there_s = last_there_s.max(travel(link, &cuts, probe_s, rng));
-        let answered_s = stalls.end_after(last_there_s).unwrap_or(last_there_s);
-        last_back_s = last_back_s.max(travel(link, &cuts, answered_s, rng));
-        answers.push(Duration::from_secs_f64(last_back_s));
+        last_arrival_s = last_arrival_s.max(arrival_time_s(link, &outages, probe_s, rng));
+        let responded_s = stalls.end_after(last_arrival_s).unwrap_or(last_arrival_s);
+        last_return_s = last_return_s.max(arrival_time_s(link, &outages, responded_s, rng));
+        responses.push(Duration::from_secs_f64(last_return_s));
         probe_s += INTERVAL.as_secs_f64();
     }
-    answers
+    responses
 }
 
-/// When a packet sent at `sent_s` arrives, with retransmissions.
-fn travel(link: LinkKind, cuts: &DownTimes, sent_s: f64, rng: &mut StdRng) -> f64 {
+/// Draws the arrival time of a packet sent at `sent_s`, including retransmissions.
+fn arrival_time_s(link: LinkKind, outages: &DownTimes, sent_s: f64, rng: &mut StdRng) -> f64 {
     let mut sent_s = sent_s;
     let mut retransmit_s = RETRANSMIT_MIN.as_secs_f64();
-    while cuts.end_after(sent_s).is_some() || rng.random_range(0.0..1.0) < link.loss {
+    while outages.end_after(sent_s).is_some() || rng.random_range(0.0..1.0) < link.loss {
         sent_s += retransmit_s;
         retransmit_s *= 2.0;
     }
@@ -181,40 +182,44 @@
 }
 
 fn row(link: LinkKind, name: &str, rule: BoundRule, observers: &[Vec<Duration>]) -> TrialRow {
-    let watched: Vec<WatchRecord> = observers.iter().map(|heard| watch(rule, heard)).collect();
-    let single: usize = watched.iter().map(|record| record.alarms.len()).sum();
+    let records: Vec<ObserverRecord> =
+        observers.iter().map(|responses| observe(rule, responses)).collect();
+    let single_alarms: usize = records.iter().map(|record| record.false_alarms.len()).sum();
     let hours = LENGTH.as_secs_f64() / 3600.0;
-    let gaps = detection_gaps(&watched);
+    let times = detection_times(&records);
     TrialRow::new(link.name, name)
-        .with("one_observer_per_hour", single as f64 / OBSERVERS as f64 / hours)
-        .with("two_of_three_per_hour", joint_alarms(&watched) as f64 / hours)
-        .with("gap_p50_ms", percentile_ms(&gaps, 50))
-        .with("gap_p99_ms", percentile_ms(&gaps, 99))
-        .with("gap_max_ms", percentile_ms(&gaps, 100))
+        .with("one_observer_per_hour", single_alarms as f64 / OBSERVERS as f64 / hours)
+        .with("two_of_three_per_hour", joint_alarms(&records) as f64 / hours)
+        .with("gap_p50_ms", percentile_ms(&times, 50))
+        .with("gap_p99_ms", percentile_ms(&times, 99))
+        .with("gap_max_ms", percentile_ms(&times, 100))
 }
 
-/// What one observer saw: its wrong suspicions, and when it would have suspected after each answer.
-struct WatchRecord {
-    alarms: Vec<(Duration, Duration)>,
-    heard: Vec<(Duration, Duration)>,
+/// Result of one observer.
+struct ObserverRecord {
+    /// Start and end of each suspicion of the live primary.
+    false_alarms: Vec<(Duration, Duration)>,
+    /// Time of each response, and the time at which silence after it becomes suspect.
+    responses: Vec<(Duration, Duration)>,
 }
 
-fn watch(rule: BoundRule, heard: &[Duration]) -> WatchRecord {
-    let mut suspect_after = suspicions(rule);
-    let mut record = WatchRecord { alarms: Vec::new(), heard: Vec::new() };
+fn observe(rule: BoundRule, responses: &[Duration]) -> ObserverRecord {
+    let mut suspect_after = suspicion_rule(rule);
+    let mut record = ObserverRecord { false_alarms: Vec::new(), responses: Vec::new() };
     let mut suspect_at = Duration::MAX;
-    for &at in heard {
+    for &at in responses {
         if suspect_at < at {
-            record.alarms.push((suspect_at, at));
+            record.false_alarms.push((suspect_at, at));
         }
         suspect_at = suspect_after(at);
-        record.heard.push((at, suspect_at));
+        record.responses.push((at, suspect_at));
     }
     record
 }
 
-/// Tells, for each answer's time, when the next silence becomes suspect.
-fn suspicions(rule: BoundRule) -> Box<dyn FnMut(Duration) -> Duration> {
+/// Returns a function from the time of a response to the time at which silence after it becomes
+/// suspect.
+fn suspicion_rule(rule: BoundRule) -> Box<dyn FnMut(Duration) -> Duration> {
     let interval_s = INTERVAL.as_secs_f64();
     match rule {
         BoundRule::Longest(bound) => {
@@ -230,21 +235,21 @@
                 factor: f64::from(factor),
                 gap_s: interval_s,
                 deviation_s: interval_s / 4.0,
-                last_heard: Duration::ZERO,
+                last_response: Duration::ZERO,
             };
-            Box::new(move |at| detector.heard(at))
+            Box::new(move |at| detector.record_response(at))
         }
     }
 }
 
-/// Times at which a quorum of observers suspected the living primary together.
-fn joint_alarms(watched: &[WatchRecord]) -> usize {
+/// Counts how often a quorum of observers suspected the live primary at the same time.
+fn joint_alarms(records: &[ObserverRecord]) -> usize {
     let mut edges: Vec<(Duration, i32)> = Vec::new();
-    for record in watched {
-        edges.extend(record.alarms.iter().flat_map(|(start, end)| [(*start, 1), (*end, -1)]));
+    for record in records {
+        edges.extend(record.false_alarms.iter().flat_map(|(start, end)| [(*start, 1), (*end, -1)]));
     }
     edges.sort_unstable();
-    let quorum = i32::try_from(QUORUM).expect("a small quorum");
+    let quorum = i32::try_from(QUORUM).expect("the quorum fits into i32");
     let mut suspecting = 0;
     let mut alarms = 0;
     for (_, change) in edges {
@@ -254,23 +259,24 @@
     alarms
 }
 
-/// How long after its death the primary is suspected by a quorum, for a death every ten seconds.
-fn detection_gaps(watched: &[WatchRecord]) -> Vec<Duration> {
-    let mut gaps = Vec::new();
-    let mut death = Duration::from_millis(60_125);
-    while death + Duration::from_secs(10) < LENGTH {
-        let mut suspected: Vec<Duration> = watched
+/// Returns the sorted times from a failure of the primary to its suspicion by a quorum, for one
+/// failure about every ten seconds.
+fn detection_times(records: &[ObserverRecord]) -> Vec<Duration> {
+    let mut times = Vec::new();
+    let mut failure_at = Duration::from_millis(60_125);
+    while failure_at + Duration::from_secs(10) < LENGTH {
+        let mut suspected_at: Vec<Duration> = records
             .iter()
             .filter_map(|record| {
-                // What was answered before the death may still be under way; it is left out.
-                let index = record.heard.partition_point(|(at, _)| *at <= death);
-                index.checked_sub(1).map(|last| record.heard[last].1.max(death))
+                // Responses sent before the failure that arrive after it are left out.
+                let index = record.responses.partition_point(|(at, _)| *at <= failure_at);
+                index.checked_sub(1).map(|last| record.responses[last].1.max(failure_at))
             })
             .collect();
-        suspected.sort_unstable();
-        gaps.push(suspected[QUORUM - 1] - death);
-        death += Duration::from_millis(10_007);
+        suspected_at.sort_unstable();
+        times.push(suspected_at[QUORUM - 1] - failure_at);
+        failure_at += Duration::from_millis(10_007);
     }
-    gaps.sort_unstable();
-    gaps
+    times.sort_unstable();
+    times
 }
--- a/crates/rudder-decisions/examples/trials/faults.rs
+++ b/crates/rudder-decisions/examples/trials/faults.rs
@@ -4,7 +4,7 @@
 use super::current::PolicySettings;
 use super::model::{Fault, FaultKind, MemberSpec};
 use super::report::{TrialRow, print_rows};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -21,44 +21,44 @@
 pub(crate) fn run(seed: u64) {
     let from_10_to_40 =
         |kind| Fault { from: Duration::from_secs(10), until: Duration::from_secs(40), kind };
-    let cold = |factor, statements| Fault {
+    let cold_from_start = |factor, statements| Fault {
         from: Duration::ZERO,
         until: LENGTH,
         kind: FaultKind::Cold(factor, statements),
     };
-    let scenes = [
+    let scenarios = [
         ("slow x10, load 0.45", 0.45, from_10_to_40(FaultKind::Slow(10.0))),
         ("failing, load 0.45", 0.45, from_10_to_40(FaultKind::Failing)),
-        ("cold x5 for 300, load 0.45", 0.45, cold(5.0, 300)),
-        ("cold x5 for 300, load 0.7", 0.7, cold(5.0, 300)),
-        ("cold x20 for 1000, load 0.45", 0.45, cold(20.0, 1000)),
-        ("cold x20 for 1000, load 0.7", 0.7, cold(20.0, 1000)),
+        ("cold x5 for 300, load 0.45", 0.45, cold_from_start(5.0, 300)),
+        ("cold x5 for 300, load 0.7", 0.7, cold_from_start(5.0, 300)),
+        ("cold x20 for 1000, load 0.45", 0.45, cold_from_start(20.0, 1000)),
+        ("cold x20 for 1000, load 0.7", 0.7, cold_from_start(20.0, 1000)),
     ];
-    let rows: Vec<TrialRow> = scenes
+    let rows: Vec<TrialRow> = scenarios
         .iter()
-        .flat_map(|(name, load, fault)| run_scene(name, *load, *fault, seed))
+        .flat_map(|(name, load, fault)| run_scenario(name, *load, *fault, seed))
         .collect();
     print_rows("faulty_replica", &rows);
 }
 
-fn run_scene(name: &str, load: f64, fault: Fault, seed: u64) -> Vec<TrialRow> {
+fn run_scenario(name: &str, load: f64, fault: Fault, seed: u64) -> Vec<TrialRow> {
     let members = group(fault);
     let rate = capacity(&members[1..]) * load;
     let pattern = ArrivalPattern::steady(rate, LENGTH, INSTANCES);
     let requests = pattern.draw(&mut StdRng::seed_from_u64(seed));
-    let plain = PolicySettings { outliers: false, ..PolicySettings::default() };
-    let tracked = PolicySettings { outliers: true, ..plain };
+    let untracked = PolicySettings { outliers_tracked: false, ..PolicySettings::default() };
+    let tracked = PolicySettings { outliers_tracked: true, ..untracked };
     let ramped = PolicySettings { ramp: Some(FAULTY), ..tracked };
     let policies = [
         ("round robin", PolicyChoice::RoundRobin),
-        ("least time", PolicyChoice::Current(plain)),
+        ("least time", PolicyChoice::Current(untracked)),
         ("least time, outliers", PolicyChoice::Current(tracked)),
         ("least time, outliers, ramp", PolicyChoice::Current(ramped)),
     ];
     policies
         .into_iter()
         .map(|(policy, choice)| {
-            let outcomes = play(&members, &requests, choice, seed);
+            let outcomes = simulate(&members, &requests, choice, seed);
             let all = LoadSummary::of(&requests, &outcomes, |_, _| true);
             let early = LoadSummary::of(&requests, &outcomes, |request, _| {
                 request.at < Duration::from_secs(2)
--- a/crates/rudder-decisions/examples/trials/hedging.rs
+++ b/crates/rudder-decisions/examples/trials/hedging.rs
@@ -15,7 +15,8 @@
 const INSTANCES: usize = 7;
 const LENGTH: Duration = Duration::from_secs(60);
 const LINK: Duration = Duration::from_millis(2);
-const SERVICE_GUESS: Duration = Duration::from_millis(10);
+/// Mean service time that the policy assumes before the first measurement.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 
 /// Delays until the second send: about the 95th and the 99th percentile without load.
 const DELAYS: [Duration; 2] = [Duration::from_millis(32), Duration::from_millis(48)];
@@ -23,8 +24,9 @@
 /// One read that may still be hedged, or has been.
 struct HedgedRead {
     id: usize,
-    first: usize,
-    due: Option<Instant>,
+    first_member: usize,
+    /// Time of the second send, unless it was made or a response came first.
+    hedge_at: Option<Instant>,
 }
 
 /// The current policy with hedging around it.
@@ -35,11 +37,12 @@
 }
 
 impl HedgingPolicy {
-    fn note(&mut self, actions: Vec<Action>, time: Instant) -> Vec<Action> {
+    /// Schedules the second send of each read that is sent.
+    fn record_sends(&mut self, actions: Vec<Action>, time: Instant) -> Vec<Action> {
         for action in &actions {
             if let Action::Send(id, member) = *action {
-                let due = Some(time + self.delay);
-                self.reads.push(HedgedRead { id, first: member, due });
+                let hedge_at = Some(time + self.delay);
+                self.reads.push(HedgedRead { id, first_member: member, hedge_at });
             }
         }
         actions
@@ -47,18 +50,18 @@
 }
 
 impl LoadPolicy for HedgingPolicy {
-    fn arrive(
+    fn on_request(
         &mut self,
         id: usize,
         request: &Request,
         time: Instant,
         rng: &mut StdRng,
     ) -> Vec<Action> {
-        let actions = self.inner.arrive(id, request, time, rng);
-        self.note(actions, time)
+        let actions = self.inner.on_request(id, request, time, rng);
+        self.record_sends(actions, time)
     }
 
-    fn answer(
+    fn on_response(
         &mut self,
         id: usize,
         member: usize,
@@ -67,27 +70,28 @@
         rng: &mut StdRng,
     ) -> Vec<Action> {
         let read = self.reads.iter_mut().find(|read| read.id == id).expect("the read was sent");
-        read.due = None;
-        if read.first != member {
+        read.hedge_at = None;
+        if read.first_member != member {
             return Vec::new();
         }
-        let actions = self.inner.answer(id, member, latency, time, rng);
-        self.note(actions, time)
+        let actions = self.inner.on_response(id, member, latency, time, rng);
+        self.record_sends(actions, time)
     }
 
-    fn wake_at(&self) -> Option<Instant> {
-        let dues = self.reads.iter().filter_map(|read| read.due);
-        dues.chain(self.inner.wake_at()).min()
+    fn next_wake(&self) -> Option<Instant> {
+        let hedge_times = self.reads.iter().filter_map(|read| read.hedge_at);
+        hedge_times.chain(self.inner.next_wake()).min()
     }
 
-    fn wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action> {
+    fn on_wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action> {
         let mut hedges = Vec::new();
-        for read in self.reads.iter_mut().filter(|read| read.due.is_some_and(|due| due <= time)) {
-            read.due = None;
-            hedges.push(Action::Send(read.id, if read.first == 1 { 2 } else { 1 }));
+        for read in self.reads.iter_mut().filter(|read| read.hedge_at.is_some_and(|at| at <= time))
+        {
+            read.hedge_at = None;
+            hedges.push(Action::Send(read.id, if read.first_member == 1 { 2 } else { 1 }));
         }
-        let actions = self.inner.wake(time, rng);
-        hedges.extend(self.note(actions, time));
+        let actions = self.inner.on_wake(time, rng);
+        hedges.extend(self.record_sends(actions, time));
         hedges
     }
 }
@@ -99,21 +103,21 @@
         until: Duration::from_secs(40),
         kind: FaultKind::Slow(10.0),
     };
-    let scenes = [
+    let scenarios = [
         ("healthy, load 0.3", 0.3, None),
         ("healthy, load 0.6", 0.6, None),
         ("healthy, load 0.8", 0.8, None),
         ("one slow x10, load 0.3", 0.3, Some(slow)),
         ("one slow x10, load 0.45", 0.45, Some(slow)),
     ];
-    let rows: Vec<TrialRow> = scenes
+    let rows: Vec<TrialRow> = scenarios
         .iter()
-        .flat_map(|(name, load, fault)| run_scene(name, *load, *fault, seed))
+        .flat_map(|(name, load, fault)| run_scenario(name, *load, *fault, seed))
         .collect();
     print_rows("hedging", &rows);
 }
 
-fn run_scene(name: &str, load: f64, fault: Option<Fault>, seed: u64) -> Vec<TrialRow> {
+fn run_scenario(name: &str, load: f64, fault: Option<Fault>, seed: u64) -> Vec<TrialRow> {
     let members = group(fault);
     let rate = capacity(&members[1..]) * load;
     let requests =
@@ -132,7 +136,7 @@
     let origin = Instant::now();
     let policy_of = |instance| -> Box<dyn LoadPolicy> {
         let settings = PolicySettings::default();
-        let inner = CurrentPolicy::new(settings, members, instance, origin, SERVICE_GUESS);
+        let inner = CurrentPolicy::new(settings, members, instance, origin, INITIAL_SERVICE_TIME);
         match delay {
             Some(delay) => Box::new(HedgingPolicy { inner, delay, reads: Vec::new() }),
             None => Box::new(inner),
--- a/crates/rudder-decisions/examples/trials/main.rs
+++ b/crates/rudder-decisions/examples/trials/main.rs
@@ -14,10 +14,10 @@
 mod model;
 mod report;
 mod routing;
-mod scenes;
 mod setup;
 mod slots;
 mod summary;
+mod workloads;
 
 /// The seed used unless one is given.
 const SEED_DEFAULT: u64 = 1;
--- a/crates/rudder-decisions/examples/trials/model.rs
+++ b/crates/rudder-decisions/examples/trials/model.rs
@@ -25,9 +25,9 @@
     pub(crate) service: Duration,
     /// What its text looks like without constants.
     pub(crate) fingerprint: u64,
-    /// How long its caller waits for the answer.
-    pub(crate) patience: Duration,
-    /// How long it waits for a slot, if not as long as the policy lets others wait.
+    /// Time after which the caller no longer waits for the response.
+    pub(crate) timeout: Duration,
+    /// Maximum wait for a slot, if it differs from that of the policy.
     pub(crate) queue_wait: Option<Duration>,
     /// When its session last wrote, if it must see that write.
     pub(crate) floor: Option<Duration>,
@@ -84,16 +84,17 @@
 
 /// What an instance does with requests and answers. Requests are named by their index.
 pub(crate) trait LoadPolicy {
-    /// A request has arrived.
-    fn arrive(
+    /// Handles the arrival of a request.
+    fn on_request(
         &mut self,
         id: usize,
         request: &Request,
         time: Instant,
         rng: &mut StdRng,
     ) -> Vec<Action>;
-    /// A member has answered, after this time without the link; `None` for a failure.
-    fn answer(
+    /// Handles the response of a member. `latency` is the time at the member without the link, or
+    /// `None` if the request failed.
+    fn on_response(
         &mut self,
         id: usize,
         member: usize,
@@ -101,10 +102,10 @@
         time: Instant,
         rng: &mut StdRng,
     ) -> Vec<Action>;
-    /// When to be woken.
-    fn wake_at(&self) -> Option<Instant>;
-    /// The wake-up time has come.
-    fn wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action>;
+    /// Returns the time at which [`LoadPolicy::on_wake`] must be called, if any.
+    fn next_wake(&self) -> Option<Instant>;
+    /// Handles everything that is due at `time`.
+    fn on_wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action>;
 }
 
 /// What became of a request.
@@ -112,9 +113,9 @@
 pub(crate) struct Outcome {
     /// The member that it was sent to.
     pub(crate) member: Option<usize>,
-    /// When its answer reached the instance, since the start.
-    pub(crate) done: Option<Duration>,
-    /// How often it was sent.
+    /// Time at which the first response reached the instance, since the start.
+    pub(crate) responded_at: Option<Duration>,
+    /// Number of times it was sent.
     pub(crate) sends: u32,
     /// Whether the member failed it.
     pub(crate) failed: bool,
@@ -124,10 +125,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive(usize),
-    Reach(usize, usize),
-    Finish(usize, usize),
-    Answer(usize, usize, bool),
+    RequestArrival(usize),
+    MemberArrival(usize, usize),
+    Completion(usize, usize),
+    /// Request, member, and whether the request failed.
+    Response(usize, usize, bool),
     Wake(usize),
 }
 
@@ -144,12 +146,14 @@
     members: &'a [MemberSpec],
     requests: &'a [Request],
     policies: Vec<Box<dyn LoadPolicy>>,
-    states: Vec<MemberState>,
+    member_states: Vec<MemberState>,
+    /// Events by time; the sequence number keeps simultaneous ones in insertion order.
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
-    /// For each request, when it reached which member.
-    reached: Vec<Vec<(usize, Duration)>>,
-    woken: Vec<Option<Duration>>,
+    /// Members that each request reached, with the times.
+    member_arrivals: Vec<Vec<(usize, Duration)>>,
+    /// Next scheduled wake-up of each instance.
+    scheduled_wakes: Vec<Option<Duration>>,
     outcomes: Vec<Outcome>,
     rng: StdRng,
 }
@@ -167,12 +171,12 @@
             origin,
             members,
             requests,
-            woken: vec![None; policies.len()],
+            scheduled_wakes: vec![None; policies.len()],
             policies,
-            states: members.iter().map(|_| MemberState::default()).collect(),
+            member_states: members.iter().map(|_| MemberState::default()).collect(),
             events: BinaryHeap::new(),
             sequence: 0,
-            reached: vec![Vec::new(); requests.len()],
+            member_arrivals: vec![Vec::new(); requests.len()],
             outcomes: vec![Outcome::default(); requests.len()],
             rng,
         }
@@ -181,7 +185,7 @@
     /// Plays everything and returns what became of each request.
     pub(crate) fn run(mut self) -> Vec<Outcome> {
         for id in 0..self.requests.len() {
-            self.push(self.requests[id].at, Event::Arrive(id));
+            self.push(self.requests[id].at, Event::RequestArrival(id));
         }
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.handle(now, event);
@@ -197,19 +201,19 @@
     fn handle(&mut self, now: Duration, event: Event) {
         let time = self.origin + now;
         match event {
-            Event::Arrive(id) => {
+            Event::RequestArrival(id) => {
                 let instance = self.requests[id].instance;
                 let request = &self.requests[id];
                 let policy = &mut self.policies[instance];
-                let actions = policy.arrive(id, request, time, &mut self.rng);
+                let actions = policy.on_request(id, request, time, &mut self.rng);
                 self.apply(instance, &actions, now);
             }
-            Event::Reach(id, member) => self.reach(id, member, now),
-            Event::Finish(id, member) => self.finish(id, member, now),
-            Event::Answer(id, member, failed) => self.answer(id, member, failed, now),
+            Event::MemberArrival(id, member) => self.reach_member(id, member, now),
+            Event::Completion(id, member) => self.complete(id, member, now),
+            Event::Response(id, member, failed) => self.respond(id, member, failed, now),
             Event::Wake(instance) => {
-                self.woken[instance] = None;
-                let actions = self.policies[instance].wake(time, &mut self.rng);
+                self.scheduled_wakes[instance] = None;
+                let actions = self.policies[instance].on_wake(time, &mut self.rng);
                 self.apply(instance, &actions, now);
             }
         }
@@ -222,67 +226,68 @@
                     let outcome = &mut self.outcomes[id];
                     outcome.member.get_or_insert(member);
                     outcome.sends += 1;
-                    self.push(now + self.one_way(id, member), Event::Reach(id, member));
+                    self.push(now + self.one_way(id, member), Event::MemberArrival(id, member));
                 }
                 Action::Refuse(id, retry_after) => {
                     self.outcomes[id].refused = Some((now, retry_after));
                 }
             }
         }
-        let Some(wake) = self.policies[instance].wake_at() else {
+        let Some(wake) = self.policies[instance].next_wake() else {
             return;
         };
         let wake = wake.duration_since(self.origin).max(now);
-        if self.woken[instance].is_none_or(|at| wake < at) {
-            self.woken[instance] = Some(wake);
+        if self.scheduled_wakes[instance].is_none_or(|at| wake < at) {
+            self.scheduled_wakes[instance] = Some(wake);
             self.push(wake, Event::Wake(instance));
         }
     }
 
-    fn reach(&mut self, id: usize, member: usize, now: Duration) {
-        self.reached[id].push((member, now));
+    fn reach_member(&mut self, id: usize, member: usize, now: Duration) {
+        self.member_arrivals[id].push((member, now));
         if matches!(self.fault_at(member, now), Some(FaultKind::Failing)) {
-            self.push(now + self.one_way(id, member), Event::Answer(id, member, true));
+            self.push(now + self.one_way(id, member), Event::Response(id, member, true));
             return;
         }
-        self.states[member].queue.push_back(id);
+        self.member_states[member].queue.push_back(id);
         self.start_next(member, now);
     }
 
     fn start_next(&mut self, member: usize, now: Duration) {
-        if self.states[member].running >= self.members[member].slots {
+        if self.member_states[member].running >= self.members[member].slots {
             return;
         }
-        let Some(id) = self.states[member].queue.pop_front() else {
+        let Some(id) = self.member_states[member].queue.pop_front() else {
             return;
         };
-        self.states[member].running += 1;
-        let held = self.requests[id].service.mul_f64(self.slowness(member, now));
-        self.states[member].served += 1;
-        self.push(now + held, Event::Finish(id, member));
+        self.member_states[member].running += 1;
+        let service = self.requests[id].service.mul_f64(self.service_factor(member, now));
+        self.member_states[member].served += 1;
+        self.push(now + service, Event::Completion(id, member));
     }
 
-    fn finish(&mut self, id: usize, member: usize, now: Duration) {
-        self.states[member].running -= 1;
-        self.push(now + self.one_way(id, member), Event::Answer(id, member, false));
+    fn complete(&mut self, id: usize, member: usize, now: Duration) {
+        self.member_states[member].running -= 1;
+        self.push(now + self.one_way(id, member), Event::Response(id, member, false));
         self.start_next(member, now);
     }
 
-    fn answer(&mut self, id: usize, member: usize, failed: bool, now: Duration) {
+    fn respond(&mut self, id: usize, member: usize, failed: bool, now: Duration) {
         let instance = self.requests[id].instance;
         let outcome = &mut self.outcomes[id];
-        if outcome.done.is_none() {
-            outcome.done = Some(now);
+        if outcome.responded_at.is_none() {
+            outcome.responded_at = Some(now);
             outcome.failed = failed;
         }
-        let visits = &self.reached[id];
-        let visit = visits.iter().find(|(visited, _)| *visited == member);
-        let (_, reached) = visit.expect("answers come from members that were reached");
-        let at_member = now - self.one_way(id, member) - *reached;
+        let arrivals = &self.member_arrivals[id];
+        let arrival = arrivals.iter().find(|(reached, _)| *reached == member);
+        let (_, arrived) =
+            arrival.expect("responses come only from members that were sent the request");
+        let at_member = now - self.one_way(id, member) - *arrived;
         let latency = (!failed).then_some(at_member);
         let time = self.origin + now;
         let policy = &mut self.policies[instance];
-        let actions = policy.answer(id, member, latency, time, &mut self.rng);
+        let actions = policy.on_response(id, member, latency, time, &mut self.rng);
         self.apply(instance, &actions, now);
     }
 
@@ -295,11 +300,12 @@
         (fault.from <= now && now < fault.until).then_some(fault.kind)
     }
 
-    fn slowness(&self, member: usize, now: Duration) -> f64 {
+    /// Returns the factor by which service times at the member are multiplied.
+    fn service_factor(&self, member: usize, now: Duration) -> f64 {
         let factor = match self.fault_at(member, now) {
             Some(FaultKind::Slow(factor)) => factor,
             Some(FaultKind::Cold(factor, statements)) => {
-                let served = self.states[member].served.min(statements);
+                let served = self.member_states[member].served.min(statements);
                 factor - (factor - 1.0) * f64::from(served) / f64::from(statements)
             }
             _ => 1.0,
--- a/crates/rudder-decisions/examples/trials/report.rs
+++ b/crates/rudder-decisions/examples/trials/report.rs
@@ -4,15 +4,15 @@
 
 /// One line of a trial: its circumstances, the policy, and its figures.
 pub(crate) struct TrialRow {
-    scene: String,
+    scenario: String,
     policy: String,
     figures: Vec<(&'static str, f64)>,
 }
 
 impl TrialRow {
-    /// A row without figures.
-    pub(crate) fn new(scene: impl Into<String>, policy: impl Into<String>) -> Self {
-        Self { scene: scene.into(), policy: policy.into(), figures: Vec::new() }
+    /// Creates a row without figures.
+    pub(crate) fn new(scenario: impl Into<String>, policy: impl Into<String>) -> Self {
+        Self { scenario: scenario.into(), policy: policy.into(), figures: Vec::new() }
     }
 
     /// Adds a figure.
@@ -30,8 +30,12 @@
             .iter()
             .map(|(name, figure)| ((*name).to_owned(), json!((figure * 1e3).round() / 1e3)))
             .collect();
-        let line =
-            json!({"trial": trial, "scene": row.scene, "policy": row.policy, "figures": figures});
+        let line = json!({
+            "trial": trial,
+            "scene": row.scenario,
+            "policy": row.policy,
+            "figures": figures,
+        });
         println!("{line}");
     }
     let Some(first) = rows.first() else {
@@ -43,7 +47,7 @@
     for row in rows {
         let figures: Vec<String> =
             row.figures.iter().map(|(_, figure)| format!("{figure:.2}")).collect();
-        println!("| {} | {} | {} |", row.scene, row.policy, figures.join(" | "));
+        println!("| {} | {} | {} |", row.scenario, row.policy, figures.join(" | "));
     }
     println!();
 }
--- a/crates/rudder-decisions/examples/trials/routing.rs
+++ b/crates/rudder-decisions/examples/trials/routing.rs
@@ -5,7 +5,7 @@
 use super::current::{LimitRule, PolicySettings};
 use super::model::MemberSpec;
 use super::report::{TrialRow, print_rows};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -16,8 +16,8 @@
 const LENGTH: Duration = Duration::from_secs(60);
 const LOADS: [f64; 3] = [0.6, 0.8, 0.92];
 
-/// One set of circumstances.
-struct RoutingScene {
+/// Members and arrivals of one comparison.
+struct RoutingScenario {
     name: &'static str,
     members: Vec<MemberSpec>,
     speeds_known: bool,
@@ -25,7 +25,7 @@
     write_share: f64,
 }
 
-impl RoutingScene {
+impl RoutingScenario {
     fn instances(&self) -> usize {
         self.members[0].links.len()
     }
@@ -34,36 +34,41 @@
 /// Runs and prints the trial.
 pub(crate) fn run(seed: u64) {
     let mut rows = Vec::new();
-    for scene in scenes() {
+    for scenario in scenarios() {
         for load in LOADS {
-            rows.extend(run_scene(&scene, load, seed));
+            rows.extend(run_scenario(&scenario, load, seed));
         }
     }
     print_rows("read_routing", &rows);
 }
 
-fn run_scene(scene: &RoutingScene, load: f64, seed: u64) -> Vec<TrialRow> {
+fn run_scenario(scenario: &RoutingScenario, load: f64, seed: u64) -> Vec<TrialRow> {
     let readers: Vec<MemberSpec> =
-        scene.members.iter().filter(|member| !member.primary).cloned().collect();
+        scenario.members.iter().filter(|member| !member.primary).cloned().collect();
     let read_rate = capacity(&readers) * load;
     let pattern = ArrivalPattern {
-        burst: scene.burst,
-        write_share: scene.write_share,
-        ..ArrivalPattern::steady(read_rate / (1.0 - scene.write_share), LENGTH, scene.instances())
+        burst: scenario.burst,
+        write_share: scenario.write_share,
+        ..ArrivalPattern::steady(
+            read_rate / (1.0 - scenario.write_share),
+            LENGTH,
+            scenario.instances(),
+        )
     };
     let requests = pattern.draw(&mut StdRng::seed_from_u64(seed));
-    policies(scene.speeds_known)
+    policies(scenario.speeds_known)
         .into_iter()
         .map(|(policy, choice)| {
-            let outcomes = play(&scene.members, &requests, choice, seed);
+            let outcomes = simulate(&scenario.members, &requests, choice, seed);
             let reads = LoadSummary::of(&requests, &outcomes, |request, _| {
                 request.class == WorkClass::Read
             });
             let on_replicas = LoadSummary::of(&requests, &outcomes, |request, outcome| {
-                let replica = outcome.member.is_some_and(|index| !scene.members[index].primary);
-                request.class == WorkClass::Read && replica
+                let on_replica =
+                    outcome.member.is_some_and(|index| !scenario.members[index].primary);
+                request.class == WorkClass::Read && on_replica
             });
-            TrialRow::new(format!("{}, load {load}", scene.name), policy)
+            TrialRow::new(format!("{}, load {load}", scenario.name), policy)
                 .with("mean_ms", reads.mean_ms)
                 .with("p99_ms", reads.p99_ms)
                 .with("replica_share", on_replicas.requests as f64 / reads.requests as f64)
@@ -84,34 +89,42 @@
     ]
 }
 
-fn scenes() -> Vec<RoutingScene> {
-    let near = |speed, instances| member(speed, 5, Duration::ZERO, instances);
-    let three = |instances| vec![near(1.0, instances), near(1.0, instances), near(0.4, instances)];
-    let scene = |name, members| RoutingScene {
+fn scenarios() -> Vec<RoutingScenario> {
+    let member_at_zero_delay = |speed, instances| member(speed, 5, Duration::ZERO, instances);
+    let three_members = |instances| {
+        vec![
+            member_at_zero_delay(1.0, instances),
+            member_at_zero_delay(1.0, instances),
+            member_at_zero_delay(0.4, instances),
+        ]
+    };
+    let scenario = |name, members| RoutingScenario {
         name,
         members,
         speeds_known: true,
         burst: 1.0,
         write_share: 0.0,
     };
-    let alone = scene("no links, all requests known", three(1));
-    let bare = scene("no links", three(INSTANCES));
-    let links = scene("links", linked_members());
-    let unknown =
-        RoutingScene { speeds_known: false, ..scene("links, speeds unknown", linked_members()) };
-    let bursts = RoutingScene {
+    let one_instance = scenario("no links, all requests known", three_members(1));
+    let no_links = scenario("no links", three_members(INSTANCES));
+    let links = scenario("links", linked_members());
+    let unknown = RoutingScenario {
+        speeds_known: false,
+        ..scenario("links, speeds unknown", linked_members())
+    };
+    let bursts = RoutingScenario {
         burst: 2.0,
         speeds_known: false,
-        ..scene("links, unknown, bursts", linked_members())
+        ..scenario("links, unknown, bursts", linked_members())
     };
     let mut group = linked_members();
     group[0].primary = true;
-    let writes = RoutingScene {
+    let writes = RoutingScenario {
         write_share: 0.25,
         speeds_known: false,
-        ..scene("primary and 2 replicas, writes", group)
+        ..scenario("primary and 2 replicas, writes", group)
     };
-    vec![alone, bare, links, unknown, bursts, writes]
+    vec![one_instance, no_links, links, unknown, bursts, writes]
 }
 
 /// Three members in three failure domains; the third is old. Instances stand in all three.
@@ -123,8 +136,8 @@
         .map(|(index, &speed)| {
             let mut spec = member(speed, 5, Duration::ZERO, INSTANCES);
             for (instance, link) in spec.links.iter_mut().enumerate() {
-                let near = instance % 3 == index;
-                *link = Duration::from_millis(if near { 1 } else { 8 });
+                let is_near = instance % 3 == index;
+                *link = Duration::from_millis(if is_near { 1 } else { 8 });
             }
             spec
         })
--- a/crates/rudder-decisions/examples/trials/setup.rs
+++ b/crates/rudder-decisions/examples/trials/setup.rs
@@ -20,11 +20,11 @@
     Current(PolicySettings),
 }
 
-/// The mean service time that a policy assumes before it has measured one.
-const SERVICE_GUESS: Duration = Duration::from_millis(10);
+/// Mean service time that a policy assumes before the first measurement.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// Plays the requests with the same policy at every instance.
-pub(crate) fn play(
+/// Simulates the requests with the same policy at every instance and returns their outcomes.
+pub(crate) fn simulate(
     members: &[MemberSpec],
     requests: &[Request],
     choice: PolicyChoice,
@@ -39,9 +39,13 @@
             PolicyChoice::SharedThreshold => {
                 Box::new(SharedQueuePolicy::new(members, instance, true))
             }
-            PolicyChoice::Current(settings) => {
-                Box::new(CurrentPolicy::new(settings, members, instance, origin, SERVICE_GUESS))
-            }
+            PolicyChoice::Current(settings) => Box::new(CurrentPolicy::new(
+                settings,
+                members,
+                instance,
+                origin,
+                INITIAL_SERVICE_TIME,
+            )),
         }
     };
     let policies = (0..instances).map(policy_of).collect();
--- a/crates/rudder-decisions/examples/trials/slots.rs
+++ b/crates/rudder-decisions/examples/trials/slots.rs
@@ -8,7 +8,7 @@
 use super::current::{LimitRule, PolicySettings};
 use super::model::{MemberSpec, Outcome, Request};
 use super::report::{TrialRow, print_rows};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -22,59 +22,65 @@
 /// Round trip between an instance and a member, and between an instance and the home.
 const LINK: Duration = Duration::from_millis(8);
 
-/// Connections per instance when 30 of them, less 3 for control, are split among seven.
-const CONNECTIONS_EACH: u32 = 3;
+/// Connections per instance: 30, less 3 for control statements, split among seven instances.
+const CONNECTIONS_PER_INSTANCE: u32 = 3;
 
-/// Statements that the home keeps in flight at a member: the best of 9, 12, 15 and 25.
-const HOME_WINDOW: u32 = 15;
+/// Statements that the home instance keeps in flight at a member. Of 9, 12, 15 and 25 this value
+/// gave the best results.
+const HOME_IN_FLIGHT_MAX: u32 = 15;
 
 const WRITE_SHARE: f64 = 0.25;
 const SESSION_SHARE: f64 = 0.05;
 
 /// Runs and prints the trial.
 pub(crate) fn run(seed: u64) {
-    for (trial, uneven) in [("slot_division", false), ("slot_division_uneven", true)] {
+    for (trial, skewed) in [("slot_division", false), ("slot_division_uneven", true)] {
         let rows: Vec<TrialRow> =
-            LOADS.iter().flat_map(|load| run_load(*load, uneven, seed)).collect();
+            LOADS.iter().flat_map(|load| run_load(*load, skewed, seed)).collect();
         print_rows(trial, &rows);
     }
 }
 
-fn run_load(load: f64, uneven: bool, seed: u64) -> Vec<TrialRow> {
-    let replica_part = (1.0 - WRITE_SHARE) * (1.0 - SESSION_SHARE);
-    let rate = capacity(&group(INSTANCES)[1..]) * load / replica_part;
+fn run_load(load: f64, skewed: bool, seed: u64) -> Vec<TrialRow> {
+    let replica_share = (1.0 - WRITE_SHARE) * (1.0 - SESSION_SHARE);
+    let rate = capacity(&group(INSTANCES)[1..]) * load / replica_share;
     let pattern = ArrivalPattern {
         write_share: WRITE_SHARE,
         session_share: SESSION_SHARE,
         burst: 2.0,
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         ..ArrivalPattern::steady(rate, LENGTH, INSTANCES)
     };
     let mut requests = pattern.draw(&mut StdRng::seed_from_u64(seed));
-    if uneven {
-        // Half of the callers happen to be connected to one instance.
+    if skewed {
+        // Half of the callers are connected to the same instance.
         requests
             .iter_mut()
             .filter(|request| request.caller % 2 == 0)
             .for_each(|request| request.instance = 0);
     }
-    let plain = play(&group(INSTANCES), &requests, PolicyChoice::RoundRobin, seed);
-    let mut rows = vec![row(load, "round robin, no limits", &requests, &plain)];
-    let part = if uneven { 570 } else { 143 };
+    let outcomes = simulate(&group(INSTANCES), &requests, PolicyChoice::RoundRobin, seed);
+    let mut rows = vec![row(load, "round robin, no limits", &requests, &outcomes)];
+    let demand_permille = if skewed { 570 } else { 143 };
     let rules = [
         ("member's slots each", LimitRule::Slots),
-        ("equal split of connections", LimitRule::Fixed(CONNECTIONS_EACH)),
+        ("equal split of connections", LimitRule::Fixed(CONNECTIONS_PER_INSTANCE)),
         ("equal split of slots", LimitRule::Fixed(1)),
         ("adaptive", LimitRule::Adaptive),
         ("window, even connections", LimitRule::WindowEven),
-        ("window, connections by demand", LimitRule::WindowByDemand(part)),
+        ("window, connections by demand", LimitRule::WindowByDemand(demand_permille)),
         ("window, no division", LimitRule::Window),
     ];
     for (name, limit) in rules {
         let choice = PolicyChoice::Current(settings(limit));
-        rows.push(row(load, name, &requests, &play(&group(INSTANCES), &requests, choice, seed)));
+        rows.push(row(
+            load,
+            name,
+            &requests,
+            &simulate(&group(INSTANCES), &requests, choice, seed),
+        ));
     }
-    rows.push(row(load, "home", &requests, &play_home(&requests, seed)));
+    rows.push(row(load, "home", &requests, &simulate_home(&requests, seed)));
     rows
 }
 
@@ -84,30 +90,32 @@
 
 fn row(load: f64, policy: &str, requests: &[Request], outcomes: &[Outcome]) -> TrialRow {
     let reads = |request: &Request| request.class == WorkClass::Read;
-    let sum =
-        |belongs: &dyn Fn(&Request, &Outcome) -> bool| LoadSummary::of(requests, outcomes, belongs);
-    let all = sum(&|_, _| true);
-    let catalogue = sum(&|request, _| reads(request) && request.floor.is_none());
-    let fresh = sum(&|request, _| reads(request) && request.floor.is_some());
-    let writes = sum(&|request, _| !reads(request));
-    let on_replica =
-        sum(&|request, outcome| reads(request) && outcome.member.is_some_and(|index| index > 0));
+    let summarize =
+        |selects: &dyn Fn(&Request, &Outcome) -> bool| LoadSummary::of(requests, outcomes, selects);
+    let all = summarize(&|_, _| true);
+    let ordinary_reads = summarize(&|request, _| reads(request) && request.floor.is_none());
+    let fresh_reads = summarize(&|request, _| reads(request) && request.floor.is_some());
+    let writes = summarize(&|request, _| !reads(request));
+    let on_replica = summarize(&|request, outcome| {
+        reads(request) && outcome.member.is_some_and(|index| index > 0)
+    });
     TrialRow::new(format!("load {load}"), policy)
         .with("goodput_share", all.served_share())
         .with("refused", all.refused as f64)
         .with("replica_share", {
-            on_replica.requests as f64 / (catalogue.requests + fresh.requests) as f64
+            on_replica.requests as f64 / (ordinary_reads.requests + fresh_reads.requests) as f64
         })
-        .with("read_mean_ms", catalogue.mean_ms)
-        .with("read_p99_ms", catalogue.p99_ms)
-        .with("fresh_read_mean_ms", fresh.mean_ms)
-        .with("fresh_read_p99_ms", fresh.p99_ms)
+        .with("read_mean_ms", ordinary_reads.mean_ms)
+        .with("read_p99_ms", ordinary_reads.p99_ms)
+        .with("fresh_read_mean_ms", fresh_reads.mean_ms)
+        .with("fresh_read_p99_ms", fresh_reads.p99_ms)
         .with("write_mean_ms", writes.mean_ms)
         .with("write_p99_ms", writes.p99_ms)
 }
 
-/// Plays everything at one instance, with the way there and back for what arrives at the others.
-fn play_home(requests: &[Request], seed: u64) -> Vec<Outcome> {
+/// Simulates all requests at one home instance, with an additional round trip for requests that
+/// arrive at other instances.
+fn simulate_home(requests: &[Request], seed: u64) -> Vec<Outcome> {
     let one_way = LINK / 2;
     let is_remote = |request: &Request| request.instance != 0;
     let mut forwarded: Vec<Request> = requests.to_vec();
@@ -116,18 +124,19 @@
         request.instance = 0;
     }
     forwarded.sort_by_key(|request| request.at);
-    let choice = PolicyChoice::Current(settings(LimitRule::Fixed(HOME_WINDOW)));
-    let mut outcomes = play(&group(1), &forwarded, choice, seed);
-    // Arrival order may have changed; bring the outcomes back into the order of the requests.
+    let choice = PolicyChoice::Current(settings(LimitRule::Fixed(HOME_IN_FLIGHT_MAX)));
+    let mut outcomes = simulate(&group(1), &forwarded, choice, seed);
+    // Forwarding may change the arrival order; restore the order of the requests.
     let mut order: Vec<usize> = (0..requests.len()).collect();
     order.sort_by_key(|&id| {
         requests[id].at + if is_remote(&requests[id]) { one_way } else { Duration::ZERO }
     });
-    let played = std::mem::take(&mut outcomes);
+    let unordered = std::mem::take(&mut outcomes);
     outcomes = vec![Outcome::default(); requests.len()];
-    for (outcome, id) in played.into_iter().zip(order) {
-        let back = if is_remote(&requests[id]) { one_way } else { Duration::ZERO };
-        outcomes[id] = Outcome { done: outcome.done.map(|done| done + back), ..outcome };
+    for (outcome, id) in unordered.into_iter().zip(order) {
+        let return_delay = if is_remote(&requests[id]) { one_way } else { Duration::ZERO };
+        outcomes[id] =
+            Outcome { responded_at: outcome.responded_at.map(|at| at + return_delay), ..outcome };
     }
     outcomes
 }
--- a/crates/rudder-decisions/examples/trials/summary.rs
+++ b/crates/rudder-decisions/examples/trials/summary.rs
@@ -27,20 +27,20 @@
     pub(crate) fn of(
         requests: &[Request],
         outcomes: &[Outcome],
-        belongs: impl Fn(&Request, &Outcome) -> bool,
+        selects: impl Fn(&Request, &Outcome) -> bool,
     ) -> Self {
         let mut summary = Self::default();
         let mut times = Vec::new();
         for (request, outcome) in requests.iter().zip(outcomes) {
-            if !belongs(request, outcome) {
+            if !selects(request, outcome) {
                 continue;
             }
             summary.requests += 1;
             summary.refused += usize::from(outcome.refused.is_some());
             summary.failed += usize::from(outcome.failed);
-            if let Some(done) = outcome.done.filter(|_| !outcome.failed) {
-                let time = done.saturating_sub(request.at);
-                summary.served += usize::from(time <= request.patience);
+            if let Some(responded_at) = outcome.responded_at.filter(|_| !outcome.failed) {
+                let time = responded_at.saturating_sub(request.at);
+                summary.served += usize::from(time <= request.timeout);
                 times.push(time);
             }
         }
--- a/crates/rudder-decisions/examples/trials/scenes.rs
+++ b/crates/rudder-decisions/examples/trials/workloads.rs
@@ -22,8 +22,8 @@
     vec![primary, member(1.0, 5, link, INSTANCES), member(0.4, 5, link, INSTANCES)]
 }
 
-/// Catalogue reads at 200 a second, and writes at this many times their ordinary 100 a second.
-pub(crate) fn rehearsal(write_factor: f64, seed: u64) -> Vec<Request> {
+/// Returns 200 reads per second, and writes at `write_factor` times their ordinary 100 per second.
+pub(crate) fn writes_among_reads(write_factor: f64, seed: u64) -> Vec<Request> {
     let rng = &mut StdRng::seed_from_u64(seed);
     let length = Duration::from_secs(30);
     let reads = ArrivalPattern::steady(200.0, length, INSTANCES);
@@ -40,7 +40,7 @@
 /// 1400 reads a second for replicas that serve 700; three in four come from one caller.
 pub(crate) fn busy_caller(seed: u64) -> Vec<Request> {
     let pattern = ArrivalPattern {
-        patience: Duration::from_secs(1),
+        timeout: Duration::from_secs(1),
         ..ArrivalPattern::steady(1400.0, Duration::from_secs(20), INSTANCES)
     };
     let mut requests = pattern.draw(&mut StdRng::seed_from_u64(seed));
@@ -56,7 +56,7 @@
     let rng = &mut StdRng::seed_from_u64(seed);
     let length = Duration::from_secs(60);
     let mut requests = ArrivalPattern::steady(250.0, length, INSTANCES).draw(rng);
-    let sample = requests[0].clone();
+    let template = requests[0].clone();
     for index in 0..60 {
         let batch_at = Duration::from_secs(2 + 10 * (index / 10));
         requests.push(Request {
@@ -66,9 +66,9 @@
             kind: "engineers",
             fingerprint: REPORT,
             service: Duration::from_secs(1),
-            patience: Duration::from_secs(30),
+            timeout: Duration::from_secs(30),
             queue_wait: Some(Duration::from_secs(20)),
-            ..sample.clone()
+            ..template.clone()
         });
     }
     requests.sort_by_key(|request| request.at);
@@ -79,7 +79,7 @@
 pub(crate) fn saturation(load: f64, seed: u64) -> Vec<Request> {
     let rate = capacity(&group()) * load;
     let pattern = ArrivalPattern {
-        patience: Duration::from_secs(1),
+        timeout: Duration::from_secs(1),
         ..ArrivalPattern::steady(rate, Duration::from_secs(20), INSTANCES)
     };
     let mut requests = pattern.draw(&mut StdRng::seed_from_u64(seed));
--- a/crates/rudder-decisions/tests/limits/fleet.rs
+++ b/crates/rudder-decisions/tests/limits/fleet.rs
@@ -12,42 +12,57 @@
 /// The step of the simulated time.
 const STEP: Duration = Duration::from_millis(5);
 
-const ANSWER_WAIT: Duration = Duration::from_millis(60);
-const CLAIM_WAIT: Duration = Duration::from_millis(600);
+/// Time after which a claim without a response is sent to the next owner of the plan.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time after which an operation whose claims got no decision is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long an owner that did not answer is passed over.
-const SILENT_TIME: Duration = Duration::from_millis(1000);
+/// Time for which an instance skips an owner that did not respond.
+const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
-/// How long an instance that starts takes until it hears from the fleet.
-const JOIN_TIME: Duration = Duration::from_millis(400);
+/// Time from the start of an instance to its first contact with the fleet.
+const JOIN_DELAY: Duration = Duration::from_millis(400);
 
 pub(crate) const BOUNDS: LimitBounds =
     LimitBounds { window: Duration::from_secs(5), overage_permille: 100, tolerance: 20 };
 
 struct SimInstance {
     name: InstanceName,
-    up: bool,
+    running: bool,
     suspended_until: Duration,
-    island: usize,
-    /// When it last heard from most instances.
-    joined_at: Option<Duration>,
-    lost_at: Option<Duration>,
+    /// Network partition; only instances of the same partition reach each other.
+    partition: usize,
+    /// Last time at which it reached a majority of the instances.
+    last_contact_at: Option<Duration>,
+    /// Last time at which it had no contact with the fleet, or its first check after a start.
+    contact_lost_at: Option<Duration>,
     started_at: Duration,
     ledger: LimitLedger,
     watch: OwnerWatch,
-    silent: RecentNotes<InstanceName>,
+    /// Owners that did not respond recently.
+    unresponsive: RecentNotes<InstanceName>,
 }
 
 #[derive(Clone, Copy)]
 enum SimMessage {
-    Claim { operation: usize, counts: bool },
-    Answer { operation: usize, verdict: ClaimVerdict },
-    ProbeAnswer { grants: bool },
+    /// Request for one operation, or a probe that asks whether the owner grants operations and
+    /// consumes none.
+    Claim {
+        operation: usize,
+        consumes: bool,
+    },
+    ClaimResponse {
+        operation: usize,
+        decision: ClaimVerdict,
+    },
+    ProbeResponse {
+        grants: bool,
+    },
 }
 
 #[derive(Clone, Copy)]
 struct SimDatagram {
-    due: Duration,
+    deliver_at: Duration,
     from: usize,
     to: usize,
     message: SimMessage,
@@ -55,11 +70,12 @@
 
 struct SimOperation {
     instance: usize,
-    began_at: Duration,
-    next_at: Duration,
+    started_at: Duration,
+    next_attempt_at: Duration,
     plan: ClaimPlan,
-    asked: Vec<usize>,
-    ended: bool,
+    /// Owners that were sent a claim and have not responded.
+    tried_owners: Vec<usize>,
+    finished: bool,
 }
 
 /// One run of a fleet.
@@ -71,26 +87,28 @@
     instances: Vec<SimInstance>,
     datagrams: Vec<SimDatagram>,
     operations: Vec<SimOperation>,
-    /// When operations ran.
-    pub(crate) granted: Vec<Duration>,
+    /// Times at which operations were granted.
+    pub(crate) granted_at: Vec<Duration>,
     pub(crate) refused: usize,
-    unheard: bool,
-    pub(crate) asked: usize,
+    /// Whether all instances are without contact with the store.
+    store_unreachable: bool,
+    /// Operations that were requested.
+    pub(crate) requested: usize,
 }
 
 impl SimFleet {
     pub(crate) fn new(seed: u64, count: usize, limit: OperationLimit) -> Self {
         let instance = |index: usize| SimInstance {
             name: format!("entry-{index}").parse().expect("a name"),
-            up: true,
+            running: true,
             suspended_until: Duration::ZERO,
-            island: 0,
-            joined_at: None,
-            lost_at: None,
+            partition: 0,
+            last_contact_at: None,
+            contact_lost_at: None,
             started_at: Duration::ZERO,
             ledger: LimitLedger::default(),
             watch: OwnerWatch::default(),
-            silent: RecentNotes::new(SILENT_TIME),
+            unresponsive: RecentNotes::new(SKIP_DURATION),
         };
         Self {
             random: SmallRng::seed_from_u64(seed),
@@ -100,22 +118,22 @@
             instances: (0..count).map(instance).collect(),
             datagrams: Vec::new(),
             operations: Vec::new(),
-            granted: Vec::new(),
+            granted_at: Vec::new(),
             refused: 0,
-            unheard: false,
-            asked: 0,
+            store_unreachable: false,
+            requested: 0,
         }
     }
 
-    /// Lets the fleet run, with so many operations a second at random instances.
-    pub(crate) fn run(&mut self, time: Duration, operations_per_s: f64) {
-        let until = self.now + time;
+    /// Runs the fleet for `duration` with `operations_per_s` operations at random instances.
+    pub(crate) fn run(&mut self, duration: Duration, operations_per_s: f64) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
-            self.join();
-            self.arrive(operations_per_s);
+            self.update_contact();
+            self.generate_arrivals(operations_per_s);
             self.deliver();
-            self.claim();
+            self.send_claims();
         }
     }
 
@@ -129,153 +147,159 @@
     }
 
     pub(crate) fn stop(&mut self, index: usize) {
-        self.instances[index].up = false;
+        self.instances[index].running = false;
     }
 
     pub(crate) fn start(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        instance.up = true;
-        instance.joined_at = None;
-        instance.lost_at = None;
+        instance.running = true;
+        instance.last_contact_at = None;
+        instance.contact_lost_at = None;
         instance.started_at = self.now;
         instance.ledger = LimitLedger::default();
         instance.watch = OwnerWatch::default();
-        instance.silent = RecentNotes::new(SILENT_TIME);
+        instance.unresponsive = RecentNotes::new(SKIP_DURATION);
         for operation in &mut self.operations {
-            operation.ended |= operation.instance == index;
+            operation.finished |= operation.instance == index;
         }
     }
 
-    pub(crate) fn suspend(&mut self, index: usize, time: Duration) {
-        self.instances[index].suspended_until = self.now + time;
+    pub(crate) fn suspend(&mut self, index: usize, duration: Duration) {
+        self.instances[index].suspended_until = self.now + duration;
     }
 
-    /// Puts an instance where it reaches only those of the same island.
-    pub(crate) fn cut(&mut self, index: usize, island: usize) {
-        self.instances[index].island = island;
+    /// Moves an instance to a network partition.
+    pub(crate) fn set_partition(&mut self, index: usize, partition: usize) {
+        self.instances[index].partition = partition;
     }
 
-    /// Whether no instance has a sign of the store.
-    pub(crate) fn set_unheard(&mut self, unheard: bool) {
-        self.unheard = unheard;
+    /// Sets whether all instances are without contact with the store.
+    pub(crate) fn set_store_unreachable(&mut self, store_unreachable: bool) {
+        self.store_unreachable = store_unreachable;
     }
 
-    pub(crate) fn any_instance(&mut self) -> usize {
+    pub(crate) fn random_instance(&mut self) -> usize {
         self.random.random_range(0..self.instances.len())
     }
 
-    pub(crate) fn chance(&mut self, probability: f64) -> bool {
+    pub(crate) fn random_bool(&mut self, probability: f64) -> bool {
         self.random.random_bool(probability)
     }
 
-    pub(crate) fn pause(&mut self, range_ms: std::ops::Range<u64>) -> Duration {
+    pub(crate) fn random_duration(&mut self, range_ms: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(range_ms))
     }
 
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn instance_count(&self) -> usize {
         self.instances.len()
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         let instance = &self.instances[index];
-        instance.up && self.now >= instance.suspended_until
+        instance.running && self.now >= instance.suspended_until
     }
 
-    /// An instance that reaches most of the fleet hears from it.
-    fn join(&mut self) {
-        if self.unheard {
+    /// While the store is reachable, records contact for each running instance that reaches a
+    /// majority of the fleet.
+    fn update_contact(&mut self) {
+        if self.store_unreachable {
             return;
         }
         for index in 0..self.instances.len() {
-            let island = self.instances[index].island;
-            let reached = (0..self.instances.len())
-                .filter(|other| self.runs(*other) && self.instances[*other].island == island);
-            let most = reached.count() * 2 > self.instances.len();
-            let settled = self.now >= self.instances[index].started_at + JOIN_TIME;
-            if most && settled && self.runs(index) {
-                self.instances[index].joined_at = Some(self.now);
+            let partition = self.instances[index].partition;
+            let reachable = (0..self.instances.len()).filter(|other| {
+                self.is_running(*other) && self.instances[*other].partition == partition
+            });
+            let majority = reachable.count() * 2 > self.instances.len();
+            let joined = self.now >= self.instances[index].started_at + JOIN_DELAY;
+            if majority && joined && self.is_running(index) {
+                self.instances[index].last_contact_at = Some(self.now);
             }
         }
     }
 
-    fn arrive(&mut self, operations_per_s: f64) {
+    /// Starts operations at random instances; operations at stopped instances are skipped.
+    fn generate_arrivals(&mut self, operations_per_s: f64) {
         let mut expected = operations_per_s * STEP.as_secs_f64();
         while expected > 0.0 {
             if self.random.random_bool(expected.min(1.0)) {
-                let instance = self.any_instance();
-                if self.runs(instance) {
-                    self.begin(instance);
+                let instance = self.random_instance();
+                if self.is_running(instance) {
+                    self.start_operation(instance);
                 }
             }
             expected -= 1.0;
         }
     }
 
-    fn begin(&mut self, instance: usize) {
-        self.asked += 1;
-        let known = &self.instances[instance].silent;
-        let silent: Vec<bool> = self
+    fn start_operation(&mut self, instance: usize) {
+        self.requested += 1;
+        let unresponsive = &self.instances[instance].unresponsive;
+        let unresponsive: Vec<bool> = self
             .owners()
             .into_iter()
-            .map(|owner| known.contains(&self.instances[owner].name, self.now))
+            .map(|owner| unresponsive.contains(&self.instances[owner].name, self.now))
             .collect();
         self.operations.push(SimOperation {
             instance,
-            began_at: self.now,
-            next_at: self.now,
-            plan: ClaimPlan::new(&silent),
-            asked: Vec::new(),
-            ended: false,
+            started_at: self.now,
+            next_attempt_at: self.now,
+            plan: ClaimPlan::new(&unresponsive),
+            tried_owners: Vec::new(),
+            finished: false,
         });
     }
 
-    fn claim(&mut self) {
+    /// Sends the next claim of each operation that is due, and refuses operations after the
+    /// timeout. An owner that is tried again without a response is recorded as unresponsive.
+    fn send_claims(&mut self) {
         let owners = self.owners();
         for operation in 0..self.operations.len() {
             let instance = self.operations[operation].instance;
-            let due = self.now >= self.operations[operation].next_at;
-            if self.operations[operation].ended || !due || !self.runs(instance) {
+            let is_due = self.now >= self.operations[operation].next_attempt_at;
+            if self.operations[operation].finished || !is_due || !self.is_running(instance) {
                 continue;
             }
-            if self.now >= self.operations[operation].began_at + CLAIM_WAIT {
-                self.operations[operation].ended = true;
+            if self.now >= self.operations[operation].started_at + CLAIM_TIMEOUT {
+                self.operations[operation].finished = true;
                 self.refused += 1;
                 continue;
             }
             let place = self.operations[operation].plan.next().expect("there are owners");
             let owner = owners[place];
-            if self.operations[operation].asked.contains(&owner) {
+            if self.operations[operation].tried_owners.contains(&owner) {
                 let name = self.instances[owner].name.clone();
-                self.instances[instance].silent.note(&name, self.now);
+                self.instances[instance].unresponsive.note(&name, self.now);
             }
-            self.operations[operation].asked.push(owner);
-            self.operations[operation].next_at = self.now + ANSWER_WAIT;
+            self.operations[operation].tried_owners.push(owner);
+            self.operations[operation].next_attempt_at = self.now + RESPONSE_TIMEOUT;
             if owner == instance {
-                let verdict = self.judge(owner, true);
-                self.end(operation, owner, verdict);
+                let decision = self.decide(owner, true);
+                self.complete_claim(operation, owner, decision);
             } else {
-                self.send(instance, owner, SimMessage::Claim { operation, counts: true });
+                self.send(instance, owner, SimMessage::Claim { operation, consumes: true });
             }
         }
     }
 
-    fn end(&mut self, operation: usize, owner: usize, verdict: ClaimVerdict) {
+    /// Applies the decision of an owner to an operation.
+    fn complete_claim(&mut self, operation: usize, owner: usize, decision: ClaimVerdict) {
         let instance = self.operations[operation].instance;
         let name = self.instances[owner].name.clone();
-        self.instances[instance].silent.forget(&name);
-        self.operations[operation].asked.retain(|asked| *asked != owner);
-        if self.operations[operation].ended {
+        self.instances[instance].unresponsive.forget(&name);
+        self.operations[operation].tried_owners.retain(|tried| *tried != owner);
+        if self.operations[operation].finished {
             return;
         }
-        match verdict {
-            ClaimVerdict::Granted => self.granted.push(self.now),
+        match decision {
+            ClaimVerdict::Granted => self.granted_at.push(self.now),
             ClaimVerdict::Spent(_) => self.refused += 1,
             ClaimVerdict::NotOwner => {
-                self.operations[operation].next_at = self.now + Duration::from_millis(10);
+                self.operations[operation].next_attempt_at = self.now + Duration::from_millis(10);
                 return;
             }
         }
-        self.operations[operation].ended = true;
+        self.operations[operation].finished = true;
     }
 
     fn send(&mut self, from: usize, to: usize, message: SimMessage) {
@@ -283,36 +307,38 @@
             return;
         }
         let delay = Duration::from_millis(self.random.random_range(1..30));
-        self.datagrams.push(SimDatagram { due: self.now + delay, from, to, message });
+        self.datagrams.push(SimDatagram { deliver_at: self.now + delay, from, to, message });
     }
 
     fn deliver(&mut self) {
         let (due, later) = std::mem::take(&mut self.datagrams)
             .into_iter()
-            .partition(|datagram| datagram.due <= self.now);
+            .partition(|datagram| datagram.deliver_at <= self.now);
         self.datagrams = later;
         for datagram in due {
-            let reached =
-                self.instances[datagram.from].island == self.instances[datagram.to].island;
-            if reached && self.runs(datagram.to) {
-                self.take(datagram);
+            let reachable =
+                self.instances[datagram.from].partition == self.instances[datagram.to].partition;
+            if reachable && self.is_running(datagram.to) {
+                self.receive(datagram);
             }
         }
     }
 
-    fn take(&mut self, datagram: SimDatagram) {
+    fn receive(&mut self, datagram: SimDatagram) {
         let SimDatagram { from, to, message, .. } = datagram;
         match message {
-            SimMessage::Claim { operation, counts: true } => {
-                let verdict = self.judge(to, true);
-                self.send(to, from, SimMessage::Answer { operation, verdict });
+            SimMessage::Claim { operation, consumes: true } => {
+                let decision = self.decide(to, true);
+                self.send(to, from, SimMessage::ClaimResponse { operation, decision });
+            }
+            SimMessage::Claim { consumes: false, .. } => {
+                let grants = self.decide(to, false) != ClaimVerdict::NotOwner;
+                self.send(to, from, SimMessage::ProbeResponse { grants });
             }
-            SimMessage::Claim { counts: false, .. } => {
-                let grants = self.judge(to, false) != ClaimVerdict::NotOwner;
-                self.send(to, from, SimMessage::ProbeAnswer { grants });
+            SimMessage::ClaimResponse { operation, decision } => {
+                self.complete_claim(operation, from, decision);
             }
-            SimMessage::Answer { operation, verdict } => self.end(operation, from, verdict),
-            SimMessage::ProbeAnswer { grants } => {
+            SimMessage::ProbeResponse { grants } => {
                 let owner = self.instances[from].name.clone();
                 let account = self.account.clone();
                 self.instances[to].watch.note_answer(&account, &owner, grants, self.now);
@@ -320,20 +346,22 @@
         }
     }
 
-    fn judge(&mut self, index: usize, counts: bool) -> ClaimVerdict {
+    /// Decides on a claim at the owner `index`, probing the owners ranked before it. For a probe
+    /// the decision is only whether the owner grants operations.
+    fn decide(&mut self, index: usize, consumes: bool) -> ClaimVerdict {
         let owners = self.owners();
         let place = owners.iter().position(|owner| *owner == index).expect("an owner");
         let mut standings = Vec::new();
         for earlier in &owners[..place] {
             let name = self.instances[*earlier].name.clone();
             if self.instances[index].watch.probe_is_due(&self.account, &name, self.now) {
-                self.send(index, *earlier, SimMessage::Claim { operation: 0, counts: false });
+                self.send(index, *earlier, SimMessage::Claim { operation: 0, consumes: false });
             }
             let watch = &self.instances[index].watch;
             standings.push(watch.standing(&self.account, &name, self.now));
         }
-        let role = OwnerRole::of(self.contact(index), &standings);
-        if !counts {
+        let role = OwnerRole::of(self.fleet_contact(index), &standings);
+        if !consumes {
             let grants = self.instances[index].ledger.grants(&self.account, role);
             return if grants { ClaimVerdict::Granted } else { ClaimVerdict::NotOwner };
         }
@@ -341,33 +369,33 @@
         self.instances[index].ledger.claim(&self.account, limit, BOUNDS, role, place, now)
     }
 
-    fn contact(&mut self, index: usize) -> FleetContact {
+    fn fleet_contact(&mut self, index: usize) -> FleetContact {
         let now = self.now;
         let instance = &mut self.instances[index];
-        let joined = instance.joined_at;
-        if joined.is_none_or(|at| now >= at + LimitBounds::joined_life()) {
-            instance.lost_at = Some(now);
+        let last_contact_at = instance.last_contact_at;
+        if last_contact_at.is_none_or(|at| now >= at + LimitBounds::joined_life()) {
+            instance.contact_lost_at = Some(now);
             return FleetContact::Lost;
         }
-        let settled_at = *instance.lost_at.get_or_insert(now) + BOUNDS.window;
+        let settled_at = *instance.contact_lost_at.get_or_insert(now) + BOUNDS.window;
         if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
     }
 
-    /// The most operations that ran in any window.
-    pub(crate) fn most_in_window(&self) -> u64 {
-        let mut most = 0;
+    /// Returns the greatest number of operations granted in any window.
+    pub(crate) fn max_in_window(&self) -> u64 {
+        let mut max_count = 0;
         let mut first = 0;
-        for (last, at) in self.granted.iter().enumerate() {
-            while self.granted[first] + BOUNDS.window <= *at {
+        for (last, at) in self.granted_at.iter().enumerate() {
+            while self.granted_at[first] + BOUNDS.window <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_count = max_count.max(last + 1 - first);
         }
-        most as u64
+        max_count as u64
     }
 
-    /// The most that may run in a window.
-    pub(crate) fn allowed(&self) -> u64 {
+    /// Returns the number of operations that may run in a window.
+    pub(crate) fn allowed_in_window(&self) -> u64 {
         let limit = self.limit.in_window(BOUNDS.window);
         limit + limit * u64::from(BOUNDS.overage_permille) / 1000 + u64::from(BOUNDS.tolerance)
     }
--- a/crates/rudder-decisions/tests/load/admission.rs
+++ b/crates/rudder-decisions/tests/load/admission.rs
@@ -31,8 +31,8 @@
     gate
 }
 
-fn refusal(verdict: AdmissionVerdict) -> RefusalCause {
-    match verdict {
+fn refusal_cause(decision: AdmissionVerdict) -> RefusalCause {
+    match decision {
         AdmissionVerdict::Refuse(reason) => reason.word,
         other => panic!("expected a refusal, got {other:?}"),
     }
@@ -41,19 +41,19 @@
 // A caller waits for a slot that never frees. The refusal must come when the wait is over, and the
 // ticket's later release by its owner must not free a slot that it never held.
 #[test]
-fn a_wait_ends_with_a_final_answer() {
+fn a_request_is_refused_when_its_wait_expires() {
     let (mut gate, now) = (gate(1), Instant::now());
     let rng = &mut StdRng::seed_from_u64(SEED);
     let running = gate.offer(&request(1, now), now, rng);
     let waiting = gate.offer(&request(2, now), now, rng);
     let expiry = gate.next_expiry().unwrap();
 
-    let early = gate.expire(expiry - Duration::from_nanos(1), rng);
+    let before_expiry = gate.expire(expiry - Duration::from_nanos(1), rng);
     let notices = gate.expire(expiry, rng);
 
     let AdmissionVerdict::Wait(ticket) = waiting else { panic!("{waiting:?}") };
     assert!(matches!(running, AdmissionVerdict::Run(_)));
-    assert!(early.is_empty());
+    assert!(before_expiry.is_empty());
     assert_eq!(expiry, now + Duration::from_millis(200));
     assert_eq!(notices.len(), 1);
     assert!(matches!(notices[0].outcome, TicketOutcome::Refuse(reason)
@@ -64,7 +64,7 @@
 
 // A member's window grows while requests wait for it. Those that waited go before a newcomer.
 #[test]
-fn a_raised_limit_serves_the_waiting_first() {
+fn a_raised_limit_serves_waiting_requests_first() {
     let (mut gate, now) = (gate(1), Instant::now());
     let rng = &mut StdRng::seed_from_u64(SEED);
     gate.offer(&request(1, now), now, rng);
@@ -81,43 +81,44 @@
 }
 
 #[test]
-fn one_caller_cannot_use_up_its_kinds_limit() {
+fn one_caller_cannot_exhaust_the_limit_of_its_kind() {
     let (mut gate, now) = (gate(100), Instant::now());
     let rng = &mut StdRng::seed_from_u64(SEED);
-    let offer_of = |caller| AdmissionRequest { in_flight_max: 4, ..request(caller, now) };
+    let request_of = |caller| AdmissionRequest { in_flight_max: 4, ..request(caller, now) };
 
-    let busy: Vec<AdmissionVerdict> = (0..4).map(|_| gate.offer(&offer_of(1), now, rng)).collect();
-    let other = gate.offer(&offer_of(2), now, rng);
-    let beyond = gate.offer(&offer_of(3), now, rng);
+    let busy: Vec<AdmissionVerdict> =
+        (0..4).map(|_| gate.offer(&request_of(1), now, rng)).collect();
+    let other = gate.offer(&request_of(2), now, rng);
+    let over_limit = gate.offer(&request_of(3), now, rng);
 
-    assert_eq!(refusal(busy[3]), RefusalCause::CallerLimit);
+    assert_eq!(refusal_cause(busy[3]), RefusalCause::CallerLimit);
     assert!(matches!(other, AdmissionVerdict::Run(_)));
-    assert_eq!(refusal(beyond), RefusalCause::KindLimit);
+    assert_eq!(refusal_cause(over_limit), RefusalCause::KindLimit);
 }
 
 // A thousand callers are refused in the same instant. Told the same time, they would all return
 // together and be refused together again.
 #[test]
-fn refused_callers_are_told_different_times() {
+fn retry_delays_of_refused_callers_are_spread() {
     let (mut gate, now) = (gate(2), Instant::now());
     let rng = &mut StdRng::seed_from_u64(SEED);
 
-    let mut returns: Vec<Duration> = (0..1000)
+    let mut retry_delays: Vec<Duration> = (0..1000)
         .filter_map(|caller| match gate.offer(&request(caller, now), now, rng) {
             AdmissionVerdict::Refuse(reason) => Some(reason.retry_after),
             _ => None,
         })
         .collect();
 
-    returns.sort_unstable();
-    let most_in_100_ms = returns
+    retry_delays.sort_unstable();
+    let most_in_100_ms = retry_delays
         .iter()
         .map(|first| {
             let last = *first + Duration::from_millis(100);
-            returns.iter().filter(|at| **at >= *first && **at < last).count()
+            retry_delays.iter().filter(|at| **at >= *first && **at < last).count()
         })
         .max();
-    assert!(returns.len() > 900);
-    // Two slots of 10 ms serve 20 in 100 ms; the jitter may draw a few of them together.
+    assert!(retry_delays.len() > 900);
+    // Two slots serve 20 requests of 10 ms each in 100 ms; random delays may exceed this somewhat.
     assert!(most_in_100_ms.unwrap() <= 40, "{most_in_100_ms:?}");
 }
--- a/crates/rudder-decisions/tests/load/burst.rs
+++ b/crates/rudder-decisions/tests/load/burst.rs
@@ -1,9 +1,9 @@
 use super::current::PolicySettings;
 use super::model::Request;
-use super::scenes::rehearsal;
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
-use super::{SEED, group, play_both};
+use super::workloads::writes_among_reads;
+use super::{SEED, group, simulate_both};
 use rudder_decisions::WorkClass;
 use std::time::Duration;
 
@@ -21,15 +21,16 @@
 // In rehearsal week every conservatory orders at once. A copyist looks up the catalogue meanwhile
 // and must not notice: the orders fill the primary, and the catalogue is read from the replicas.
 #[test]
-fn a_burst_of_writes_leaves_catalogue_reads_alone() {
-    let (calm, busy) = (rehearsal(1.0, SEED), rehearsal(4.5, SEED));
+fn a_burst_of_writes_does_not_delay_reads() {
+    let (ordinary, burst) = (writes_among_reads(1.0, SEED), writes_among_reads(4.5, SEED));
 
-    let (calm_now, _) = play_both(&group(), &calm, PolicySettings::default());
-    let (busy_now, busy_plain) = play_both(&group(), &busy, PolicySettings::default());
+    let (ordinary_current, _) = simulate_both(&group(), &ordinary, PolicySettings::default());
+    let (burst_current, burst_baseline) =
+        simulate_both(&group(), &burst, PolicySettings::default());
 
-    let ordinary = p99_of_reads(&calm, &calm_now);
-    assert!(p99_of_reads(&busy, &busy_now) <= 1.5 * ordinary);
-    assert!(p99_of_reads(&busy, &busy_plain) > 1.5 * ordinary);
+    let ordinary_p99_ms = p99_of_reads(&ordinary, &ordinary_current);
+    assert!(p99_of_reads(&burst, &burst_current) <= 1.5 * ordinary_p99_ms);
+    assert!(p99_of_reads(&burst, &burst_baseline) > 1.5 * ordinary_p99_ms);
 }
 
 // A session reads its own order back at once, so the read must go to the primary, just when the
@@ -38,22 +39,25 @@
 fn reads_at_the_primary_do_not_queue_behind_a_burst_of_writes() {
     let mut members = group();
     members.iter_mut().for_each(|member| member.lag = Duration::from_millis(200));
-    let requests = with_fresh_reads(rehearsal(5.5, SEED));
+    let requests = with_fresh_reads(writes_among_reads(5.5, SEED));
     let settings =
         PolicySettings { queue_wait: Duration::from_secs(1), ..PolicySettings::default() };
 
-    let (now, plain) = play_both(&members, &requests, settings);
-    let unreserved = PolicySettings { reserved: false, ..settings };
-    let unreserved = play(&members, &requests, PolicyChoice::Current(unreserved), SEED);
+    let (current, baseline) = simulate_both(&members, &requests, settings);
+    let unreserved = PolicySettings { slots_reserved: false, ..settings };
+    let unreserved = simulate(&members, &requests, PolicyChoice::Current(unreserved), SEED);
 
     let fresh = |request: &Request, _: &super::model::Outcome| request.floor.is_some();
-    let fresh_now = LoadSummary::of(&requests, &now, fresh);
-    let fresh_plain = LoadSummary::of(&requests, &plain, fresh);
-    assert!(fresh_now.served_share() > 0.95, "{fresh_now:?}");
-    assert!(fresh_now.p99_ms * 4.0 < fresh_plain.p99_ms, "{fresh_now:?} {fresh_plain:?}");
+    let fresh_current = LoadSummary::of(&requests, &current, fresh);
+    let fresh_baseline = LoadSummary::of(&requests, &baseline, fresh);
+    assert!(fresh_current.served_share() > 0.95, "{fresh_current:?}");
+    assert!(
+        fresh_current.p99_ms * 4.0 < fresh_baseline.p99_ms,
+        "{fresh_current:?} {fresh_baseline:?}"
+    );
     let fresh_unreserved = LoadSummary::of(&requests, &unreserved, fresh);
     assert!(
-        fresh_now.p99_ms * 1.25 < fresh_unreserved.p99_ms,
-        "{fresh_now:?} {fresh_unreserved:?}"
+        fresh_current.p99_ms * 1.25 < fresh_unreserved.p99_ms,
+        "{fresh_current:?} {fresh_unreserved:?}"
     );
 }
--- a/crates/rudder-decisions/tests/load/busy_caller.rs
+++ b/crates/rudder-decisions/tests/load/busy_caller.rs
@@ -1,30 +1,36 @@
 use super::current::PolicySettings;
 use super::model::{Outcome, Request};
-use super::scenes::{BUSY_CALLER, busy_caller};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
+use super::workloads::{BUSY_CALLER, busy_caller};
 use super::{SEED, group};
 use std::time::Duration;
 
-fn others(request: &Request, _: &Outcome) -> bool {
+fn is_other_caller(request: &Request, _: &Outcome) -> bool {
     request.caller != BUSY_CALLER
 }
 
 // One conservatory's script asks for the whole catalogue in a loop. Without turns its requests
 // stand before everybody's, and copyists elsewhere wait for a script that nobody is waiting for.
 #[test]
-fn a_busy_caller_does_not_crowd_out_the_others() {
+fn a_busy_caller_does_not_starve_other_callers() {
     let requests = busy_caller(SEED);
     let settings =
         PolicySettings { queue_wait: Duration::from_millis(800), ..PolicySettings::default() };
 
-    let now = play(&group(), &requests, PolicyChoice::Current(settings), SEED);
-    let fifo = play(&group(), &requests, PolicyChoice::SharedQueue, SEED);
+    let current = simulate(&group(), &requests, PolicyChoice::Current(settings), SEED);
+    let fifo = simulate(&group(), &requests, PolicyChoice::SharedQueue, SEED);
 
-    let (others_now, others_fifo) =
-        (LoadSummary::of(&requests, &now, others), LoadSummary::of(&requests, &fifo, others));
-    assert!(others_now.served_share() > 0.95, "{others_now:?}");
+    let (others_current, others_fifo) = (
+        LoadSummary::of(&requests, &current, is_other_caller),
+        LoadSummary::of(&requests, &fifo, is_other_caller),
+    );
+    assert!(others_current.served_share() > 0.95, "{others_current:?}");
     assert!(others_fifo.served_share() < 0.5, "{others_fifo:?}");
-    let busy_now = LoadSummary::of(&requests, &now, |request, _| request.caller == BUSY_CALLER);
-    assert!(busy_now.served_share() > 0.2, "the busy caller still gets what is left: {busy_now:?}");
+    let busy_current =
+        LoadSummary::of(&requests, &current, |request, _| request.caller == BUSY_CALLER);
+    assert!(
+        busy_current.served_share() > 0.2,
+        "the busy caller gets the remaining capacity: {busy_current:?}"
+    );
 }
--- a/crates/rudder-decisions/tests/load/connection_share.rs
+++ b/crates/rudder-decisions/tests/load/connection_share.rs
@@ -22,11 +22,10 @@
 }
 
 #[test]
-fn the_shares_are_all_that_a_member_takes_and_no_more() {
-    // Over its cap a member closes connections, and each caller that tries again costs another
-    // one its place: thirty thousand closed connections in half a minute. Under it, callers are
-    // refused at one instance although the member would take their connections: rounding each
-    // share down left 7 of 18 to nobody.
+fn shares_add_up_to_the_connections_of_a_member() {
+    // Beyond its limit a member closes connections, and each retry displaces another connection:
+    // thirty thousand were closed in half a minute. If each share is rounded down, connections
+    // stay unused while callers are refused: 7 of 18.
     for connections_max in 13..80 {
         let sum: u32 = limits(connections_max, "db-1", 9).iter().sum();
         assert_eq!(sum, connections_max - RESERVE, "of {connections_max}");
@@ -45,24 +44,24 @@
 }
 
 #[test]
-fn what_is_left_over_goes_to_others_at_each_member() {
-    // One instance has a connection more to every member of every service, and the same one always
-    // has fewer.
-    let first_of = |member: &str| limits(25, member, 9).iter().position(|limit| *limit == 3);
-    let firsts: Vec<_> = ["db-1", "db-2", "db-3", "db-4"].map(first_of).to_vec();
+fn remainders_go_to_different_instances_at_each_member() {
+    // Otherwise the same instance would have one connection more to every member of every service.
+    let first_with_remainder =
+        |member: &str| limits(25, member, 9).iter().position(|limit| *limit == 3);
+    let holders: Vec<_> = ["db-1", "db-2", "db-3", "db-4"].map(first_with_remainder).to_vec();
 
-    assert!(firsts.iter().any(|first| *first != firsts[0]), "{firsts:?}");
+    assert!(holders.iter().any(|first| *first != holders[0]), "{holders:?}");
 }
 
 #[test]
-fn with_more_instances_than_connections_each_may_hold_one_while_it_needs_it() {
+fn each_instance_has_one_connection_when_instances_outnumber_connections() {
     assert!(limits(30, "db-1", 70).iter().all(|limit| *limit == 1));
 }
 
 #[test]
-fn strange_settings_leave_each_instance_a_connection() {
-    // An operator's file says that a member takes no connections, or one; work goes on, as the
-    // member itself refuses what it does not take.
+fn extreme_settings_leave_each_instance_one_connection() {
+    // With fewer connections configured than are reserved, each instance still opens one, as the
+    // member itself refuses connections beyond its limit.
     for connections_max in [0, 1, RESERVE] {
         assert!(limits(connections_max, "db-1", 3).iter().all(|limit| *limit == 1));
     }
@@ -70,7 +69,7 @@
 }
 
 #[test]
-fn an_instance_that_is_in_no_list_may_hold_one() {
+fn an_unlisted_instance_has_one_connection() {
     let newcomer = "newcomer".parse().expect("a name");
     let member = "db-1".parse().expect("a name");
 
--- a/crates/rudder-decisions/tests/load/detection.rs
+++ b/crates/rudder-decisions/tests/load/detection.rs
@@ -7,8 +7,9 @@
     SilenceDetector::new(SuspicionBound::around(Duration::from_millis(600)), INTERVAL, start)
 }
 
-/// Plays answers with these gaps and returns how often the member was suspect before one came.
-fn false_alarms(detector: &mut SilenceDetector, start: Instant, gaps_ms: &[u64]) -> usize {
+/// Records responses with these gaps and returns how often the member was suspect before a
+/// response.
+fn count_false_alarms(detector: &mut SilenceDetector, start: Instant, gaps_ms: &[u64]) -> usize {
     let mut now = start;
     let mut alarms = 0;
     for gap_ms in gaps_ms {
@@ -22,38 +23,38 @@
 // A link loses two packets in a row now and then, so an answer comes 700 ms late. A fixed bound of
 // 600 ms suspects the living primary each time; the learned one only the first time.
 #[test]
-fn a_pause_that_recurs_is_learned() {
+fn a_recurring_pause_raises_the_bound() {
     let start = Instant::now();
     let gaps: Vec<u64> = (0..400).map(|index| if index % 40 == 39 { 700 } else { 250 }).collect();
 
-    let learned = false_alarms(&mut detector(start), start, &gaps);
-    let fixed = gaps.iter().filter(|gap| **gap > 600).count();
+    let learned_alarms = count_false_alarms(&mut detector(start), start, &gaps);
+    let fixed_alarms = gaps.iter().filter(|gap| **gap > 600).count();
 
-    assert_eq!(learned, 1);
-    assert_eq!(fixed, 10);
+    assert_eq!(learned_alarms, 1);
+    assert_eq!(fixed_alarms, 10);
 }
 
 // An hour after an outage of a minute the primary dies. The outage must not have taught the
 // detector to wait a minute.
 #[test]
-fn an_outage_is_not_taken_for_the_links_nature() {
+fn an_outage_does_not_raise_the_bound_permanently() {
     let start = Instant::now();
     let mut detector = detector(start);
     let mut gaps = vec![250, 60_000];
     gaps.extend(std::iter::repeat_n(250, 4 * 3600));
 
-    false_alarms(&mut detector, start, &gaps);
+    count_false_alarms(&mut detector, start, &gaps);
 
     assert_eq!(detector.bound(), Duration::from_millis(600));
 }
 
 #[test]
-fn a_dead_member_is_suspect_within_the_ceiling() {
+fn a_silent_member_is_suspect_within_the_ceiling() {
     let start = Instant::now();
     let mut detector = detector(start);
 
-    false_alarms(&mut detector, start, &[1100, 900, 1300, 250]);
+    count_false_alarms(&mut detector, start, &[1100, 900, 1300, 250]);
 
-    let last = start + Duration::from_millis(3550);
-    assert!(detector.is_suspect(last + Duration::from_millis(1201)));
+    let last_response = start + Duration::from_millis(3550);
+    assert!(detector.is_suspect(last_response + Duration::from_millis(1201)));
 }
--- a/crates/rudder-decisions/tests/load/dial_gate.rs
+++ b/crates/rudder-decisions/tests/load/dial_gate.rs
@@ -5,56 +5,63 @@
 
 const INSTANCES: usize = 9;
 
-/// How long the member still counts the lost connections.
-const LINGER: Duration = Duration::from_millis(1100);
+/// Time for which the member still counts the stale connections.
+const STALE_CONNECTIONS_DURATION: Duration = Duration::from_millis(1100);
 
-/// What the instances came to.
-struct ReturnReport {
+/// Result of all instances.
+struct DialSummary {
+    /// Refused dials of all instances.
     refused: u32,
-    /// When each instance had its first connection.
-    served_at: Vec<Duration>,
+    /// Time of the first connection of each instance.
+    connected_at: Vec<Duration>,
 }
 
-/// All instances return at once, and at each of them a caller wants to dial in every millisecond.
-fn play_return() -> ReturnReport {
+/// Simulates instances that all restart at the same time, each with a caller that needs a
+/// connection in every millisecond.
+fn simulate_return() -> DialSummary {
     let start = Instant::now();
     let mut gates = vec![DialGate::default(); INSTANCES];
-    let mut report = ReturnReport { refused: 0, served_at: Vec::new() };
-    let mut served = [false; INSTANCES];
+    let mut summary = DialSummary { refused: 0, connected_at: Vec::new() };
+    let mut connected = [false; INSTANCES];
     for millisecond in 0..2000 {
         let elapsed = Duration::from_millis(millisecond);
         let now = start + elapsed;
-        for (gate, served) in gates.iter_mut().zip(&mut served) {
-            if *served || !gate.try_begin(now) {
+        for (gate, connected) in gates.iter_mut().zip(&mut connected) {
+            if *connected || !gate.try_begin(now) {
                 continue;
             }
-            if elapsed < LINGER {
+            if elapsed < STALE_CONNECTIONS_DURATION {
                 gate.note_failure(DialFailure::ConnectionLimit, now);
-                report.refused += 1;
+                summary.refused += 1;
             } else {
                 gate.note_success();
-                *served = true;
-                report.served_at.push(elapsed);
+                *connected = true;
+                summary.connected_at.push(elapsed);
             }
         }
     }
-    report
+    summary
 }
 
 #[test]
-fn a_full_member_is_tried_a_few_times_by_each_instance() {
-    // After a loss of power all instances come back together, and the members refuse them for a
-    // second. Without pauses each waiting caller dials: thousands of refused dials.
-    let report = play_return();
+fn each_instance_dials_a_full_member_only_a_few_times() {
+    // After a power loss all instances restart together, and the members refuse them for a second.
+    // Without a backoff each waiting caller dials, which gives thousands of refused dials.
+    let summary = simulate_return();
 
-    assert!(report.refused <= 8 * INSTANCES as u32, "{}", report.refused);
+    assert!(summary.refused <= 8 * INSTANCES as u32, "{}", summary.refused);
 }
 
 #[test]
-fn a_member_that_has_room_again_is_found_by_all() {
-    // Pauses that grow without end would leave the members idle after they have room again.
-    let report = play_return();
+fn all_instances_connect_soon_after_a_full_member_has_room() {
+    // An unlimited backoff would leave members idle after they accept connections again.
+    let summary = simulate_return();
 
-    assert_eq!(report.served_at.len(), INSTANCES);
-    assert!(report.served_at.iter().all(|at| *at <= LINGER + Duration::from_millis(200)));
+    assert_eq!(summary.connected_at.len(), INSTANCES);
+    assert!(
+        summary
+            .connected_at
+            .iter()
+            .all(|at| *at <= STALE_CONNECTIONS_DURATION + Duration::from_millis(200))
+    );
 }
--- a/crates/rudder-decisions/tests/load/gate_invariants.rs
+++ b/crates/rudder-decisions/tests/load/gate_invariants.rs
@@ -14,7 +14,7 @@
 enum GateStep {
     Offer { caller: u64, write: bool, long: bool, shed: bool, wait_ms: u64 },
     Release(usize),
-    Pass { ms: u64 },
+    Advance { ms: u64 },
     Resize { slots: u32 },
 }
 
@@ -29,9 +29,9 @@
         },
     );
     let release = any::<usize>().prop_map(GateStep::Release);
-    let pass = (1..100_u64).prop_map(|ms| GateStep::Pass { ms });
+    let advance = (1..100_u64).prop_map(|ms| GateStep::Advance { ms });
     let resize = (1..6_u32).prop_map(|slots| GateStep::Resize { slots });
-    vec(prop_oneof![6 => offer, 4 => release, 2 => pass, 1 => resize], 1..200)
+    vec(prop_oneof![6 => offer, 4 => release, 2 => advance, 1 => resize], 1..200)
 }
 
 fn lane() -> LaneKey {
@@ -69,7 +69,7 @@
         self.slots = slots;
         self.gate.set_lane(&lane(), LaneLimits { slots, queue_max: 20, mixed: true });
         let notices = self.gate.expire(self.now, &mut self.rng);
-        self.take(&notices);
+        self.apply_notices(&notices);
     }
 
     fn step(&mut self, step: &GateStep) {
@@ -92,27 +92,27 @@
                     AdmissionVerdict::Refuse(_) => {}
                 }
             }
-            GateStep::Release(pick) => {
+            GateStep::Release(index) => {
                 if !self.running.is_empty() {
-                    let ticket = self.running.swap_remove(pick % self.running.len());
+                    let ticket = self.running.swap_remove(index % self.running.len());
                     let notices = self.gate.release(ticket, self.now, &mut self.rng);
-                    self.take(&notices);
+                    self.apply_notices(&notices);
                 }
             }
-            GateStep::Pass { ms } => {
+            GateStep::Advance { ms } => {
                 self.now += Duration::from_millis(ms);
                 let notices = self.gate.expire(self.now, &mut self.rng);
-                self.take(&notices);
+                self.apply_notices(&notices);
             }
             GateStep::Resize { slots } => self.resize(slots),
         }
     }
 
-    /// Every notice must concern a ticket that waits, and ends its wait.
-    fn take(&mut self, notices: &[TicketNotice]) {
+    /// Applies notices; each must refer to a waiting ticket and ends its wait.
+    fn apply_notices(&mut self, notices: &[TicketNotice]) {
         for notice in notices {
             let found = self.waiting.iter().position(|ticket| *ticket == notice.ticket);
-            self.waiting.swap_remove(found.expect("a notice names a ticket that waits"));
+            self.waiting.swap_remove(found.expect("a notice must refer to a waiting ticket"));
             if notice.outcome == TicketOutcome::Run {
                 self.running.push(notice.ticket);
             }
@@ -122,7 +122,7 @@
 
 proptest! {
     #[test]
-    fn every_ticket_has_one_fate_and_no_slot_is_given_twice(steps in steps()) {
+    fn every_ticket_has_one_outcome_and_no_slot_is_granted_twice(steps in steps()) {
         let mut run = GateRun::new();
 
         for step in &steps {
@@ -139,6 +139,6 @@
         while !run.running.is_empty() {
             run.step(&GateStep::Release(0));
         }
-        prop_assert!(run.waiting.is_empty(), "what waits is served once slots are free");
+        prop_assert!(run.waiting.is_empty(), "waiting requests are served once slots are free");
     }
 }
--- a/crates/rudder-decisions/tests/load/long_work.rs
+++ b/crates/rudder-decisions/tests/load/long_work.rs
@@ -1,9 +1,9 @@
 use super::current::PolicySettings;
 use super::model::{Outcome, Request};
-use super::scenes::{REPORT, group, long_among_short};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
-use super::{SEED, play_both};
+use super::workloads::{REPORT, group, long_among_short};
+use super::{SEED, simulate_both};
 use rudder_decisions::{WorkEstimate, WorkSize};
 use std::time::Duration;
 
@@ -17,35 +17,42 @@
 #[test]
 fn reports_leave_room_for_short_reads_and_still_finish() {
     let requests = long_among_short(SEED);
-    let without_sizes = PolicySettings { sized: false, ..PolicySettings::default() };
+    let without_sizes = PolicySettings { sizes_estimated: false, ..PolicySettings::default() };
 
-    let (now, plain) = play_both(&group(), &requests, PolicySettings::default());
-    let mixed = play(&group(), &requests, PolicyChoice::Current(without_sizes), SEED);
+    let (current, baseline) = simulate_both(&group(), &requests, PolicySettings::default());
+    let without_estimates =
+        simulate(&group(), &requests, PolicyChoice::Current(without_sizes), SEED);
 
-    let short_now = LoadSummary::of(&requests, &now, is_short);
-    let short_mixed = LoadSummary::of(&requests, &mixed, is_short);
-    let short_plain = LoadSummary::of(&requests, &plain, is_short);
-    assert!(short_now.p99_ms * 1.5 < short_mixed.p99_ms, "{short_now:?} {short_mixed:?}");
-    assert!(short_now.p99_ms * 2.0 < short_plain.p99_ms, "{short_now:?} {short_plain:?}");
+    let short_current = LoadSummary::of(&requests, &current, is_short);
+    let short_unsized = LoadSummary::of(&requests, &without_estimates, is_short);
+    let short_baseline = LoadSummary::of(&requests, &baseline, is_short);
+    assert!(
+        short_current.p99_ms * 1.5 < short_unsized.p99_ms,
+        "{short_current:?} {short_unsized:?}"
+    );
+    assert!(
+        short_current.p99_ms * 2.0 < short_baseline.p99_ms,
+        "{short_current:?} {short_baseline:?}"
+    );
     let report = |request: &Request, _: &Outcome| request.fingerprint == REPORT;
-    let reports = LoadSummary::of(&requests, &now, report);
+    let reports = LoadSummary::of(&requests, &current, report);
     assert!(reports.served_share() > 0.99, "{reports:?}");
 }
 
 // Everything takes twenty times as long for a while, because a member is overloaded. If lookups now
 // counted as long work, the cap on long work would hold them back and lengthen the overload.
 #[test]
-fn an_overload_makes_no_statement_long() {
+fn an_overload_does_not_make_statements_count_as_long() {
     let mut estimate = WorkEstimate::new();
     let lookup_ms = |index: u64| if index < 200 { 10 } else { 200 };
 
-    let mut long = 0;
+    let mut long_count = 0;
     for index in 0..600 {
         estimate.observe(index % 3, Duration::from_millis(lookup_ms(index)));
-        long += u32::from(estimate.size(index % 3) == WorkSize::Long);
+        long_count += u32::from(estimate.size(index % 3) == WorkSize::Long);
     }
     estimate.observe(REPORT, Duration::from_secs(20));
 
-    assert_eq!(long, 0);
+    assert_eq!(long_count, 0);
     assert_eq!(estimate.size(REPORT), WorkSize::Long);
 }
--- a/crates/rudder-decisions/tests/load/main.rs
+++ b/crates/rudder-decisions/tests/load/main.rs
@@ -7,19 +7,19 @@
 mod arrivals;
 #[path = "../../examples/trials/baseline.rs"]
 mod baseline;
-#[allow(dead_code, reason = "the example also plays what was tried and not taken")]
+#[allow(dead_code, reason = "only the example uses the alternatives that the proxy does not use")]
 #[path = "../../examples/trials/current.rs"]
 mod current;
 #[allow(dead_code, reason = "only the example counts how often a request was sent")]
 #[path = "../../examples/trials/model.rs"]
 mod model;
-#[path = "../../examples/trials/scenes.rs"]
-mod scenes;
-#[allow(dead_code, reason = "the example also plays what was tried and not taken")]
+#[allow(dead_code, reason = "only the example uses the alternatives that the proxy does not use")]
 #[path = "../../examples/trials/setup.rs"]
 mod setup;
 #[path = "../../examples/trials/summary.rs"]
 mod summary;
+#[path = "../../examples/trials/workloads.rs"]
+mod workloads;
 
 mod admission;
 mod burst;
@@ -38,19 +38,19 @@
 mod wait_queue;
 
 use model::{MemberSpec, Outcome, Request};
-use scenes::{INSTANCES, group};
-use setup::{PolicyChoice, play};
+use setup::{PolicyChoice, simulate};
+use workloads::{INSTANCES, group};
 
 /// The seed of every run.
 const SEED: u64 = 11;
 
-/// Plays the requests with the current decisions, then with round robin.
-fn play_both(
+/// Simulates the requests with the current decisions and with round robin, in this order.
+fn simulate_both(
     members: &[MemberSpec],
     requests: &[Request],
     settings: current::PolicySettings,
 ) -> (Vec<Outcome>, Vec<Outcome>) {
-    let current = play(members, requests, PolicyChoice::Current(settings), SEED);
-    let plain = play(members, requests, PolicyChoice::RoundRobin, SEED);
-    (current, plain)
+    let current = simulate(members, requests, PolicyChoice::Current(settings), SEED);
+    let baseline = simulate(members, requests, PolicyChoice::RoundRobin, SEED);
+    (current, baseline)
 }
--- a/crates/rudder-decisions/tests/load/recovery.rs
+++ b/crates/rudder-decisions/tests/load/recovery.rs
@@ -5,8 +5,8 @@
 use rudder_decisions::{MemberWeight, OutlierTracker, ReconnectPacer, RetryBudget, WorkClass};
 use std::time::{Duration, Instant};
 
-/// Most of the times that fall within any 100 ms.
-fn most_in_100_ms(times: &[Duration]) -> usize {
+/// Returns the greatest number of times within any 100 ms.
+fn max_in_100_ms(times: &[Duration]) -> usize {
     let window = Duration::from_millis(100);
     let within =
         |first: &Duration| times.iter().filter(|at| *at >= first && **at < *first + window).count();
@@ -16,7 +16,7 @@
 // The primary dies under 1000 reads in flight. Sent three times each, they are 3000 on a group
 // that has just lost a member, and the overload makes the next ones fail too.
 #[test]
-fn a_failure_does_not_multiply_the_load() {
+fn retries_after_a_failure_are_limited() {
     let mut budget = RetryBudget::new();
     (0..500).for_each(|_| budget.succeed());
 
@@ -25,12 +25,12 @@
     (0..1000).for_each(|_| budget.succeed());
 
     assert_eq!(retries, 15);
-    assert!(budget.try_spend(WorkClass::Read, OutcomeClass::NotRun), "successes earn retries");
+    assert!(budget.try_spend(WorkClass::Read, OutcomeClass::NotRun), "successes refill the budget");
 }
 
 // A crack report was sent and its answer was lost. Sent again, it books a second gang.
 #[test]
-fn a_write_of_unknown_outcome_is_never_sent_again() {
+fn a_write_of_unknown_outcome_is_never_retried() {
     let mut budget = RetryBudget::new();
 
     let allowed = budget.try_spend(WorkClass::Write, OutcomeClass::Unknown);
@@ -42,27 +42,27 @@
 // A new primary is confirmed and 570 instances connect to it in the same round trip. At 12 ms each
 // and four at a time it needs 1.7 s for them; whoever times out tries again and adds to the crowd.
 #[test]
-fn reconnections_spread_over_the_time_that_they_need() {
+fn reconnections_are_spread_over_time() {
     let rng = &mut StdRng::seed_from_u64(SEED);
 
-    let first: Vec<Duration> =
+    let first_tries: Vec<Duration> =
         (0..570).map(|_| ReconnectPacer::new().first_try(570, rng)).collect();
-    let repeated: Vec<Duration> = (0..570)
+    let retries: Vec<Duration> = (0..570)
         .map(|_| {
             let mut pacer = ReconnectPacer::new();
             (0..6).map(|_| pacer.after_failure(rng)).sum()
         })
         .collect();
 
-    assert!(most_in_100_ms(&first) < 2 * 34, "33 are served in 100 ms");
-    assert!(most_in_100_ms(&repeated) < 100, "tries after failures stay apart");
-    assert!(first.iter().all(|at| *at <= Duration::from_secs(2)));
+    assert!(max_in_100_ms(&first_tries) < 2 * 34, "the primary accepts 33 connections in 100 ms");
+    assert!(max_in_100_ms(&retries) < 100, "retries are spread over time");
+    assert!(first_tries.iter().all(|at| *at <= Duration::from_secs(2)));
 }
 
 // This instance's own link breaks, so every member fails at once. Turned down all alike, none
 // would be left to serve when the link returns.
 #[test]
-fn the_last_member_is_never_turned_down() {
+fn at_least_one_member_keeps_its_full_weight() {
     let start = Instant::now();
     let names = ["one".parse().unwrap(), "two".parse().unwrap(), "three".parse().unwrap()];
     let mut tracker = OutlierTracker::new(start);
--- a/crates/rudder-decisions/tests/load/routing.rs
+++ b/crates/rudder-decisions/tests/load/routing.rs
@@ -2,7 +2,7 @@
 use super::current::PolicySettings;
 use super::model::Request;
 use super::summary::LoadSummary;
-use super::{INSTANCES, SEED, group, play_both};
+use super::{INSTANCES, SEED, group, simulate_both};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rudder_core::{LogStamp, MemberRole};
@@ -53,28 +53,31 @@
 fn a_read_after_a_write_waits_or_goes_to_the_primary() {
     let members = views();
 
-    let soon = choose(&demand(101, 70), &members);
-    let late = choose(&demand(101, 0), &members);
-    let held = choose(&demand(100, 0), &members);
+    let nearly_applied = choose(&demand(101, 70), &members);
+    let not_applied = choose(&demand(101, 0), &members);
+    let applied = choose(&demand(100, 0), &members);
 
-    assert_eq!(soon, (ReadRoute::WaitFor(1, Duration::from_millis(30)), RouteReason::CatchUp));
-    assert_eq!(late, (ReadRoute::Primary(0), RouteReason::FloorAhead));
-    assert_eq!(held, (ReadRoute::Replica(1), RouteReason::OnlyFresh));
+    assert_eq!(
+        nearly_applied,
+        (ReadRoute::WaitFor(1, Duration::from_millis(30)), RouteReason::CatchUp)
+    );
+    assert_eq!(not_applied, (ReadRoute::Primary(0), RouteReason::FloorAhead));
+    assert_eq!(applied, (ReadRoute::Replica(1), RouteReason::OnlyFresh));
 }
 
 // Nobody knows how old the replica's data is, because no primary has been seen lately. Yesterday's
 // picture must not be shown as today's.
 #[test]
-fn an_unknown_age_is_too_old_for_any_bound() {
+fn an_unknown_age_exceeds_any_staleness_bound() {
     let mut members = views();
     members[1].age = None;
 
     let with_primary = choose(&demand(1, 0), &members);
     members[0].health = MemberHealth::Down;
-    let without = choose(&demand(1, 0), &members);
+    let without_primary = choose(&demand(1, 0), &members);
 
     assert_eq!(with_primary, (ReadRoute::Primary(0), RouteReason::TooOld));
-    assert_eq!(without, (ReadRoute::Refuse, RouteReason::NoMember));
+    assert_eq!(without_primary, (ReadRoute::Refuse, RouteReason::NoMember));
 }
 
 #[test]
@@ -100,16 +103,16 @@
     let routes: Vec<ReadRoute> =
         (0..100).map(|_| router.choose(&demand(1, 0), &members, rng).route).collect();
     members[2].service = Duration::from_millis(5);
-    let faster = choose(&demand(1, 0), &members).0;
+    let faster_route = choose(&demand(1, 0), &members).0;
 
     assert!(routes.iter().all(|route| *route == ReadRoute::Replica(1)));
-    assert_eq!(faster, ReadRoute::Replica(2));
+    assert_eq!(faster_route, ReadRoute::Replica(2));
 }
 
 // Sessions write before every fourth read while replicas trail by 100 ms. Sent to the primary after
 // any write, or kept there, most reads would miss the replicas.
 #[test]
-fn replicas_keep_three_in_four_reads_of_writing_sessions() {
+fn replicas_serve_three_in_four_reads_of_writing_sessions() {
     let mut members = group();
     members.iter_mut().for_each(|member| member.lag = Duration::from_millis(100));
     let pattern = ArrivalPattern::steady(300.0, Duration::from_secs(20), INSTANCES);
@@ -122,10 +125,10 @@
     let read_wait = Duration::from_millis(120);
     let settings = PolicySettings { read_wait, ..PolicySettings::default() };
 
-    let (now, _) = play_both(&members, &requests, settings);
+    let (current, _) = simulate_both(&members, &requests, settings);
 
     let on_replica = |_: &Request, outcome: &super::model::Outcome| outcome.member != Some(0);
-    let on_replica = LoadSummary::of(&requests, &now, on_replica);
-    assert!(on_replica.requests * 100 >= requests.len() * 75, "{on_replica:?}");
-    assert!(on_replica.p99_ms < 200.0, "{on_replica:?}");
+    let summary = LoadSummary::of(&requests, &current, on_replica);
+    assert!(summary.requests * 100 >= requests.len() * 75, "{summary:?}");
+    assert!(summary.p99_ms < 200.0, "{summary:?}");
 }
--- a/crates/rudder-decisions/tests/load/shares.rs
+++ b/crates/rudder-decisions/tests/load/shares.rs
@@ -1,6 +1,6 @@
 use super::arrivals::ArrivalPattern;
 use super::current::{LimitRule, PolicySettings};
-use super::setup::{PolicyChoice, play};
+use super::setup::{PolicyChoice, simulate};
 use super::summary::LoadSummary;
 use super::{INSTANCES, SEED, group};
 use rand::SeedableRng;
@@ -20,8 +20,8 @@
 #[test]
 fn shares_never_add_up_to_more_than_the_endpoint_accepts() {
     let start = Instant::now();
-    let heavy = DemandPart::of(80, 100, 7);
-    let light = DemandPart::of(20, 600, 7);
+    let high_demand = DemandPart::of(80, 100, 7);
+    let low_demand = DemandPart::of(20, 600, 7);
     let mut shares: Vec<SlotShare> =
         (0..7).map(|_| SlotShare::new(CONNECTIONS, 7, start)).collect();
     let mut greatest = 0;
@@ -29,12 +29,12 @@
     for second in 0..60_u64 {
         let now = start + Duration::from_secs(second);
         let period = second / 20;
-        let heaviest = [6, 0, 2][period as usize];
+        let busiest = [6, 0, 2][period as usize];
         for (index, share) in shares.iter_mut().enumerate() {
-            // Each instance learns of the change up to six seconds late.
-            let learned = second.saturating_sub(index as u64) / 20 == period;
-            let part = if index == heaviest { heavy } else { light };
-            if learned {
+            // Each instance learns of the change with a delay of up to six seconds.
+            let is_informed = second.saturating_sub(index as u64) / 20 == period;
+            let part = if index == busiest { high_demand } else { low_demand };
+            if is_informed {
                 share.set_holders(7, part, now);
             }
         }
@@ -42,7 +42,10 @@
     }
 
     assert!(greatest <= CONNECTIONS.0, "{greatest}");
-    assert!(shares[2].current(start + Duration::from_secs(60)) > 12, "the busy one has grown");
+    assert!(
+        shares[2].current(start + Duration::from_secs(60)) > 12,
+        "the share of the busy instance has grown"
+    );
 }
 
 // Half of the callers happen to be connected to one instance. Held to an even share of the
@@ -54,19 +57,19 @@
     members.iter_mut().for_each(|member| member.links = vec![between_domains; INSTANCES]);
     let pattern = ArrivalPattern {
         write_share: 0.25,
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         ..ArrivalPattern::steady(800.0, Duration::from_secs(20), INSTANCES)
     };
     let mut requests = pattern.draw(&mut StdRng::seed_from_u64(SEED));
-    let half = requests.iter_mut().filter(|request| request.caller % 2 == 0);
-    half.for_each(|request| request.instance = 0);
+    let half_of_requests = requests.iter_mut().filter(|request| request.caller % 2 == 0);
+    half_of_requests.for_each(|request| request.instance = 0);
     let settings = |limit| {
         let queue_wait = Duration::from_secs(1);
         PolicyChoice::Current(PolicySettings { limit, queue_wait, ..PolicySettings::default() })
     };
 
-    let by_demand = play(&members, &requests, settings(LimitRule::WindowByDemand(570)), SEED);
-    let even = play(&members, &requests, settings(LimitRule::WindowEven), SEED);
+    let by_demand = simulate(&members, &requests, settings(LimitRule::WindowByDemand(570)), SEED);
+    let even = simulate(&members, &requests, settings(LimitRule::WindowEven), SEED);
 
     let served = |outcomes| LoadSummary::of(&requests, outcomes, |_, _| true).served_share();
     assert!(served(&by_demand) > 0.99, "{}", served(&by_demand));
@@ -80,7 +83,7 @@
     let services: Vec<ServiceName> =
         (0..200).map(|index| format!("service-{index}").parse().unwrap()).collect();
 
-    let moved = services
+    let moved_count = services
         .iter()
         .filter(|service| {
             let before = holders_of(service, &all, 3);
@@ -88,5 +91,5 @@
         })
         .count();
 
-    assert_eq!(moved, 0);
+    assert_eq!(moved_count, 0);
 }
--- a/crates/rudder-decisions/tests/load/standing.rs
+++ b/crates/rudder-decisions/tests/load/standing.rs
@@ -2,38 +2,38 @@
 
 use rudder_decisions::{PlaceDistance, ReadStanding};
 
-/// A member that is sound, at a distance.
-fn sound(distance: PlaceDistance) -> ReadStanding {
+/// Returns the standing of a member without faults at a distance.
+fn standing_at(distance: PlaceDistance) -> ReadStanding {
     ReadStanding { unreachable: false, behind: false, doubtful: false, full: false, distance }
 }
 
-/// The member, by its place in the list, that is tried first.
-fn first(members: &[ReadStanding]) -> usize {
+/// Returns the index of the member that is tried first.
+fn first_choice(members: &[ReadStanding]) -> usize {
     let least = members.iter().enumerate().min_by_key(|(_, standing)| **standing);
     least.expect("there are members").0
 }
 
 #[test]
-fn reads_leave_a_domain_only_while_its_member_cannot_serve_them() {
-    // A replica trails for six seconds. Every read of its domain is sent there first, is told that
-    // the log lacks the position, and is sent again: twice the work when there is least room.
-    let far = sound(PlaceDistance::Elsewhere);
-    let near = sound(PlaceDistance::SameDomain);
-    let trailing = ReadStanding { behind: true, ..near };
+fn reads_leave_a_domain_only_while_its_member_lags() {
+    // If reads of a domain always went to its own replica first, each would be sent twice while
+    // that replica lags, which doubles the work when capacity is lowest.
+    let far = standing_at(PlaceDistance::Elsewhere);
+    let near = standing_at(PlaceDistance::SameDomain);
+    let lagging = ReadStanding { behind: true, ..near };
 
-    let while_sound = first(&[near, far]);
-    let while_trailing = first(&[trailing, far]);
+    let without_lag = first_choice(&[near, far]);
+    let with_lag = first_choice(&[lagging, far]);
 
-    assert_eq!((while_sound, while_trailing), (0, 1));
+    assert_eq!((without_lag, with_lag), (0, 1));
 }
 
 #[test]
-fn what_is_certain_goes_before_what_is_likely() {
-    let near = sound(PlaceDistance::SameDomain);
+fn standings_are_ordered_by_availability_before_distance() {
+    let near = standing_at(PlaceDistance::SameDomain);
     let in_order = [
         near,
-        sound(PlaceDistance::SameRegion),
-        sound(PlaceDistance::Elsewhere),
+        standing_at(PlaceDistance::SameRegion),
+        standing_at(PlaceDistance::Elsewhere),
         ReadStanding { full: true, ..near },
         ReadStanding { doubtful: true, ..near },
         ReadStanding { behind: true, ..near },
--- a/crates/rudder-decisions/tests/load/wait_queue.rs
+++ b/crates/rudder-decisions/tests/load/wait_queue.rs
@@ -6,50 +6,49 @@
 const ORDER: u8 = 0;
 const READ: u8 = 2;
 
-/// Reads that arrive in one millisecond, and the connections that come free in each.
-const BURST: u32 = 400;
-const FREED: u32 = 2;
+/// Reads that arrive at the start, and connections that become free in each millisecond.
+const READ_COUNT: u32 = 400;
+const CONNECTIONS_FREED_PER_MS: u32 = 2;
 
-/// Plays the burst, with an order after each twentieth read; returns for each work, in the order of
-/// their arrival, the millisecond in which it was served, orders and reads apart.
-fn play(priority_of_orders: u8) -> (Vec<u32>, Vec<u32>) {
+/// Queues the burst with an order after each twentieth read. Returns the milliseconds in which
+/// orders and reads were served, each in order of arrival.
+fn serve_burst(order_priority: u8) -> (Vec<u32>, Vec<u32>) {
     let mut queue = WaitQueue::default();
-    for number in 0..BURST {
+    for number in 0..READ_COUNT {
         queue.join(READ, (READ, number));
         if number % 20 == 19 {
-            queue.join(priority_of_orders, (ORDER, number));
+            queue.join(order_priority, (ORDER, number));
         }
     }
     let (mut orders, mut reads) = (Vec::new(), Vec::new());
     let mut served = 0;
     while let Some((kind, number)) = queue.next() {
-        let of_kind = if kind == ORDER { &mut orders } else { &mut reads };
-        of_kind.push((number, served / FREED));
+        let served_of_kind = if kind == ORDER { &mut orders } else { &mut reads };
+        served_of_kind.push((number, served / CONNECTIONS_FREED_PER_MS));
         served += 1;
     }
-    let in_order = |mut entries: Vec<(u32, u32)>| -> Vec<u32> {
+    let milliseconds = |mut entries: Vec<(u32, u32)>| -> Vec<u32> {
         entries.sort_unstable();
         entries.into_iter().map(|(_, millisecond)| millisecond).collect()
     };
-    (in_order(orders), in_order(reads))
+    (milliseconds(orders), milliseconds(reads))
 }
 
 #[test]
 fn orders_do_not_wait_behind_a_burst_of_reads() {
-    // A director submits an order as a rehearsal week's lookups come in. Served as they came, the
-    // last order waits for all four hundred reads.
-    let (first_come, _) = play(READ);
+    // In order of arrival the last order waits for all four hundred reads.
+    let (equal_priority_orders, _) = serve_burst(READ);
 
-    let (orders, reads) = play(ORDER);
+    let (orders, reads) = serve_burst(ORDER);
 
-    assert_eq!(first_come.iter().max(), Some(&209));
+    assert_eq!(equal_priority_orders.iter().max(), Some(&209));
     assert_eq!(orders.iter().max(), Some(&9));
-    assert_eq!(reads.iter().max(), Some(&209), "the reads' last one waits no longer");
+    assert_eq!(reads.iter().max(), Some(&209), "the last read does not wait longer");
 }
 
 #[test]
-fn equal_ones_are_served_as_they_came() {
-    let (orders, reads) = play(ORDER);
+fn waiters_of_equal_priority_are_served_in_arrival_order() {
+    let (orders, reads) = serve_burst(ORDER);
 
     assert!(orders.is_sorted() && reads.is_sorted());
 }
