--- a/crates/rudder-decisions/tests/limits/fleet.rs
+++ b/crates/rudder-decisions/tests/limits/fleet.rs
@@ -1,4 +1,7 @@
-//! Instances that claim operations of one account from each other over a network that fails.
+//! Simulation of instances that enforce the operation limit of one account.
+//!
+//! The owners of the account are ranked. Before an operation runs, its instance claims it from the
+//! first owner that responds. Messages between instances are delayed and lost.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -9,7 +12,7 @@
 };
 use std::time::Duration;
 
-/// The step of the simulated time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(5);
 
 /// Time after which a claim without a response is sent to the next owner of the plan.
@@ -23,9 +26,11 @@
 /// Time from the start of an instance to its first contact with the fleet.
 const JOIN_DELAY: Duration = Duration::from_millis(400);
 
+/// Bounds of every simulated limit.
 pub(crate) const BOUNDS: LimitBounds =
     LimitBounds { window: Duration::from_secs(5), overage_permille: 100, tolerance: 20 };
 
+/// One simulated instance, which is both a claimant and a possible owner.
 struct SimInstance {
     name: InstanceName,
     running: bool,
@@ -68,6 +73,7 @@
     message: SimMessage,
 }
 
+/// One operation and its claims.
 struct SimOperation {
     instance: usize,
     started_at: Duration,
@@ -78,7 +84,7 @@
     finished: bool,
 }
 
-/// One run of a fleet.
+/// Simulated fleet of instances and the network between them.
 pub(crate) struct SimFleet {
     random: SmallRng,
     now: Duration,
@@ -137,6 +143,7 @@
         }
     }
 
+    /// Returns the three owners of the account, the highest ranked first.
     pub(crate) fn owners(&self) -> Vec<usize> {
         let names = self.instances.iter().map(|instance| &instance.name);
         let owners = rank_owners(&self.account, names, 3);
@@ -150,6 +157,7 @@
         self.instances[index].running = false;
     }
 
+    /// Starts an instance with empty state; its unfinished operations are dropped.
     pub(crate) fn start(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         instance.running = true;
@@ -302,6 +310,7 @@
         self.operations[operation].finished = true;
     }
 
+    /// Sends a message; 1 % of messages are lost.
     fn send(&mut self, from: usize, to: usize, message: SimMessage) {
         if self.random.random_bool(0.01) {
             return;
--- a/crates/rudder-decisions/tests/limits/main.rs
+++ b/crates/rudder-decisions/tests/limits/main.rs
@@ -1,4 +1,5 @@
-//! Limits of client accounts over a simulated fleet: cuts, losses, restarts, suspensions.
+//! Operation limits of client accounts, enforced by a simulated fleet of instances under network
+//! partitions, message loss, restarts and suspended processes.
 
 mod fleet;
 mod schedules;
--- a/crates/rudder-decisions/tests/limits/schedules.rs
+++ b/crates/rudder-decisions/tests/limits/schedules.rs
@@ -1,12 +1,13 @@
-//! What an account may run at most, and what it is served below its limit, under faults.
+//! Upper bound of the operations granted to an account, and service below its limit, under faults.
 
 use super::fleet::SimFleet;
 use rudder_decisions::OperationLimit;
 use std::time::Duration;
 
-/// Seeds of each schedule, unless [`SEEDS_VARIABLE`] says more.
+/// Number of seeds of each schedule unless [`SEEDS_VARIABLE`] sets another.
 const SEEDS: u64 = 16;
 
+/// Environment variable with the number of seeds.
 const SEEDS_VARIABLE: &str = "RUDDER_LIMIT_SEEDS";
 
 /// Seeds with which a schedule has exceeded a limit before.
@@ -29,7 +30,8 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// Runs a schedule over both limits with an account that sends `times` its limit.
+/// Runs a schedule with both limits and an account that requests `times` its limit, and checks that
+/// no window exceeds the limit.
 fn assert_within_limit(name: &str, times: f64, schedule: impl Fn(&mut SimFleet, f64)) {
     for limit in [small_limit(), large_limit()] {
         for seed in (0..seed_count()).chain(REGRESSION_SEEDS) {
@@ -47,13 +49,13 @@
     }
 }
 
-/// Guards against an account that runs many times its limit because each instance counts alone.
+/// If each instance counted alone, the account could run its limit at every instance.
 #[test]
 fn an_account_cannot_exceed_its_limit_by_sending_more() {
     assert_within_limit("no faults", 8.0, |_, _| {});
 }
 
-/// Guards against a full burst for each owner that is lost and replaced.
+/// Each owner that replaces a stopped one could grant a full burst of its own.
 #[test]
 fn an_owner_restart_grants_no_additional_burst() {
     assert_within_limit("owner restart", 6.0, |fleet, rate| {
@@ -65,7 +67,8 @@
     });
 }
 
-/// Guards against a new burst for a fleet that loses power and starts again within a window.
+/// A fleet that loses power and restarts within a window has no state left and could grant another
+/// burst.
 #[test]
 fn a_full_restart_grants_no_additional_burst() {
     assert_within_limit("full restart", 6.0, |fleet, rate| {
@@ -80,7 +83,7 @@
     });
 }
 
-/// Guards against two parts of a fleet that both grant the whole limit.
+/// Both sides of a network partition could grant the whole limit.
 #[test]
 fn a_partitioned_fleet_grants_the_limit_once() {
     assert_within_limit("partition", 6.0, |fleet, rate| {
@@ -96,7 +99,8 @@
     });
 }
 
-/// Guards against an owner that wakes and grants what its successor has granted meanwhile.
+/// An owner that resumes after a suspension could grant operations that its successor has already
+/// granted.
 #[test]
 fn an_owner_resumed_after_suspension_does_not_exceed_the_limit() {
     assert_within_limit("suspension", 6.0, |fleet, rate| {
@@ -107,7 +111,7 @@
     });
 }
 
-/// Guards against limits that break when faults meet.
+/// A limit that holds under each fault alone could still be exceeded when faults coincide.
 #[test]
 fn limits_hold_under_random_partitions_stops_and_suspensions() {
     assert_within_limit("mixed faults", 5.0, |fleet, rate| {
@@ -127,7 +131,7 @@
     });
 }
 
-/// Guards against refusals of an account that stays below its limit.
+/// An account below its limit could be refused because its operations arrive unevenly.
 #[test]
 fn an_account_at_95_percent_of_its_limit_is_rarely_refused() {
     for limit in [small_limit(), large_limit()] {
@@ -144,7 +148,7 @@
     }
 }
 
-/// Guards against an outage of an account whose owner is lost.
+/// An account could be refused until its failed owner returns.
 #[test]
 fn an_account_is_served_after_its_owner_fails() {
     let (mut requested, mut granted) = (0, 0);
@@ -161,8 +165,8 @@
     assert!(granted * 20 >= requested * 17, "{granted} of {requested} were served");
 }
 
-/// Guards against refusals for as long as the fleet has no sign of the store, which takes seconds when
-/// the instance that asks it for all is cut off.
+/// Without contact with the store, all operations could be refused. This lasts for seconds when the
+/// instance that reads the store for all others is partitioned.
 #[test]
 fn an_account_is_served_while_the_store_is_unreachable() {
     let (mut requested, mut granted) = (0, 0);
--- a/crates/rudder-decisions/tests/load/admission.rs
+++ b/crates/rudder-decisions/tests/load/admission.rs
@@ -38,8 +38,8 @@
     }
 }
 
-// A caller waits for a slot that never frees. The refusal must come when the wait is over, and the
-// ticket's later release by its owner must not free a slot that it never held.
+// A request that waits for a slot must be refused when its wait expires. Releasing its ticket later
+// must not free a slot, as it never held one.
 #[test]
 fn a_request_is_refused_when_its_wait_expires() {
     let (mut gate, now) = (gate(1), Instant::now());
@@ -62,7 +62,7 @@
     assert_eq!(gate.usage(&request(1, now).lane).reads, 1);
 }
 
-// A member's window grows while requests wait for it. Those that waited go before a newcomer.
+// When the slots of a member increase while requests wait, a new request must not overtake them.
 #[test]
 fn a_raised_limit_serves_waiting_requests_first() {
     let (mut gate, now) = (gate(1), Instant::now());
@@ -96,8 +96,8 @@
     assert_eq!(refusal_cause(over_limit), RefusalCause::KindLimit);
 }
 
-// A thousand callers are refused in the same instant. Told the same time, they would all return
-// together and be refused together again.
+// A thousand callers are refused at the same time. With equal retry delays they would all retry
+// together and be refused again.
 #[test]
 fn retry_delays_of_refused_callers_are_spread() {
     let (mut gate, now) = (gate(2), Instant::now());
--- a/crates/rudder-decisions/tests/load/burst.rs
+++ b/crates/rudder-decisions/tests/load/burst.rs
@@ -7,7 +7,8 @@
 use rudder_decisions::WorkClass;
 use std::time::Duration;
 
-/// Catalogue reads of sessions that have just written, so that only the primary may serve them.
+/// Makes every fourth read require a write made immediately before, so that only the primary may
+/// serve it.
 fn with_fresh_reads(mut requests: Vec<Request>) -> Vec<Request> {
     let reads = requests.iter_mut().filter(|request| request.class == WorkClass::Read);
     reads.step_by(4).for_each(|request| request.floor = Some(request.at));
@@ -18,8 +19,7 @@
     LoadSummary::of(requests, outcomes, |request, _| request.class == WorkClass::Read).p99_ms
 }
 
-// In rehearsal week every conservatory orders at once. A copyist looks up the catalogue meanwhile
-// and must not notice: the orders fill the primary, and the catalogue is read from the replicas.
+// A burst of writes fills the primary. Reads that replicas may serve must not be delayed by it.
 #[test]
 fn a_burst_of_writes_does_not_delay_reads() {
     let (ordinary, burst) = (writes_among_reads(1.0, SEED), writes_among_reads(4.5, SEED));
@@ -33,8 +33,8 @@
     assert!(p99_of_reads(&burst, &burst_baseline) > 1.5 * ordinary_p99_ms);
 }
 
-// A session reads its own order back at once, so the read must go to the primary, just when the
-// burst has filled it. It must not stand behind all the orders that came before it.
+// Reads that must see a write made immediately before go to the primary while a burst of writes
+// fills it. Without slots reserved for reads they would queue behind all those writes.
 #[test]
 fn reads_at_the_primary_do_not_queue_behind_a_burst_of_writes() {
     let mut members = group();
--- a/crates/rudder-decisions/tests/load/busy_caller.rs
+++ b/crates/rudder-decisions/tests/load/busy_caller.rs
@@ -10,8 +10,8 @@
     request.caller != BUSY_CALLER
 }
 
-// One conservatory's script asks for the whole catalogue in a loop. Without turns its requests
-// stand before everybody's, and copyists elsewhere wait for a script that nobody is waiting for.
+// One caller sends three quarters of the requests. In a queue in order of arrival its requests
+// delay all others; callers must be served in turn instead.
 #[test]
 fn a_busy_caller_does_not_starve_other_callers() {
     let requests = busy_caller(SEED);
--- a/crates/rudder-decisions/tests/load/connection_share.rs
+++ b/crates/rudder-decisions/tests/load/connection_share.rs
@@ -1,16 +1,16 @@
-//! Shares of a member's connections: all instances of a deployment work theirs out at once.
+//! Shares of a member's connections, calculated independently by all instances of a deployment.
 
 use rudder_core::InstanceName;
 use rudder_decisions::ConnectionShare;
 
-/// Connections that no share holds.
+/// Connections that are not divided among the instances.
 const RESERVE: u32 = 4;
 
 fn instances(count: usize) -> Vec<InstanceName> {
     (0..count).map(|number| format!("entry-{number:02}").parse().expect("a name")).collect()
 }
 
-/// The shares of all instances.
+/// Returns the shares of all instances.
 fn shares(connections_max: u32, member: &str, count: usize) -> Vec<ConnectionShare> {
     let all = instances(count);
     let member = member.parse().expect("a name");
@@ -34,8 +34,8 @@
 
 #[test]
 fn instances_differ_by_one_connection_at_most() {
-    // Two instances, of which one refuses callers while the other has three more connections than
-    // it needs.
+    // With greater differences one instance refuses callers while another one has unused
+    // connections.
     for connections_max in 13..80 {
         let limits = limits(connections_max, "db-1", 9);
         let (least, most) = (limits.iter().min(), limits.iter().max());
--- a/crates/rudder-decisions/tests/load/detection.rs
+++ b/crates/rudder-decisions/tests/load/detection.rs
@@ -20,8 +20,8 @@
     alarms
 }
 
-// A link loses two packets in a row now and then, so an answer comes 700 ms late. A fixed bound of
-// 600 ms suspects the living primary each time; the learned one only the first time.
+// Every 40th response comes after 700 ms, as after two lost packets in a row. A fixed bound of 600
+// ms suspects the live member each time, the learned bound only the first time.
 #[test]
 fn a_recurring_pause_raises_the_bound() {
     let start = Instant::now();
@@ -34,8 +34,8 @@
     assert_eq!(fixed_alarms, 10);
 }
 
-// An hour after an outage of a minute the primary dies. The outage must not have taught the
-// detector to wait a minute.
+// An hour after an outage of one minute the bound must be back at its floor; otherwise the next
+// failure would be detected late.
 #[test]
 fn an_outage_does_not_raise_the_bound_permanently() {
     let start = Instant::now();
--- a/crates/rudder-decisions/tests/load/dial_gate.rs
+++ b/crates/rudder-decisions/tests/load/dial_gate.rs
@@ -1,4 +1,4 @@
-//! Dials to a member that is full of lost machines' connections.
+//! Dials to a member whose connection limit is used up by stale connections of failed machines.
 
 use rudder_decisions::{DialFailure, DialGate};
 use std::time::{Duration, Instant};
--- a/crates/rudder-decisions/tests/load/endpoints.rs
+++ b/crates/rudder-decisions/tests/load/endpoints.rs
@@ -23,8 +23,8 @@
     LoadSummary::of(requests, outcomes, |_, _| true)
 }
 
-// One replica is old hardware. Given as much work as the new one, its queue grows without end at a
-// load that both carry easily together, and every second lookup stands in it.
+// One replica is slow. With as many reads as the fast one its queue grows without bound at a load
+// that both can serve together, and half of the reads wait in it.
 #[test]
 fn a_slow_member_gets_work_in_proportion_to_its_speed() {
     let requests = reads(660.0);
@@ -35,8 +35,8 @@
     assert!(summary_of(&requests, &baseline).p99_ms > 1000.0);
 }
 
-// Seven instances see only their own requests. Each finds the fast member free and sends there, and
-// together they queue in it while the others have slots to spare.
+// Each of seven instances sees only its own requests. If each takes the fast member for idle, they
+// queue there together while other members have free slots.
 #[test]
 fn instances_account_for_the_load_of_other_instances() {
     let requests = reads(700.0);
@@ -52,8 +52,8 @@
     assert!(current.mean_ms * 1.25 < without_sharers.mean_ms, "{current:?} {without_sharers:?}");
 }
 
-// A replica turns ten times slower for ten seconds, as when its disk is rebuilt, and recovers.
-// Work leaves it while it is slow and returns afterwards.
+// A replica is ten times slower for ten seconds, for example while its disk is rebuilt. Load must
+// move away from it and return afterwards.
 #[test]
 fn load_moves_away_from_a_slow_member_and_returns() {
     let (from, until) = (Duration::from_secs(5), Duration::from_secs(15));
@@ -70,8 +70,9 @@
     assert!(late.requests > 1000, "the member is used again after its recovery: {late:?}");
 }
 
-// A replica refuses every statement at once, for example because its disk is full. It looks like
-// the fastest member of all, so callers see more failures than if members were taken in turn.
+// A replica fails every statement immediately, for example because its disk is full. By response
+// time it is the fastest member, so without outlier tracking it attracts reads, and callers see
+// more failures than with round robin.
 #[test]
 fn load_moves_away_from_a_failing_member() {
     let (from, until) = (Duration::from_secs(5), Duration::from_secs(25));
@@ -91,9 +92,9 @@
     assert!(late.requests > 50, "the member gets requests again after its recovery: {late:?}");
 }
 
-// A replica comes back with empty caches. All instances find it idle and send it their share in
-// the same moment, and the first callers wait for each other's cold statements. How many meet it
-// cold is chance, so the first two seconds are played five times.
+// A replica returns with cold caches. If all instances send it their full share at once, its first
+// statements queue behind each other. The number of requests that reach it cold is random, so the
+// first two seconds are simulated with five seeds.
 #[test]
 fn load_on_a_cold_member_rises_gradually() {
     let until = Duration::from_secs(30);
--- a/crates/rudder-decisions/tests/load/gate_invariants.rs
+++ b/crates/rudder-decisions/tests/load/gate_invariants.rs
@@ -9,7 +9,7 @@
 };
 use std::time::{Duration, Instant};
 
-/// One step of a random run.
+/// Step of a random sequence of operations on the gate.
 #[derive(Clone, Debug)]
 enum GateStep {
     Offer { caller: u64, write: bool, long: bool, shed: bool, wait_ms: u64 },
@@ -41,7 +41,7 @@
     }
 }
 
-/// A gate, and what its callers know of their tickets.
+/// Gate under test and the expected state of its tickets.
 struct GateRun {
     gate: AdmissionGate,
     rng: StdRng,
@@ -132,7 +132,7 @@
             let usage = run.gate.usage(&lane());
             prop_assert_eq!((usage.reads + usage.writes) as usize, run.running.len());
             prop_assert_eq!(usage.waiting as usize, run.waiting.len());
-            // A lowered limit takes no slot back, but gives none out until it is kept.
+            // A lowered limit revokes no slot, but no slot is granted while the limit is exceeded.
             prop_assert!(run.running.len() <= running_before.max(run.slots as usize));
             prop_assert!(run.gate.next_expiry().is_none_or(|expiry| expiry > run.now));
         }
--- a/crates/rudder-decisions/tests/load/long_work.rs
+++ b/crates/rudder-decisions/tests/load/long_work.rs
@@ -7,13 +7,14 @@
 use rudder_decisions::{WorkEstimate, WorkSize};
 use std::time::Duration;
 
-/// Whether a short read came after the first batch, from which the size of reports is learned.
+/// Returns whether the request is a short read after the first batch of reports, from which their
+/// size is learned.
 fn is_short(request: &Request, _: &Outcome) -> bool {
     request.fingerprint != REPORT && request.at > Duration::from_secs(10)
 }
 
-// An engineer's script asks for ten condition maps at once, a second each, while crews look up
-// sheets. When the maps hold all slots, every lookup waits for the longest of them.
+// Ten reports of one second each arrive together among short reads. If the reports hold all slots,
+// every short read waits for the longest of them.
 #[test]
 fn reports_leave_room_for_short_reads_and_still_finish() {
     let requests = long_among_short(SEED);
@@ -39,8 +40,8 @@
     assert!(reports.served_share() > 0.99, "{reports:?}");
 }
 
-// Everything takes twenty times as long for a while, because a member is overloaded. If lookups now
-// counted as long work, the cap on long work would hold them back and lengthen the overload.
+// During an overload all statements take twenty times as long. If they then counted as long, the
+// limit on long statements would delay them and prolong the overload.
 #[test]
 fn an_overload_does_not_make_statements_count_as_long() {
     let mut estimate = WorkEstimate::new();
--- a/crates/rudder-decisions/tests/load/main.rs
+++ b/crates/rudder-decisions/tests/load/main.rs
@@ -1,5 +1,5 @@
-//! What callers get under load, with the current decisions and with plain baselines, in virtual
-//! time. The queueing model is that of the example `trials`.
+//! Load tests in virtual time: results for callers with the current decisions, compared with
+//! baseline policies. The queueing model is shared with the example `trials`.
 
 #[path = "../../examples/trials/adaptive.rs"]
 mod adaptive;
@@ -41,7 +41,7 @@
 use setup::{PolicyChoice, simulate};
 use workloads::{INSTANCES, group};
 
-/// The seed of every run.
+/// Seed of every simulation.
 const SEED: u64 = 11;
 
 /// Simulates the requests with the current decisions and with round robin, in this order.
--- a/crates/rudder-decisions/tests/load/recovery.rs
+++ b/crates/rudder-decisions/tests/load/recovery.rs
@@ -13,8 +13,8 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-// The primary dies under 1000 reads in flight. Sent three times each, they are 3000 on a group
-// that has just lost a member, and the overload makes the next ones fail too.
+// The primary fails with 1000 reads in flight. If each were sent three times, the remaining members
+// would get 3000, and the overload would make further requests fail.
 #[test]
 fn retries_after_a_failure_are_limited() {
     let mut budget = RetryBudget::new();
@@ -28,7 +28,7 @@
     assert!(budget.try_spend(WorkClass::Read, OutcomeClass::NotRun), "successes refill the budget");
 }
 
-// A crack report was sent and its answer was lost. Sent again, it books a second gang.
+// The response to a write was lost. A retry could execute the write twice.
 #[test]
 fn a_write_of_unknown_outcome_is_never_retried() {
     let mut budget = RetryBudget::new();
@@ -39,8 +39,8 @@
     assert_eq!(budget.remaining(), 15);
 }
 
-// A new primary is confirmed and 570 instances connect to it in the same round trip. At 12 ms each
-// and four at a time it needs 1.7 s for them; whoever times out tries again and adds to the crowd.
+// After a failover 570 instances connect to the new primary. With 12 ms per connection and four at
+// a time it needs 1.7 s for all; without pacing, timeouts and retries would add further load.
 #[test]
 fn reconnections_are_spread_over_time() {
     let rng = &mut StdRng::seed_from_u64(SEED);
@@ -59,8 +59,8 @@
     assert!(first_tries.iter().all(|at| *at <= Duration::from_secs(2)));
 }
 
-// This instance's own link breaks, so every member fails at once. Turned down all alike, none
-// would be left to serve when the link returns.
+// When the link of the instance itself fails, all members fail at the same time. If the weight of
+// all were reduced, none would serve at full weight when the link recovers.
 #[test]
 fn at_least_one_member_keeps_its_full_weight() {
     let start = Instant::now();
--- a/crates/rudder-decisions/tests/load/routing.rs
+++ b/crates/rudder-decisions/tests/load/routing.rs
@@ -48,7 +48,7 @@
     (choice.route, choice.reason)
 }
 
-// A session writes and reads at once. The replica trails by 100 ms and does not hold the write.
+// A session reads immediately after a write. The replica lags by 100 ms and lacks the write.
 #[test]
 fn a_read_after_a_write_waits_or_goes_to_the_primary() {
     let members = views();
@@ -65,8 +65,8 @@
     assert_eq!(applied, (ReadRoute::Replica(1), RouteReason::OnlyFresh));
 }
 
-// Nobody knows how old the replica's data is, because no primary has been seen lately. Yesterday's
-// picture must not be shown as today's.
+// Without recent contact with a primary the age of a replica's data is unknown. It must not be
+// served as recent data.
 #[test]
 fn an_unknown_age_exceeds_any_staleness_bound() {
     let mut members = views();
@@ -90,7 +90,8 @@
     assert_eq!(choice, (ReadRoute::Primary(0), RouteReason::NoReplica));
 }
 
-// Two replicas answer equally soon, one of them over a costly link between failure domains.
+// Two replicas have nearly the same expected response time; one is in another failure domain, and
+// the link between domains is costly.
 #[test]
 fn equal_replicas_are_chosen_by_failure_domain() {
     let mut members = views();
@@ -109,8 +110,8 @@
     assert_eq!(faster_route, ReadRoute::Replica(2));
 }
 
-// Sessions write before every fourth read while replicas trail by 100 ms. Sent to the primary after
-// any write, or kept there, most reads would miss the replicas.
+// Sessions write before every fourth read while replicas lag by 100 ms. If a session used the
+// primary after each write, most reads would not reach the replicas.
 #[test]
 fn replicas_serve_three_in_four_reads_of_writing_sessions() {
     let mut members = group();
--- a/crates/rudder-decisions/tests/load/saturation.rs
+++ b/crates/rudder-decisions/tests/load/saturation.rs
@@ -12,8 +12,8 @@
     }
 }
 
-// Twice as many callers come as can be served. Without limits everyone waits longer than they care
-// to, and the group works on answers that nobody reads any more.
+// At twice the capacity and without limits every request exceeds its caller's timeout, and the
+// group executes statements whose responses nobody waits for.
 #[test]
 fn goodput_is_maintained_at_twice_saturation() {
     let (full, double) = (saturation(1.0, SEED), saturation(2.0, SEED));
@@ -27,7 +27,7 @@
     assert!(served(&double, &double_baseline) * 10 < at_saturation * 9);
 }
 
-// Under overload auditors, who can come back later, are turned away before crews, who cannot.
+// Under overload, requests of kinds that can retry later are refused first.
 #[test]
 fn deferrable_requests_are_shed_first() {
     let requests = saturation(1.3, SEED);
@@ -41,8 +41,8 @@
     assert!(deferrable.served_share() > 0.1, "deferrable requests are not starved: {deferrable:?}");
 }
 
-// Whoever is refused learns it when the wait is over at the latest, and mostly at once: a
-// caller told after half a second has lost it for nothing.
+// A refusal arrives at the latest when the queue wait expires, and in most cases immediately, as a
+// caller that is refused after a wait has waited in vain.
 #[test]
 fn refusals_arrive_within_the_queue_wait() {
     let requests = saturation(2.0, SEED);
--- a/crates/rudder-decisions/tests/load/shares.rs
+++ b/crates/rudder-decisions/tests/load/shares.rs
@@ -15,8 +15,8 @@
     (0..count).map(|index| format!("instance-{index}").parse().expect("a valid name")).collect()
 }
 
-// Load moves from one instance to another, and they learn of it seconds apart. If the one grows
-// before the other has shrunk, the endpoint refuses connections, also those that it must accept.
+// Instances learn seconds apart that load has moved from one to another. If one share grows before
+// the other has shrunk, the endpoint refuses connections, including those that it must accept.
 #[test]
 fn shares_never_add_up_to_more_than_the_endpoint_accepts() {
     let start = Instant::now();
@@ -48,8 +48,8 @@
     );
 }
 
-// Half of the callers happen to be connected to one instance. Held to an even share of the
-// connections it turns them away, while the other instances' connections stand idle.
+// Half of the callers are connected to one instance. With an even share of the connections it
+// refuses some of their requests while connections of the other instances are idle.
 #[test]
 fn connections_follow_the_demand() {
     let mut members = group();
--- a/crates/rudder-decisions/tests/load/standing.rs
+++ b/crates/rudder-decisions/tests/load/standing.rs
@@ -1,4 +1,4 @@
-//! Reads of one failure domain while the member beside them trails or fills up.
+//! Order of members for the reads of one failure domain while its own member lags or is full.
 
 use rudder_decisions::{PlaceDistance, ReadStanding};
 
--- a/crates/rudder-decisions/tests/load/wait_queue.rs
+++ b/crates/rudder-decisions/tests/load/wait_queue.rs
@@ -1,8 +1,8 @@
-//! A burst of reads with orders among them, before few connections.
+//! Queue for connections during a burst of reads with a few orders of higher priority.
 
 use rudder_decisions::WaitQueue;
 
-/// Priorities of the two kinds of work.
+/// Priorities of the two kinds of requests; the lower number is served first.
 const ORDER: u8 = 0;
 const READ: u8 = 2;
 
