--- a/crates/rudder-decisions/examples/costs.rs
+++ b/crates/rudder-decisions/examples/costs.rs
@@ -1,7 +1,7 @@
-//! What one decision costs in processor time, and the memory of what is kept.
+//! Processor time of single decisions, and sizes of the state types.
 //!
-//! `cargo run --release -p rudder-decisions --example costs` prints JSON lines. Unlike the trials it
-//! reads the clock, so the figures vary with the machine and what else runs on it.
+//! `cargo run --release -p rudder-decisions --example costs` prints JSON lines. Unlike the trials
+//! it reads the clock, so the figures depend on the machine and on its other load.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -15,6 +15,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
+/// Decisions per measurement.
 const ROUNDS: u32 = 200_000;
 
 fn main() {
--- a/crates/rudder-decisions/examples/trials/adaptive.rs
+++ b/crates/rudder-decisions/examples/trials/adaptive.rs
@@ -1,18 +1,25 @@
-//! A limit that each instance adapts from latency: tried, and not better than a fixed window.
+//! Concurrency limit that each instance adapts from latency (additive increase, multiplicative
+//! decrease). The proxy does not use it, as it is not better than a fixed window.
 //!
-//! It falls by a part when answers take twice the uncontended time, at most once per limit's worth
-//! of answers, and rises by one slot per limit's worth of answers while it is in use.
+//! The limit is multiplied by [`DECREASE_FACTOR`] when responses take more than
+//! [`LATENCY_TOLERANCE`] times the uncontended time, at most once per `limit` responses. It rises
+//! by one slot per `limit` responses while it is fully used.
 
 use std::time::Duration;
 
+/// Ratio of recent to uncontended latency above which the limit falls.
 const LATENCY_TOLERANCE: f64 = 2.0;
+/// Weight of one response in the recent latency.
 const RECENT_GAIN: f64 = 0.03;
+/// Weight of the recent latency in a falling baseline.
 const BASELINE_FALL: f64 = 0.05;
+/// Weight of the recent latency in a rising baseline.
 const BASELINE_RISE: f64 = 0.0005;
 const DECREASE_FACTOR: f64 = 0.85;
 
-/// The adapted limit of one instance for one member.
+/// Adapted limit of one instance for one member.
 pub(crate) struct AdaptiveLimit {
+    /// Upper bound of the limit.
     slots: f64,
     limit: f64,
     recent_s: f64,
@@ -34,12 +41,12 @@
         }
     }
 
-    /// The limit now.
+    /// Returns the current limit, at least one.
     pub(crate) fn limit(&self) -> u32 {
         self.limit.floor().max(1.0) as u32
     }
 
-    /// Takes in one answer.
+    /// Records the latency of a response and the statements in flight at that time.
     pub(crate) fn observe(&mut self, latency: Duration, in_flight: u32) {
         self.recent_s += RECENT_GAIN * (latency.as_secs_f64() - self.recent_s);
         let falls = self.recent_s < self.baseline_s;
--- a/crates/rudder-decisions/examples/trials/admission.rs
+++ b/crates/rudder-decisions/examples/trials/admission.rs
@@ -1,4 +1,5 @@
-//! Admission under a burst, a busy caller, long work among short, and saturation.
+//! Admission under a burst of writes, a busy caller, long statements among short ones, and
+//! saturation.
 
 use super::current::PolicySettings;
 use super::model::{Outcome, Request};
@@ -11,7 +12,7 @@
 use rudder_decisions::WorkClass;
 use std::time::Duration;
 
-/// Whether a request belongs to a line of the table.
+/// Predicate that selects the requests of one row of the table.
 type Selection = fn(&Request) -> bool;
 
 /// Runs and prints the trial.
--- a/crates/rudder-decisions/examples/trials/arrivals.rs
+++ b/crates/rudder-decisions/examples/trials/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrival patterns.
+//! Random request arrivals.
 
 use super::model::{MemberSpec, Request};
 use rand::RngExt;
@@ -9,22 +9,23 @@
 /// Mean service time at a member of speed 1.
 pub(crate) const SERVICE_MEAN: Duration = Duration::from_millis(10);
 
-/// How requests arrive.
+/// Parameters of a random arrival process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ArrivalPattern {
-    /// Requests per second of all instances together.
+    /// Mean request rate of all instances together, per second.
     pub(crate) rate: f64,
     /// Duration of the arrivals.
     pub(crate) duration: Duration,
     /// Number of instances that receive requests.
     pub(crate) instances: usize,
-    /// Callers among whom they fall.
+    /// Number of callers.
     pub(crate) callers: u64,
-    /// Share of writes.
+    /// Share of requests that are writes.
     pub(crate) write_share: f64,
-    /// Share of the reads that must see a write made just before.
+    /// Share of the reads that must see a write made immediately before.
     pub(crate) session_share: f64,
-    /// The rate is this many times higher in the first fifth of each second, and lower otherwise.
+    /// Factor of the rate in the first fifth of each second; the rate is lower in the rest, so that
+    /// the mean stays the same.
     pub(crate) burst: f64,
     /// Time after which a caller no longer waits for its response.
     pub(crate) timeout: Duration,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Draws the requests.
+    /// Draws the requests, in order of arrival.
     pub(crate) fn draw(&self, rng: &mut StdRng) -> Vec<Request> {
         let mut requests = Vec::new();
         let mut now_s = 0.0;
@@ -82,18 +83,18 @@
     }
 }
 
-/// An exponentially distributed number with this mean.
+/// Draws an exponentially distributed number with this mean.
 pub(crate) fn exponential(mean: f64, rng: &mut StdRng) -> f64 {
     -mean * (1.0 - rng.random_range(0.0..1.0_f64)).ln()
 }
 
-/// Statements per second that these members serve together.
+/// Returns the statements per second that the members serve together.
 pub(crate) fn capacity(members: &[MemberSpec]) -> f64 {
     members.iter().map(|member| f64::from(member.slots) * member.speed).sum::<f64>()
         / SERVICE_MEAN.as_secs_f64()
 }
 
-/// A member at the same distance from all instances.
+/// Creates a member with the same round-trip time from all instances.
 pub(crate) fn member(speed: f64, slots: u32, link: Duration, instances: usize) -> MemberSpec {
     MemberSpec {
         speed,
--- a/crates/rudder-decisions/examples/trials/baseline.rs
+++ b/crates/rudder-decisions/examples/trials/baseline.rs
@@ -1,4 +1,4 @@
-//! Policies to compare with: round robin without limits, and one queue per instance.
+//! Baseline policies: round robin without limits, and one shared queue per instance.
 
 use super::model::{Action, LoadPolicy, MemberSpec, Request};
 use rand::rngs::StdRng;
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Reads go round all members, the primary too; writes, and reads that must see a write made just
-/// before, go to the primary. All at once and without limits.
+/// Sends reads to all members in turn, including the primary. Writes, and reads that must see a
+/// recent write, go to the primary. There are no limits and no queue.
 pub(crate) struct RoundRobinPolicy {
     members: usize,
     primary: usize,
@@ -15,7 +15,7 @@
 }
 
 impl RoundRobinPolicy {
-    /// A policy over these members.
+    /// Creates the policy of one instance; instances start at different members.
     pub(crate) fn new(members: &[MemberSpec], instance: usize) -> Self {
         let primary = members.iter().position(|member| member.primary).unwrap_or(0);
         Self { members: members.len(), primary, next: instance }
@@ -57,18 +57,18 @@
     }
 }
 
-/// Whether only the primary may serve the request.
+/// Returns whether only the primary may serve the request.
 fn needs_primary(request: &Request) -> bool {
     request.class == WorkClass::Write || request.floor.is_some()
 }
 
-/// One queue per instance over all reading members, in order of arrival; the fastest member with a
-/// free slot takes the next request. Speeds are known.
+/// Queues the reads of an instance in order of arrival; the fastest replica with a free slot takes
+/// the next one. Speeds are known, and other instances are not taken into account.
 ///
 /// With thresholds (Rosberg and Makowski, "Optimal Routing to Parallel Heterogeneous Servers -
 /// Small Arrival Rates", IEEE Trans. Automatic Control 35(7), 1990, equation 5), a slower slot j is
-/// used only while more than `R_j = (mu_1 + ... + mu_(j-1)) / mu_j - (j - 1)` requests wait. Slots of
-/// one member are servers of equal speed, so `R_j` counts the faster members' slots only.
+/// used only while more than `R_j = (mu_1 + ... + mu_(j-1)) / mu_j - (j - 1)` requests wait. Slots
+/// of one member are servers of equal speed, so `R_j` counts the faster members' slots only.
 pub(crate) struct SharedQueuePolicy {
     readers: Vec<usize>,
     primary: Option<usize>,
@@ -80,7 +80,7 @@
 }
 
 impl SharedQueuePolicy {
-    /// A policy over these members, with the paper's thresholds or without.
+    /// Creates the policy of one instance, with the paper's thresholds or without.
     pub(crate) fn new(members: &[MemberSpec], instance: usize, with_thresholds: bool) -> Self {
         let count = members.len();
         let mut readers: Vec<usize> = (0..count).filter(|&index| !members[index].primary).collect();
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Of the fastest members with a free slot, the one with the least in flight here.
+    /// Returns the fastest replica with a free slot; among equals, the one with the fewest requests
+    /// of this instance in flight.
     fn fastest_free(&self) -> Option<usize> {
         let free = |index: &usize| self.in_flight[*index] < self.slots[*index];
         let candidates = self.readers.iter().copied().filter(free);
@@ -110,6 +111,7 @@
         })
     }
 
+    /// Sends queued requests while a slot is free and the queue exceeds the threshold.
     fn dispatch(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(&id) = self.queue.front() {
@@ -128,7 +130,7 @@
     }
 }
 
-/// The paper's threshold for a slot of the member at `index`.
+/// Returns the paper's threshold for a slot of the member at `index`.
 fn threshold(members: &[MemberSpec], readers: &[usize], index: usize) -> f64 {
     let own = members[index].speed;
     let faster_members =
--- a/crates/rudder-decisions/examples/trials/current.rs
+++ b/crates/rudder-decisions/examples/trials/current.rs
@@ -1,4 +1,4 @@
-//! The policy under test: this package's decisions joined as the proxy joins them.
+//! Policy under test: the decisions of this package, combined as in the proxy.
 
 use super::adaptive::AdaptiveLimit;
 use super::model::{Action, LoadPolicy, MemberSpec, Request};
@@ -15,30 +15,31 @@
 /// Connections that a member accepts from all instances together.
 const CONNECTIONS: ConnectionCount = ConnectionCount(30);
 
-/// How many statements an instance keeps in flight at a member.
+/// Rule for the statements that an instance keeps in flight at a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LimitRule {
-    /// The member's slots.
+    /// Slots of the member.
     Slots,
-    /// This number.
+    /// Fixed number.
     Fixed(u32),
-    /// What the meter has learned.
+    /// Limit adapted from latency, see [`AdaptiveLimit`].
     Adaptive,
-    /// What keeps the member's slots busy over the link, up to the connections of an even share.
+    /// Window that keeps the member's slots busy in spite of the link delay, at most an even share
+    /// of the connections.
     WindowEven,
-    /// The same, up to the connections of a share by this part of the demand, in thousandths, for
-    /// the first instance, and of the rest for the others.
+    /// Window, at most a share of the connections by demand. The first instance has this part of
+    /// the demand in thousandths; the others divide the rest evenly.
     WindowByDemand(u32),
-    /// What keeps the member's slots busy over the link.
+    /// Window without a division of connections.
     Window,
 }
 
-/// What of the decisions is in use.
+/// Settings of [`CurrentPolicy`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PolicySettings {
-    /// The limit per member.
+    /// Limit per member.
     pub(crate) limit: LimitRule,
-    /// Whether speeds are known from the start; otherwise all members are first taken for equal.
+    /// Whether speeds are known from the start; otherwise all members are initially assumed equal.
     pub(crate) speeds_known: bool,
     /// Whether long statements are distinguished from short ones.
     pub(crate) sizes_estimated: bool,
@@ -50,13 +51,13 @@
     pub(crate) outliers_tracked: bool,
     /// Member whose load is raised gradually, as after a restart.
     pub(crate) ramp: Option<usize>,
-    /// Requests of one kind that may run or wait.
+    /// Maximum number of requests of one kind that run or wait.
     pub(crate) in_flight_max: u32,
-    /// How long a request may wait for a slot.
+    /// Maximum wait for a slot.
     pub(crate) queue_wait: Duration,
-    /// Requests that may wait in a lane.
+    /// Maximum number of requests that wait for one member.
     pub(crate) queue_max: u32,
-    /// How long a read waits for a replica to catch up.
+    /// Maximum wait of a read for a replica to catch up.
     pub(crate) read_wait: Duration,
 }
 
@@ -85,7 +86,7 @@
     member: usize,
 }
 
-/// The decisions of one instance.
+/// Policy of one instance.
 pub(crate) struct CurrentPolicy {
     settings: PolicySettings,
     members: Vec<MemberSpec>,
@@ -106,7 +107,7 @@
 }
 
 impl CurrentPolicy {
-    /// The policy of one instance.
+    /// Creates the policy of one instance.
     pub(crate) fn new(
         settings: PolicySettings,
         members: &[MemberSpec],
@@ -207,7 +208,8 @@
         &self.lanes[member].member
     }
 
-    /// The failure domain of the nearest member, if one is nearer than the others.
+    /// Returns the failure domain of the nearest member, or a domain without members if there is
+    /// more than one nearest member.
     fn own_domain(&self) -> DomainName {
         let links = || self.members.iter().map(|member| member.links[self.instance]);
         let nearest = links().min().unwrap_or_default();
@@ -307,6 +309,7 @@
         }
     }
 
+    /// Converts notices of the gate into actions.
     fn apply(&mut self, notices: &[TicketNotice]) -> Vec<Action> {
         let mut actions = Vec::new();
         for notice in notices {
@@ -349,7 +352,7 @@
     format!("domain-{index}").parse().expect("a valid name")
 }
 
-/// The log stamp at a time since the start, one position for each microsecond.
+/// Returns the log stamp at a time since the start, with one position per microsecond.
 fn stamp_at(at: Duration) -> LogStamp {
     LogStamp::new(1, u64::try_from(at.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/rudder-decisions/examples/trials/detection.rs
+++ b/crates/rudder-decisions/examples/trials/detection.rs
@@ -1,8 +1,8 @@
-//! False alarms against detection time, for fixed and learned bounds.
+//! False alarms and detection time of failure detectors with fixed and learned bounds.
 //!
 //! Three observers probe a primary every 250 ms over TCP links that lose packets. A lost packet is
-//! sent again after 200, 400, 800 ms and holds up what follows. Now and then the primary itself
-//! stalls, for all observers at once. An alarm needs two of the three observers.
+//! retransmitted after 200, 400, 800 ms and delays the packets behind it. Occasionally the primary
+//! itself stalls, for all observers at the same time. An alarm needs two of the three observers.
 
 use super::arrivals::exponential;
 use super::report::{TrialRow, print_rows};
@@ -17,14 +17,14 @@
 const QUORUM: usize = 2;
 const LENGTH: Duration = Duration::from_secs(24 * 3600);
 
-/// First time after which TCP sends a lost packet again; it doubles.
+/// Initial TCP retransmission timeout; it doubles with each retransmission.
 const RETRANSMIT_MIN: Duration = Duration::from_millis(200);
 
 /// Mean time between two stalls of the primary, and their mean duration, in seconds.
 const STALL_INTERVAL_S: f64 = 120.0;
 const STALL_MEAN_S: f64 = 0.08;
 
-/// The properties of a link.
+/// Properties of a link.
 #[derive(Clone, Copy)]
 struct LinkKind {
     name: &'static str,
@@ -63,7 +63,7 @@
     },
 ];
 
-/// Times during which something is down, in order.
+/// Periods of unavailability in seconds, in order.
 struct DownTimes(Vec<(f64, f64)>);
 
 impl DownTimes {
@@ -78,7 +78,7 @@
         Self(times)
     }
 
-    /// The end of the down time that covers `at_s`, if there is one.
+    /// Returns the end of the period that contains `at_s`, if there is one.
     fn end_after(&self, at_s: f64) -> Option<f64> {
         let index = self.0.partition_point(|(_, end)| *end <= at_s);
         self.0.get(index).filter(|(start, _)| *start <= at_s).map(|(_, end)| *end)
@@ -121,16 +121,17 @@
     SuspicionBound { floor, ceiling: floor * factor, margin_percent }
 }
 
-/// How an observer sets its bound.
+/// Rule for the bound of an observer.
 #[derive(Clone, Copy)]
 enum BoundRule {
-    /// The package's detector: the longest gap seen lately.
+    /// Detector of this package: the longest recent gap with a margin.
     Longest(SuspicionBound),
-    /// The usual gap plus this many mean deviations.
+    /// Mean gap plus this many mean deviations.
     Deviations(u32),
 }
 
-/// The rule that was tried and not taken: mean plus deviations, 400 to 1600 ms.
+/// Detector with a bound of the mean gap plus a multiple of the mean deviation, between 400 and
+/// 1600 ms. The proxy does not use it.
 struct DeviationDetector {
     factor: f64,
     gap_s: f64,
@@ -139,7 +140,7 @@
 }
 
 impl DeviationDetector {
-    /// Weight of one gap: about the last thirty count.
+    /// Weight of one gap: about the last thirty gaps count.
     const GAIN: f64 = 1.0 / 32.0;
 
     /// Records a response and returns the time at which the next silence becomes suspect.
--- a/crates/rudder-decisions/examples/trials/faults.rs
+++ b/crates/rudder-decisions/examples/trials/faults.rs
@@ -1,4 +1,4 @@
-//! One replica of two turns slow, fails everything, or starts cold.
+//! Read routing while one of two replicas is slow, fails every statement, or has cold caches.
 
 use super::arrivals::{ArrivalPattern, capacity, member};
 use super::current::PolicySettings;
@@ -14,7 +14,7 @@
 const LENGTH: Duration = Duration::from_secs(60);
 const LINK: Duration = Duration::from_millis(2);
 
-/// The replica that has the fault.
+/// Index of the faulty replica.
 const FAULTY: usize = 2;
 
 /// Runs and prints the trial.
--- a/crates/rudder-decisions/examples/trials/hedging.rs
+++ b/crates/rudder-decisions/examples/trials/hedging.rs
@@ -1,7 +1,8 @@
-//! Hedging: a read that is not answered in time is sent to a second replica as well.
+//! Hedged reads: a read without a response after a delay is also sent to the other replica.
 //!
-//! The first answer counts. The other statement runs to its end: cancelling it would cost another
-//! connection. A statement takes as long at either replica, apart from waiting and speed.
+//! The first response counts. The other statement runs to completion, because cancelling it would
+//! need another connection. The service time of a statement is the same at both replicas, apart
+//! from queueing and speed.
 
 use super::arrivals::{ArrivalPattern, capacity, member};
 use super::current::{CurrentPolicy, PolicySettings};
@@ -18,10 +19,11 @@
 /// Mean service time that the policy assumes before the first measurement.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// Delays until the second send: about the 95th and the 99th percentile without load.
+/// Delays before the second send: about the 95th and the 99th percentile of the response time
+/// without load.
 const DELAYS: [Duration; 2] = [Duration::from_millis(32), Duration::from_millis(48)];
 
-/// One read that may still be hedged, or has been.
+/// Read that has been sent at least once.
 struct HedgedRead {
     id: usize,
     first_member: usize,
@@ -29,7 +31,7 @@
     hedge_at: Option<Instant>,
 }
 
-/// The current policy with hedging around it.
+/// Current policy with hedged reads.
 struct HedgingPolicy {
     inner: CurrentPolicy,
     delay: Duration,
--- a/crates/rudder-decisions/examples/trials/main.rs
+++ b/crates/rudder-decisions/examples/trials/main.rs
@@ -1,4 +1,4 @@
-//! Trials of the decisions in virtual time.
+//! Simulations that compare the decisions of this package with alternatives, in virtual time.
 //!
 //! `cargo run --release -p rudder-decisions --example trials -- --seed 1` prints JSON lines and a
 //! table for each trial.
@@ -19,7 +19,7 @@
 mod summary;
 mod workloads;
 
-/// The seed used unless one is given.
+/// Seed without `--seed`.
 const SEED_DEFAULT: u64 = 1;
 
 fn main() {
--- a/crates/rudder-decisions/examples/trials/model.rs
+++ b/crates/rudder-decisions/examples/trials/model.rs
@@ -1,4 +1,5 @@
-//! A queueing model in virtual time: instances that decide, members that serve, links between.
+//! Discrete-event queueing model: instances that route requests, members that serve them, and the
+//! links between them.
 
 use rand::rngs::StdRng;
 use rudder_decisions::WorkClass;
@@ -6,83 +7,83 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// One request of a caller.
+/// Request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// When it arrives, since the start.
+    /// Arrival time since the start.
     pub(crate) at: Duration,
-    /// The instance at which it arrives.
+    /// Instance at which it arrives.
     pub(crate) instance: usize,
-    /// Its caller.
+    /// Identifier of the caller.
     pub(crate) caller: u64,
-    /// The name of its caller's kind.
+    /// Name of the caller's kind.
     pub(crate) kind: &'static str,
-    /// Whether its kind is shed first.
+    /// Whether it is shed before other requests under overload.
     pub(crate) shed: bool,
-    /// Whether it may change data.
+    /// Read or write.
     pub(crate) class: WorkClass,
-    /// Its service time at a member of speed 1.
+    /// Service time at a member of speed 1.
     pub(crate) service: Duration,
-    /// What its text looks like without constants.
+    /// Fingerprint of the statement text without its constants.
     pub(crate) fingerprint: u64,
     /// Time after which the caller no longer waits for the response.
     pub(crate) timeout: Duration,
     /// Maximum wait for a slot, if it differs from that of the policy.
     pub(crate) queue_wait: Option<Duration>,
-    /// When its session last wrote, if it must see that write.
+    /// Time of the last write of its session, if the request must see that write.
     pub(crate) floor: Option<Duration>,
 }
 
-/// A time in which a member's behaviour differs.
+/// Period in which a member is faulty.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
-    /// Its start.
+    /// Start of the period.
     pub(crate) from: Duration,
-    /// Its end.
+    /// End of the period.
     pub(crate) until: Duration,
-    /// What is different.
+    /// Kind of the fault.
     pub(crate) kind: FaultKind,
 }
 
-/// How a member's behaviour differs.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FaultKind {
-    /// Service takes this many times as long.
+    /// Service times are multiplied by this factor.
     Slow(f64),
-    /// Every statement fails at once.
+    /// Every statement fails immediately.
     Failing,
-    /// The member is cold: service takes this many times as long at first, less with each of the
-    /// given number of statements.
+    /// Caches are cold: service times are multiplied by this factor at first, and by less with each
+    /// of the given number of statements.
     Cold(f64, u32),
 }
 
-/// One member of the group.
+/// Member of the group.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberSpec {
-    /// Its speed, relative to the reference.
+    /// Speed relative to a reference member.
     pub(crate) speed: f64,
-    /// Statements that it runs at once; more of them wait inside it in order of arrival.
+    /// Statements that run concurrently; further ones wait in the member in order of arrival.
     pub(crate) slots: u32,
-    /// Whether it is the primary.
+    /// Whether the member is the primary.
     pub(crate) primary: bool,
-    /// The round trip from each instance.
+    /// Round-trip time from each instance.
     pub(crate) links: Vec<Duration>,
-    /// How far it trails the primary.
+    /// Replication lag behind the primary.
     pub(crate) lag: Duration,
-    /// Its fault, if it has one.
+    /// Fault of the member, if any.
     pub(crate) fault: Option<Fault>,
 }
 
-/// What a policy wants done.
+/// Action that a policy returns.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Action {
-    /// Send a request to a member.
+    /// Sends a request to a member.
     Send(usize, usize),
-    /// Give a request its final refusal, with the time after which to come back.
+    /// Refuses a request, with the delay after which the caller may retry.
     Refuse(usize, Duration),
 }
 
-/// What an instance does with requests and answers. Requests are named by their index.
+/// Routing and admission policy of one instance. Requests are identified by their index.
 pub(crate) trait LoadPolicy {
     /// Handles the arrival of a request.
     fn on_request(
@@ -108,21 +109,22 @@
     fn on_wake(&mut self, time: Instant, rng: &mut StdRng) -> Vec<Action>;
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
-    /// The member that it was sent to.
+    /// First member that it was sent to.
     pub(crate) member: Option<usize>,
     /// Time at which the first response reached the instance, since the start.
     pub(crate) responded_at: Option<Duration>,
     /// Number of times it was sent.
     pub(crate) sends: u32,
-    /// Whether the member failed it.
+    /// Whether the member reported a failure.
     pub(crate) failed: bool,
-    /// When it was refused, since the start, and when to come back.
+    /// Time of its refusal since the start, and the delay before a retry.
     pub(crate) refused: Option<(Duration, Duration)>,
 }
 
+/// Simulation event; request, member and instance are given by their indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     RequestArrival(usize),
@@ -136,11 +138,12 @@
 #[derive(Default)]
 struct MemberState {
     running: u32,
+    /// Statements started so far.
     served: u32,
     queue: VecDeque<usize>,
 }
 
-/// Plays requests against members through one policy per instance.
+/// Simulation of requests that reach members through one policy per instance.
 pub(crate) struct QueueModel<'a> {
     origin: Instant,
     members: &'a [MemberSpec],
@@ -159,7 +162,7 @@
 }
 
 impl<'a> QueueModel<'a> {
-    /// A model; `policies` has one policy per instance.
+    /// Creates a model; `policies` has one policy per instance.
     pub(crate) fn new(
         members: &'a [MemberSpec],
         requests: &'a [Request],
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Plays everything and returns what became of each request.
+    /// Runs the simulation to its end and returns the outcome of each request.
     pub(crate) fn run(mut self) -> Vec<Outcome> {
         for id in 0..self.requests.len() {
             self.push(self.requests[id].at, Event::RequestArrival(id));
--- a/crates/rudder-decisions/examples/trials/report.rs
+++ b/crates/rudder-decisions/examples/trials/report.rs
@@ -1,8 +1,8 @@
-//! Rows of figures, as JSON lines and as a table.
+//! Output of results as JSON lines and as a table.
 
 use serde_json::{Map, Value, json};
 
-/// One line of a trial: its circumstances, the policy, and its figures.
+/// Results of one policy in one scenario.
 pub(crate) struct TrialRow {
     scenario: String,
     policy: String,
--- a/crates/rudder-decisions/examples/trials/routing.rs
+++ b/crates/rudder-decisions/examples/trials/routing.rs
@@ -1,5 +1,5 @@
-//! Read routing: round robin, one queue with and without the paper's thresholds, and the current
-//! policy, over five scenes and three loads.
+//! Read routing by round robin, by a shared queue with and without thresholds, and by the current
+//! policy, in six scenarios and at three loads.
 
 use super::arrivals::{ArrivalPattern, capacity, member};
 use super::current::{LimitRule, PolicySettings};
@@ -127,7 +127,8 @@
     vec![one_instance, no_links, links, unknown, bursts, writes]
 }
 
-/// Three members in three failure domains; the third is old. Instances stand in all three.
+/// Returns three members in three failure domains, the third of them slow. Instances are spread
+/// over the domains and are nearest to the member of their own domain.
 fn linked_members() -> Vec<MemberSpec> {
     let speeds = [1.0, 1.0, 0.4];
     speeds
--- a/crates/rudder-decisions/examples/trials/setup.rs
+++ b/crates/rudder-decisions/examples/trials/setup.rs
@@ -1,4 +1,4 @@
-//! Joins members, requests and policies into runs.
+//! Runs a workload through one policy.
 
 use super::baseline::{RoundRobinPolicy, SharedQueuePolicy};
 use super::current::{CurrentPolicy, PolicySettings};
@@ -7,16 +7,16 @@
 use rand::rngs::StdRng;
 use std::time::{Duration, Instant};
 
-/// Which policy every instance runs.
+/// Policy that every instance runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PolicyChoice {
     /// Round robin without limits.
     RoundRobin,
-    /// One queue per instance, the fastest free slot first.
+    /// One queue per instance; the fastest free slot takes the next request.
     SharedQueue,
-    /// The same, with the paper's thresholds.
+    /// Shared queue with the thresholds of Rosberg and Makowski.
     SharedThreshold,
-    /// This package's decisions.
+    /// Decisions of this package.
     Current(PolicySettings),
 }
 
--- a/crates/rudder-decisions/examples/trials/slots.rs
+++ b/crates/rudder-decisions/examples/trials/slots.rs
@@ -1,8 +1,9 @@
-//! Slots divided among seven instances: no division, an equal split of connections, one slot each,
-//! a limit adapted from latency, and a home instance that the others forward to.
+//! Division of a member's slots among seven instances: no division, an equal split of connections,
+//! one slot each, a limit adapted from latency, and a home instance to which the others forward.
 //!
-//! One group of a primary and two replicas, one of them old; a quarter of the requests are writes
-//! that come in bursts, and a twentieth of the reads must see a write made just before.
+//! The group has a primary, a replica of the same speed and a slow replica. Requests come in
+//! bursts; a quarter of them are writes, and a twentieth of the reads must see a write made
+//! immediately before.
 
 use super::arrivals::{ArrivalPattern, capacity, member};
 use super::current::{LimitRule, PolicySettings};
@@ -19,7 +20,7 @@
 const LENGTH: Duration = Duration::from_secs(60);
 const LOADS: [f64; 4] = [0.6, 0.8, 0.92, 1.1];
 
-/// Round trip between an instance and a member, and between an instance and the home.
+/// Round-trip time between an instance and a member, and between an instance and the home instance.
 const LINK: Duration = Duration::from_millis(8);
 
 /// Connections per instance: 30, less 3 for control statements, split among seven instances.
@@ -141,7 +142,7 @@
     outcomes
 }
 
-/// A primary and two replicas, the last of them old.
+/// Returns a primary, a replica of the same speed and a slow replica.
 fn group(instances: usize) -> Vec<MemberSpec> {
     let lagging =
         |speed| MemberSpec { lag: Duration::from_millis(100), ..member(speed, 5, LINK, instances) };
--- a/crates/rudder-decisions/examples/trials/summary.rs
+++ b/crates/rudder-decisions/examples/trials/summary.rs
@@ -1,29 +1,29 @@
-//! What callers got, as figures.
+//! Summary of request outcomes.
 
 use super::model::{Outcome, Request};
 use std::time::Duration;
 
-/// What a set of callers got.
+/// Counts and response times of a set of requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadSummary {
-    /// Requests of the set.
+    /// Number of requests.
     pub(crate) requests: usize,
-    /// Answered without failure within the caller's patience.
+    /// Requests with a successful response before the caller's timeout.
     pub(crate) served: usize,
-    /// Refused.
+    /// Refused requests.
     pub(crate) refused: usize,
-    /// Failed by a member.
+    /// Requests that failed at a member.
     pub(crate) failed: usize,
-    /// Mean time from arrival to answer, in ms.
+    /// Mean time from arrival to response, in ms.
     pub(crate) mean_ms: f64,
-    /// Half of the answers came within this, in ms.
+    /// Median response time, in ms.
     pub(crate) p50_ms: f64,
-    /// 99 in 100 answers came within this, in ms.
+    /// 99th percentile of the response time, in ms.
     pub(crate) p99_ms: f64,
 }
 
 impl LoadSummary {
-    /// Sums up the requests that `belongs` selects.
+    /// Summarizes the requests for which `selects` returns true.
     pub(crate) fn of(
         requests: &[Request],
         outcomes: &[Outcome],
@@ -51,18 +51,18 @@
         summary
     }
 
-    /// The part of the requests that was served.
+    /// Returns the share of requests that were served.
     pub(crate) fn served_share(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 }
 
-/// A time in milliseconds.
+/// Converts a duration to milliseconds.
 pub(crate) fn millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
 
-/// A percentile of sorted times, in milliseconds.
+/// Returns a percentile of sorted durations, in milliseconds.
 pub(crate) fn percentile_ms(sorted: &[Duration], percent: usize) -> f64 {
     let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
     sorted.get(index).copied().map_or(0.0, millis)
--- a/crates/rudder-decisions/examples/trials/workloads.rs
+++ b/crates/rudder-decisions/examples/trials/workloads.rs
@@ -1,4 +1,4 @@
-//! The load patterns that both the tests and the trial of admission play.
+//! Workloads shared by the load tests and the admission trial.
 
 use super::arrivals::{ArrivalPattern, capacity, member};
 use super::model::{MemberSpec, Request};
@@ -6,16 +6,16 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// Instances in front of the group.
+/// Number of instances in front of the group.
 pub(crate) const INSTANCES: usize = 7;
 
-/// The caller that takes three quarters of the load.
+/// Caller that sends three quarters of the requests.
 pub(crate) const BUSY_CALLER: u64 = 0;
 
-/// The fingerprint of the long statements.
+/// Fingerprint of the long statements.
 pub(crate) const REPORT: u64 = 99;
 
-/// A primary, a new replica and an old one, 2 ms away.
+/// Returns a primary, a replica of the same speed and a slow replica, each 2 ms away.
 pub(crate) fn group() -> Vec<MemberSpec> {
     let link = Duration::from_millis(2);
     let primary = MemberSpec { primary: true, ..member(1.0, 5, link, INSTANCES) };
@@ -37,7 +37,7 @@
     requests
 }
 
-/// 1400 reads a second for replicas that serve 700; three in four come from one caller.
+/// Returns 1400 reads per second for replicas that serve 700; three in four come from one caller.
 pub(crate) fn busy_caller(seed: u64) -> Vec<Request> {
     let pattern = ArrivalPattern {
         timeout: Duration::from_secs(1),
@@ -50,8 +50,8 @@
     requests
 }
 
-/// 250 short reads a second, and every ten seconds a batch of ten reports of one second each, from
-/// one caller at one instance.
+/// Returns 250 short reads per second, and every ten seconds a batch of ten reports of one second
+/// each, from one caller at one instance.
 pub(crate) fn long_among_short(seed: u64) -> Vec<Request> {
     let rng = &mut StdRng::seed_from_u64(seed);
     let length = Duration::from_secs(60);
@@ -75,7 +75,8 @@
     requests
 }
 
-/// Reads at this multiple of what the group serves; every third is of a kind that can wait.
+/// Returns reads at `load` times the capacity of the group; every third caller is of a kind that is
+/// shed first.
 pub(crate) fn saturation(load: f64, seed: u64) -> Vec<Request> {
     let rate = capacity(&group()) * load;
     let pattern = ArrivalPattern {
