--- a/crates/rudder-engine/src/group/acquire.rs
+++ b/crates/rudder-engine/src/group/acquire.rs
@@ -6,7 +6,9 @@
 //! the queues of all that may serve it, and takes the first connection that it is given.
 
 use super::link::PooledLink;
-use super::pool::{ConnectionGrant, LinkRequest, MemberPool, OpenPlace, QueuePlace, QueueRequest};
+use super::pool::{
+    ConnectionGrant, ConnectionSlot, LinkRequest, MemberPool, QueueEntry, QueueRequest,
+};
 use crate::border::LinkError;
 use crate::statement::StatementError;
 use displaydoc::Display;
@@ -35,34 +37,34 @@
 }
 
 /// A choice that is still open, with the caller's place in its queue.
-struct OpenChoice {
+struct QueuedChoice {
     /// Where it stands among all choices.
     index: usize,
     choice: PoolChoice,
-    turn: Option<u64>,
-    place: Option<QueuePlace>,
+    sequence: Option<u64>,
+    entry: Option<QueueEntry>,
 }
 
-impl OpenChoice {
+impl QueuedChoice {
     fn join(&mut self, request: &LinkRequest) {
         let request = QueueRequest {
             link: request.clone(),
             kept_free: self.choice.kept_free,
-            turn: self.turn,
+            sequence: self.sequence,
         };
-        let place = self.choice.pool.join_queue(request);
-        self.turn = Some(place.turn);
-        self.place = Some(place);
+        let entry = self.choice.pool.join_queue(request);
+        self.sequence = Some(entry.sequence);
+        self.entry = Some(entry);
     }
 
     /// What was granted without waiting.
-    fn granted_now(&mut self) -> Option<ConnectionGrant> {
-        self.place.as_mut()?.granted.try_recv().ok()
+    fn try_grant(&mut self) -> Option<ConnectionGrant> {
+        self.entry.as_mut()?.granted.try_recv().ok()
     }
 
     fn poll_grant(&mut self, context: &mut Context<'_>) -> Poll<ConnectionGrant> {
-        let Some(place) = &mut self.place else { return Poll::Pending };
-        match Pin::new(&mut place.granted).poll(context) {
+        let Some(entry) = &mut self.entry else { return Poll::Pending };
+        match Pin::new(&mut entry.granted).poll(context) {
             Poll::Ready(Ok(grant)) => Poll::Ready(grant),
             Poll::Ready(Err(_)) | Poll::Pending => Poll::Pending,
         }
@@ -90,32 +92,33 @@
 ) -> Result<(usize, PooledLink), AcquireError> {
     let give_up = Instant::now() + wait;
     let mut reason = LinkError::Unreachable("tried a moment ago".to_owned());
-    let mut open: Vec<OpenChoice> = choices
+    let mut open: Vec<QueuedChoice> = choices
         .iter()
         .enumerate()
-        .filter(|(_, choice)| !choice.pool.is_out())
-        .map(|(index, choice)| OpenChoice {
+        .filter(|(_, choice)| !choice.pool.is_unavailable())
+        .map(|(index, choice)| QueuedChoice {
             index,
             choice: choice.clone(),
-            turn: None,
-            place: None,
+            sequence: None,
+            entry: None,
         })
         .collect();
     while !open.is_empty() {
         let left = give_up.saturating_duration_since(Instant::now());
-        let Ok((at, grant)) = tokio::time::timeout(left, first_grant(&mut open, request)).await
+        let Ok((position, grant)) =
+            tokio::time::timeout(left, first_grant(&mut open, request)).await
         else {
             return Err(AcquireError::WaitOver);
         };
-        let place = match grant {
-            ConnectionGrant::Link(link) => return Ok((open[at].index, link)),
-            ConnectionGrant::Dial(place) => place,
+        let slot = match grant {
+            ConnectionGrant::Link(link) => return Ok((open[position].index, link)),
+            ConnectionGrant::Dial(slot) => slot,
         };
-        match dial_at(&mut open, at, place, request).await {
-            Ok(link) => return Ok((open[at].index, link)),
+        match dial_at(&mut open, position, slot, request).await {
+            Ok(link) => return Ok((open[position].index, link)),
             Err(LinkError::Refused(StatementError::ConnectionLimit)) => {}
             Err(error) => {
-                open.remove(at);
+                open.remove(position);
                 reason = error;
             }
         }
@@ -126,31 +129,31 @@
 /// Opens the connection. The places in the other queues are given up meanwhile, as what is granted
 /// there would stand idle; the turns are kept.
 async fn dial_at(
-    open: &mut [OpenChoice],
-    at: usize,
-    place: OpenPlace,
+    open: &mut [QueuedChoice],
+    position: usize,
+    slot: ConnectionSlot,
     request: &LinkRequest,
 ) -> Result<PooledLink, LinkError> {
     for choice in open.iter_mut() {
-        choice.place = None;
+        choice.entry = None;
     }
-    open[at].choice.pool.dial(place, request.user.account()).await
+    open[position].choice.pool.dial(slot, request.user.account()).await
 }
 
 /// Joins the queues one after the other until a connection is granted, and then waits in all.
-async fn first_grant(open: &mut [OpenChoice], request: &LinkRequest) -> (usize, ConnectionGrant) {
-    for (at, choice) in open.iter_mut().enumerate() {
-        if choice.place.is_none() {
+async fn first_grant(open: &mut [QueuedChoice], request: &LinkRequest) -> (usize, ConnectionGrant) {
+    for (position, choice) in open.iter_mut().enumerate() {
+        if choice.entry.is_none() {
             choice.join(request);
         }
-        if let Some(grant) = choice.granted_now() {
-            return (at, grant);
+        if let Some(grant) = choice.try_grant() {
+            return (position, grant);
         }
     }
     poll_fn(|context| {
-        for (at, choice) in open.iter_mut().enumerate() {
+        for (position, choice) in open.iter_mut().enumerate() {
             if let Poll::Ready(grant) = choice.poll_grant(context) {
-                return Poll::Ready((at, grant));
+                return Poll::Ready((position, grant));
             }
         }
         Poll::Pending
--- a/crates/rudder-engine/src/group/link.rs
+++ b/crates/rudder-engine/src/group/link.rs
@@ -28,7 +28,7 @@
     session: LinkSession,
     state: TransactionState,
     /// Whether an answer is awaited.
-    busy: bool,
+    awaiting_reply: bool,
     used_at: Instant,
     /// Whether the pool counts it as open.
     counted: bool,
@@ -46,7 +46,7 @@
             account,
             session: LinkSession::default(),
             state: TransactionState::Idle,
-            busy: false,
+            awaiting_reply: false,
             used_at: Instant::now(),
             counted: true,
         }
@@ -76,40 +76,40 @@
 
     /// Whether the connection may serve another caller.
     pub(crate) fn is_reusable(&self) -> bool {
-        self.link.is_some() && !self.busy && self.state == TransactionState::Idle
+        self.link.is_some() && !self.awaiting_reply && self.state == TransactionState::Idle
     }
 
     /// Sends commands in one write and awaits all answers.
     pub(crate) async fn exchange(
         &mut self,
         commands: &[MemberCommand],
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Vec<StatementReply>, ExchangeError> {
         let started_at = Instant::now();
         // Stays set if the caller gives up and drops this future half-way.
-        self.busy = true;
+        self.awaiting_reply = true;
         let mut sent = false;
-        let talk = Self::talk(self.link.as_mut(), commands, &mut sent);
-        let answer = match tokio::time::timeout(limit, talk).await {
-            Ok(answer) => answer,
+        let round_trip = Self::send_and_receive(self.link.as_mut(), commands, &mut sent);
+        let result = match tokio::time::timeout(timeout, round_trip).await {
+            Ok(result) => result,
             Err(_) => Err(LinkError::Silent),
         };
-        match answer {
+        match result {
             Ok(replies) => {
-                self.settle(commands, &replies);
+                self.apply_replies(commands, &replies);
                 Ok(replies)
             }
             Err(reason) => {
                 self.link = None;
                 if reason == LinkError::Silent {
-                    self.pool.drop_idle_since(started_at);
+                    self.pool.close_unused_since(started_at);
                 }
                 Err(ExchangeError { reason, sent })
             }
         }
     }
 
-    async fn talk(
+    async fn send_and_receive(
         link: Option<&mut Box<dyn MemberLink>>,
         commands: &[MemberCommand],
         sent: &mut bool,
@@ -124,7 +124,7 @@
         Ok(replies)
     }
 
-    fn settle(&mut self, commands: &[MemberCommand], replies: &[StatementReply]) {
+    fn apply_replies(&mut self, commands: &[MemberCommand], replies: &[StatementReply]) {
         for (command, reply) in commands.iter().zip(replies) {
             if reply.error().is_none() {
                 self.session.apply(command);
@@ -133,7 +133,7 @@
         if let Some(last) = replies.last() {
             self.state = last.state;
         }
-        self.busy = false;
+        self.awaiting_reply = false;
         self.used_at = Instant::now();
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Closes the connection; another one is opened in its place.
-    pub(super) fn replace(mut self) {
+    pub(super) fn close_for_replacement(mut self) {
         self.link = None;
         self.counted = false;
     }
@@ -154,17 +154,17 @@
         let reusable = self.is_reusable();
         let Some(link) = self.link.take().filter(|_| reusable) else {
             if self.counted {
-                self.pool.forget_one();
+                self.pool.release_slot();
             }
             return;
         };
-        MemberPool::give_back(Self {
+        MemberPool::return_link(Self {
             pool: Arc::clone(&self.pool),
             link: Some(link),
             account: self.account.take(),
             session: std::mem::take(&mut self.session),
             state: TransactionState::Idle,
-            busy: false,
+            awaiting_reply: false,
             used_at: self.used_at,
             counted: true,
         });
--- a/crates/rudder-engine/src/group/link_session.rs
+++ b/crates/rudder-engine/src/group/link_session.rs
@@ -24,10 +24,10 @@
         shape: Option<&StatementShape>,
     ) -> Vec<MemberCommand> {
         let is_named = |name: &str| values.iter().any(|value| value.name == name);
-        let foreign = self.values.iter().any(|value| !is_named(&value.name));
-        let unknown = shape.filter(|shape| self.shapes.binary_search(shape).is_err());
-        let full = unknown.is_some() && self.shapes.len() >= SHAPES_MAX;
-        if foreign || full {
+        let has_foreign = self.values.iter().any(|value| !is_named(&value.name));
+        let unprepared = shape.filter(|shape| self.shapes.binary_search(shape).is_err());
+        let is_full = unprepared.is_some() && self.shapes.len() >= SHAPES_MAX;
+        if has_foreign || is_full {
             let mut commands = vec![MemberCommand::Reset];
             commands.extend(Self::default().commands_for(values, shape));
             return commands;
@@ -35,7 +35,7 @@
         let missing = values.iter().filter(|value| self.values.binary_search(value).is_err());
         let mut commands: Vec<_> = missing.cloned().map(MemberCommand::SetValue).collect();
         commands.extend(
-            unknown
+            unprepared
                 .map(|shape| MemberCommand::Prepare { alias: shape.alias(), shape: shape.clone() }),
         );
         commands
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 /// How long a member is tried last after it failed a read: it is slow or busy for about as long.
-const DOUBT_TIME: Duration = Duration::from_millis(250);
+const FAILED_READ_PENALTY: Duration = Duration::from_millis(250);
 
 /// How long a primary that is missing from the list is still used. Longer than its absence lasts
 /// before it is replaced (2.6 s and a turn of 0.3 s); half of the time for which deployments let
 /// members that are gone be sent work (7 s and more).
-const UNLISTED_TIME: Duration = Duration::from_millis(3500);
+const UNLISTED_PRIMARY_GRACE: Duration = Duration::from_millis(3500);
 
 /// Whether a member takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,13 +53,13 @@
     domain: DomainName,
     region: String,
     pool: Arc<MemberPool>,
-    memory: Mutex<MemberMemory>,
+    observations: Mutex<MemberObservations>,
 }
 
 #[derive(Debug, Default)]
-struct MemberMemory {
+struct MemberObservations {
     progress: ReplicaProgress,
-    doubtful_until: Duration,
+    deprioritized_until: Duration,
     /// Since when the list has lacked it.
     unlisted_since: Option<Duration>,
     /// Since when it has said that it is leaving.
@@ -76,7 +76,10 @@
             region: entry.region.clone(),
             entry: Mutex::new(entry),
             pool,
-            memory: Mutex::new(MemberMemory { leaving_since, ..MemberMemory::default() }),
+            observations: Mutex::new(MemberObservations {
+                leaving_since,
+                ..MemberObservations::default()
+            }),
         })
     }
 
@@ -103,49 +106,49 @@
 
     /// Whether it has been leaving for `limit` or longer.
     pub(crate) fn has_left(&self, limit: Duration) -> bool {
-        let since = lock(&self.memory).leaving_since;
+        let since = lock(&self.observations).leaving_since;
         since.is_some_and(|since| boot_time() >= since + limit)
     }
 
     /// Whether the list of members names it.
     pub(crate) fn is_listed(&self) -> bool {
-        lock(&self.memory).unlisted_since.is_none()
+        lock(&self.observations).unlisted_since.is_none()
     }
 
     /// Takes in that the list lacks it; returns whether it may still be used.
-    pub(super) fn linger(&self) -> bool {
+    pub(super) fn mark_unlisted(&self) -> bool {
         let now = boot_time();
-        now < *lock(&self.memory).unlisted_since.get_or_insert(now) + UNLISTED_TIME
+        now < *lock(&self.observations).unlisted_since.get_or_insert(now) + UNLISTED_PRIMARY_GRACE
     }
 
     /// Takes in how far its log is applied, and for how long the primary has been farther.
-    pub(crate) fn note_applied(&self, stamp: LogStamp, lag: Duration) {
-        lock(&self.memory).progress.note(stamp, lag, boot_time());
+    pub(crate) fn record_applied(&self, stamp: LogStamp, lag: Duration) {
+        lock(&self.observations).progress.note(stamp, lag, boot_time());
     }
 
     /// Takes in that a read that needs `floor` is being sent to it.
-    pub(crate) fn note_tried(&self, floor: LogStamp) {
-        lock(&self.memory).progress.note_tried(floor, boot_time());
+    pub(crate) fn record_attempt(&self, floor: LogStamp) {
+        lock(&self.observations).progress.note_tried(floor, boot_time());
     }
 
     /// Tries it last for a moment.
-    pub(crate) fn doubt(&self) {
-        lock(&self.memory).doubtful_until = boot_time() + DOUBT_TIME;
+    pub(crate) fn deprioritize(&self) {
+        lock(&self.observations).deprioritized_until = boot_time() + FAILED_READ_PENALTY;
     }
 
-    pub(crate) fn is_doubtful(&self) -> bool {
-        boot_time() < lock(&self.memory).doubtful_until
+    pub(crate) fn is_deprioritized(&self) -> bool {
+        boot_time() < lock(&self.observations).deprioritized_until
     }
 
     /// Whether it most likely still lacks `floor`, which the primary reached `age` ago.
     pub(crate) fn lacks(&self, floor: LogStamp, age: Duration) -> bool {
-        lock(&self.memory).progress.lacks(floor, age, boot_time())
+        lock(&self.observations).progress.lacks(floor, age, boot_time())
     }
 }
 
 /// Keeps a known member with its connections, unless it moved or started anew: then connections
 /// and what is known of its log are of no more use.
-pub(super) fn keep_or_make(
+pub(super) fn reuse_or_create(
     known: &[Arc<GroupMember>],
     entry: &MemberEntry,
     dialer: &Arc<dyn MemberDialer>,
@@ -158,10 +161,10 @@
     *lock(&member.entry) = entry.clone();
     let leaving = entry.state == MemberState::Draining;
     {
-        let mut memory = lock(&member.memory);
-        memory.unlisted_since = None;
-        let since = memory.leaving_since.unwrap_or_else(boot_time);
-        memory.leaving_since = leaving.then_some(since);
+        let mut observations = lock(&member.observations);
+        observations.unlisted_since = None;
+        let since = observations.leaving_since.unwrap_or_else(boot_time);
+        observations.leaving_since = leaving.then_some(since);
     }
     if leaving {
         member.pool.close_idle();
--- a/crates/rudder-engine/src/group/mod.rs
+++ b/crates/rudder-engine/src/group/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use link_session::put_value;
 pub(crate) use member::GroupMember;
 pub use member::{MemberEntry, MemberState};
-pub(crate) use placement::{ReadPlace, order_members, read_choices};
+pub(crate) use placement::{PlacementContext, order_members, read_choices};
 pub(crate) use pool::{LinkRequest, LinkUser};
 pub(crate) use service::ServiceGroup;
 
--- a/crates/rudder-engine/src/group/placement.rs
+++ b/crates/rudder-engine/src/group/placement.rs
@@ -10,7 +10,7 @@
 
 /// What placing a read depends on.
 #[derive(Clone, Debug)]
-pub(crate) struct ReadPlace {
+pub(crate) struct PlacementContext {
     /// Where this instance is.
     pub(crate) own: NodePlace,
     /// What the member's log must hold.
@@ -22,21 +22,21 @@
 /// The members that may serve a read, the best first; equal ones by name.
 pub(crate) fn order_members(
     members: &[Arc<GroupMember>],
-    place: &ReadPlace,
+    context: &PlacementContext,
 ) -> Vec<Arc<GroupMember>> {
     let mut usable: Vec<_> =
         members.iter().filter(|member| member.serves_reads()).cloned().collect();
-    usable.sort_by_cached_key(|member| (standing(member, place), member.name().clone()));
+    usable.sort_by_cached_key(|member| (standing(member, context), member.name().clone()));
     usable
 }
 
-fn standing(member: &GroupMember, place: &ReadPlace) -> ReadStanding {
+fn standing(member: &GroupMember, context: &PlacementContext) -> ReadStanding {
     ReadStanding {
-        unreachable: member.pool().is_down(),
-        behind: member.lacks(place.floor, place.floor_age),
-        doubtful: member.is_doubtful(),
-        full: member.pool().spare() == 0,
-        distance: place.own.distance(&member.place()),
+        unreachable: member.pool().is_unreachable(),
+        behind: member.lacks(context.floor, context.floor_age),
+        doubtful: member.is_deprioritized(),
+        full: member.pool().spare_connections() == 0,
+        distance: context.own.distance(&member.place()),
     }
 }
 
@@ -45,11 +45,11 @@
 pub(crate) fn read_choices(
     group: &ServiceGroup,
     members: &[Arc<GroupMember>],
-    place: &ReadPlace,
+    context: &PlacementContext,
 ) -> Vec<PoolChoice> {
     let primary =
         group.with_leases(|leases| leases.record().and_then(|record| record.primary().cloned()));
-    let sound = members.iter().take_while(|member| standing(member, place).is_sound()).count();
+    let sound = members.iter().take_while(|member| standing(member, context).is_sound()).count();
     let usable = if sound == 0 { members.len() } else { sound };
     let choice = |member: &Arc<GroupMember>| PoolChoice {
         pool: Arc::clone(member.pool()),
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -30,7 +30,7 @@
 ///
 /// Guards against callers that are refused after a loss of power: members keep the connections of
 /// a lost machine for some seconds, and what was idle there takes the place of a new one.
-const IDLE_TIME: Duration = Duration::from_millis(250);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The connections to one member.
 pub(crate) struct MemberPool {
@@ -51,14 +51,14 @@
 
 impl PoolState {
     /// How many connections may be open.
-    fn limit(&self, now: Instant) -> u32 {
+    fn max_open(&self, now: Instant) -> u32 {
         self.share + if self.share > 0 { self.headroom.extra(now) } else { 0 }
     }
 
     /// Counts in a connection that is to be opened; returns the one that must be closed for it, which
     /// is the one that was idle for longest.
-    fn make_room(&mut self, now: Instant) -> Option<PooledLink> {
-        if self.open >= self.limit(now) && !self.idle.is_empty() {
+    fn reserve_slot(&mut self, now: Instant) -> Option<PooledLink> {
+        if self.open >= self.max_open(now) && !self.idle.is_empty() {
             return Some(self.idle.remove(0));
         }
         self.open += 1;
@@ -67,7 +67,7 @@
 
     /// How many connections could be had at once.
     fn free(&self, now: Instant) -> u32 {
-        let unopened = self.limit(now).saturating_sub(self.open);
+        let unopened = self.max_open(now).saturating_sub(self.open);
         let unopened = if self.gate.may_begin(now) { unopened } else { 0 };
         count(self.idle.len()) + unopened
     }
@@ -121,7 +121,7 @@
     /// An open connection.
     Link(PooledLink),
     /// The right to open one.
-    Dial(OpenPlace),
+    Dial(ConnectionSlot),
 }
 
 /// How a caller waits in a queue.
@@ -131,12 +131,12 @@
     /// Connections that must stay free for others if it is to have one.
     pub(super) kept_free: u32,
     /// The turn that it had in this queue before.
-    pub(super) turn: Option<u64>,
+    pub(super) sequence: Option<u64>,
 }
 
 /// A caller's place in a queue; given up when it is dropped.
-pub(super) struct QueuePlace {
-    pub(super) turn: u64,
+pub(super) struct QueueEntry {
+    pub(super) sequence: u64,
     pub(super) granted: oneshot::Receiver<ConnectionGrant>,
 }
 
@@ -167,20 +167,20 @@
 
     /// Sets how many connections may be open, and whether there are fewer than instances; idle ones
     /// above the share are closed.
-    pub(crate) fn set_share(self: &Arc<Self>, share: ConnectionShare, scarce: bool) {
+    pub(crate) fn set_share(self: &Arc<Self>, share: ConnectionShare, is_scarce: bool) {
         let mut closed = Vec::new();
         {
             let mut state = self.state();
             state.share = share.0;
-            state.headroom.set_scarce(scarce);
+            state.headroom.set_scarce(is_scarce);
             while state.open > count(closed.len()) + share.0 {
                 let Some(link) = state.idle.pop() else { break };
                 closed.push(link);
             }
         }
         closed.into_iter().for_each(PooledLink::close);
-        if let Some(moment) = Instant::now().checked_sub(IDLE_TIME) {
-            self.drop_idle_since(moment);
+        if let Some(cutoff) = Instant::now().checked_sub(IDLE_TIMEOUT) {
+            self.close_unused_since(cutoff);
         }
         self.serve_queue();
     }
@@ -191,15 +191,15 @@
         idle.into_iter().for_each(PooledLink::close);
     }
 
-    /// Closes idle connections that were not used since `moment`.
+    /// Closes idle connections that were not used since `cutoff`.
     ///
     /// Guards against connections that something between the two ends has lost track of: where
     /// one went silent, others that were idle as long may have, too.
-    pub(crate) fn drop_idle_since(&self, moment: Instant) {
+    pub(crate) fn close_unused_since(&self, cutoff: Instant) {
         let stale: Vec<PooledLink> = {
             let mut state = self.state();
             let idle = std::mem::take(&mut state.idle);
-            let (stale, kept) = idle.into_iter().partition(|link| link.used_at() < moment);
+            let (stale, kept) = idle.into_iter().partition(|link| link.used_at() < cutoff);
             state.idle = kept;
             stale
         };
@@ -207,40 +207,40 @@
     }
 
     /// How many callers could be served at once without waiting.
-    pub(crate) fn spare(&self) -> u32 {
+    pub(crate) fn spare_connections(&self) -> u32 {
         let mut state = self.state();
         state.waiters.retain(|caller| !caller.granted.is_closed());
         state.free(Instant::now()).saturating_sub(count(state.waiters.len()))
     }
 
     /// Whether the member could not be reached just now.
-    pub(crate) fn is_down(&self) -> bool {
+    pub(crate) fn is_unreachable(&self) -> bool {
         self.state().gate.is_unreachable(Instant::now())
     }
 
     /// Whether no connection is to be had for as long as the member counts as unreachable.
-    pub(super) fn is_out(&self) -> bool {
+    pub(super) fn is_unavailable(&self) -> bool {
         let state = self.state();
         state.idle.is_empty() && state.gate.is_unreachable(Instant::now())
     }
 
     /// Puts a caller in queue, and serves it at once if it is its turn.
-    pub(super) fn join_queue(self: &Arc<Self>, request: QueueRequest) -> QueuePlace {
+    pub(super) fn join_queue(self: &Arc<Self>, request: QueueRequest) -> QueueEntry {
         let (sender, granted) = oneshot::channel();
         let LinkRequest { user, rank } = request.link;
         let caller = WaitingCaller { user, granted: sender, kept_free: request.kept_free };
-        let turn = {
+        let sequence = {
             let mut state = self.state();
-            match request.turn {
-                Some(turn) => {
-                    state.waiters.rejoin(rank, turn, caller);
-                    turn
+            match request.sequence {
+                Some(sequence) => {
+                    state.waiters.rejoin(rank, sequence, caller);
+                    sequence
                 }
                 None => state.waiters.join(rank, caller),
             }
         };
         self.serve_queue();
-        QueuePlace { turn, granted }
+        QueueEntry { sequence, granted }
     }
 
     /// Gives what is free to those who wait.
@@ -260,30 +260,30 @@
         }
         state.waiters.retain(|caller| !caller.granted.is_closed());
         // The only connection that this instance may hold is for all of its callers.
-        let kept_most = state.limit(now).saturating_sub(1);
+        let max_kept_free = state.max_open(now).saturating_sub(1);
         let may_dial = state.gate.may_begin(now);
         let PoolState { idle, waiters, .. } = &mut *state;
         let position = |user: &LinkUser| idle.iter().rposition(|link| user.takes(link.account()));
         let caller = waiters.next_where(|caller| {
-            let has_place = caller.kept_free.min(kept_most) < free;
-            has_place && (may_dial || position(&caller.user).is_some())
+            let enough_free = caller.kept_free.min(max_kept_free) < free;
+            enough_free && (may_dial || position(&caller.user).is_some())
         })?;
         if let Some(index) = position(&caller.user) {
             return Some((caller, ConnectionGrant::Link(idle.remove(index))));
         }
         state.gate.try_begin(now);
-        let replaced = state.make_room(now);
+        let replaced = state.reserve_slot(now);
         drop(state);
         if let Some(link) = replaced {
-            link.replace();
+            link.close_for_replacement();
         }
-        Some((caller, ConnectionGrant::Dial(OpenPlace::new(self))))
+        Some((caller, ConnectionGrant::Dial(ConnectionSlot::new(self))))
     }
 
     /// Opens a connection for which a place was counted in.
     pub(super) async fn dial(
         self: &Arc<Self>,
-        place: OpenPlace,
+        slot: ConnectionSlot,
         account: Option<&AccountName>,
     ) -> Result<PooledLink, LinkError> {
         let dial = self.dialer.dial(&self.target, account);
@@ -293,7 +293,7 @@
         };
         match dialed {
             Ok(link) => {
-                place.keep();
+                slot.keep_counted();
                 self.state().gate.note_success();
                 let link = PooledLink::new(Arc::clone(self), link, account.cloned());
                 self.serve_queue();
@@ -307,7 +307,7 @@
     }
 
     fn note_failure(self: &Arc<Self>, reason: &LinkError) {
-        let (failure, word) = match reason {
+        let (failure, code) = match reason {
             LinkError::Refused(StatementError::ConnectionLimit) => {
                 (DialFailure::ConnectionLimit, "connection_limit")
             }
@@ -322,10 +322,10 @@
             state.gate.note_failure(failure, now)
         };
         self.serve_queue_after(pause);
-        metrics::counter!("rudder_dials_failed_total", "reason" => word).increment(1);
+        metrics::counter!("rudder_dials_failed_total", "reason" => code).increment(1);
         log::info!(
             service:% = self.target.service, member:% = self.target.member, reason:% = reason,
-            outcome = word; "a connection to a member was not opened"
+            outcome = code; "a connection to a member was not opened"
         );
     }
 
@@ -341,11 +341,11 @@
     }
 
     /// Puts a connection at the disposal of the next caller.
-    pub(super) fn give_back(link: PooledLink) {
+    pub(super) fn return_link(link: PooledLink) {
         let pool = Arc::clone(link.pool());
         {
             let mut state = pool.state();
-            if state.open <= state.limit(Instant::now()) {
+            if state.open <= state.max_open(Instant::now()) {
                 state.idle.push(link);
             } else {
                 drop(state);
@@ -356,7 +356,7 @@
     }
 
     /// Counts a closed connection out, and lets the next caller open one.
-    pub(super) fn forget_one(self: &Arc<Self>) {
+    pub(super) fn release_slot(self: &Arc<Self>) {
         {
             let mut state = self.state();
             state.open = state.open.saturating_sub(1);
@@ -366,26 +366,26 @@
 }
 
 /// A place that is counted as open while a connection is being opened, and given up with it.
-pub(super) struct OpenPlace {
+pub(super) struct ConnectionSlot {
     pool: Option<Arc<MemberPool>>,
 }
 
-impl OpenPlace {
+impl ConnectionSlot {
     fn new(pool: &Arc<MemberPool>) -> Self {
         Self { pool: Some(Arc::clone(pool)) }
     }
 
     /// Leaves the place counted.
-    fn keep(mut self) {
+    fn keep_counted(mut self) {
         self.pool = None;
     }
 }
 
-impl Drop for OpenPlace {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.take() {
             pool.state().gate.note_given_up();
-            pool.forget_one();
+            pool.release_slot();
         }
     }
 }
--- a/crates/rudder-engine/src/group/service.rs
+++ b/crates/rudder-engine/src/group/service.rs
@@ -1,6 +1,6 @@
 //! One service: its members, its primary, and what is known of their logs.
 
-use super::member::{GroupMember, MemberEntry, keep_or_make};
+use super::member::{GroupMember, MemberEntry, reuse_or_create};
 use crate::border::MemberDialer;
 use crate::clock::boot_time;
 use crate::lead::{LeadRecord, LeaderEpoch, LeaderLease, LeaseTable, PositionHistory};
@@ -33,7 +33,7 @@
     ///
     /// Guards against strict work that ends seconds before the primary is replaced: a primary that
     /// is cut off from the store, and from nothing else, drops out of the list although it serves.
-    fn lingering(
+    fn unlisted_primary(
         &self,
         known: &[Arc<GroupMember>],
         listed: &[Arc<GroupMember>],
@@ -41,7 +41,7 @@
         let primary = self.leases.record()?.primary()?;
         let member = known.iter().find(|member| member.name() == primary)?;
         let missing = !listed.iter().any(|kept| kept.name() == primary);
-        (missing && member.linger()).then(|| Arc::clone(member))
+        (missing && member.mark_unlisted()).then(|| Arc::clone(member))
     }
 }
 
@@ -84,12 +84,12 @@
         let mut state = self.state();
         let known = std::mem::take(&mut state.members);
         let mut members: Vec<_> =
-            entries.iter().map(|entry| keep_or_make(&known, entry, dialer)).collect();
-        members.extend(state.lingering(&known, &members));
+            entries.iter().map(|entry| reuse_or_create(&known, entry, dialer)).collect();
+        members.extend(state.unlisted_primary(&known, &members));
         members.sort_by(|left, right| left.name().cmp(right.name()));
         state.members = members.clone();
         drop(state);
-        close_dropped(&known, &members);
+        close_removed(&known, &members);
         self.changed.notify_waiters();
     }
 
@@ -102,11 +102,11 @@
         let known = std::mem::take(&mut state.members);
         let mut members = known.clone();
         members.retain(|member| member.is_listed());
-        members.extend(state.lingering(&known, &members));
+        members.extend(state.unlisted_primary(&known, &members));
         members.sort_by(|left, right| left.name().cmp(right.name()));
         state.members = members.clone();
         drop(state);
-        close_dropped(&known, &members);
+        close_removed(&known, &members);
     }
 
     /// Takes in a version of the record; returns whether it is a new one.
@@ -151,11 +151,11 @@
         self.state().leases.holds(lease, boot_time())
     }
 
-    /// Waits until something changes, at most until `limit` is over.
-    pub(crate) async fn wait_changed(&self, limit: Duration) {
+    /// Waits until something changes, at most until `timeout` is over.
+    pub(crate) async fn wait_changed(&self, timeout: Duration) {
         let changed = self.changed.notified();
         // Over means that nothing changed; the caller looks again in either case.
-        let _ = tokio::time::timeout(limit, changed).await;
+        let _ = tokio::time::timeout(timeout, changed).await;
     }
 
     /// Takes in a position that the primary had when it answered a question sent at `sent_at`.
@@ -211,9 +211,9 @@
     }
 
     /// Takes in how far a member's log is applied.
-    pub(crate) fn note_applied(&self, member: &GroupMember, stamp: LogStamp) {
+    pub(crate) fn record_applied(&self, member: &GroupMember, stamp: LogStamp) {
         let lag = self.state().history.lag_of(stamp, boot_time());
-        member.note_applied(stamp, lag);
+        member.record_applied(stamp, lag);
     }
 
     /// The primary's newest known position.
@@ -243,7 +243,7 @@
 }
 
 /// Closes the connections to members that are no longer used.
-fn close_dropped(known: &[Arc<GroupMember>], kept: &[Arc<GroupMember>]) {
+fn close_removed(known: &[Arc<GroupMember>], kept: &[Arc<GroupMember>]) {
     for member in known {
         if !kept.iter().any(|kept| Arc::ptr_eq(kept, member)) {
             member.pool().set_share(ConnectionShare::default(), false);
--- a/crates/rudder-engine/src/group/tests/link_session.rs
+++ b/crates/rudder-engine/src/group/tests/link_session.rs
@@ -11,25 +11,25 @@
     StatementShape { effect: StatementEffect::Read, shape: text.to_owned() }
 }
 
-fn laid(commands: &[MemberCommand]) -> LinkSession {
+fn session_after(commands: &[MemberCommand]) -> LinkSession {
     let mut session = LinkSession::default();
     commands.iter().for_each(|command| session.apply(command));
     session
 }
 
 #[test]
-fn nothing_is_sent_that_the_connection_has() {
+fn known_values_and_shapes_are_not_sent_again() {
     let values = [value("a", "1")];
-    let session = laid(&LinkSession::default().commands_for(&values, Some(&shape("q"))));
+    let session = session_after(&LinkSession::default().commands_for(&values, Some(&shape("q"))));
 
     assert_eq!(session.commands_for(&values, Some(&shape("q"))), []);
 }
 
 #[test]
-fn another_callers_value_is_cleared() {
+fn a_value_of_another_session_is_reset() {
     // One caller set a tone, the next one never did. With the tone left on the connection, the
     // second caller's statement runs in a mode that nobody asked for.
-    let session = laid(&[MemberCommand::SetValue(value("tone", "high"))]);
+    let session = session_after(&[MemberCommand::SetValue(value("tone", "high"))]);
 
     let commands = session.commands_for(&[value("metre", "slow")], None);
 
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_changed_value_is_set_over_the_old_one() {
+fn a_changed_value_is_set_without_a_reset() {
     // Within a transaction the connection cannot be cleared without losing the transaction.
-    let session = laid(&[MemberCommand::SetValue(value("tone", "high"))]);
+    let session = session_after(&[MemberCommand::SetValue(value("tone", "high"))]);
 
     let commands = session.commands_for(&[value("tone", "low")], None);
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_connection_that_knows_many_shapes_is_cleared() {
+fn a_connection_with_the_maximum_number_of_shapes_is_reset() {
     // A caller prepares ever new statements; the members' memory must not grow with them.
     let many: Vec<_> = (0..64)
         .map(|number| {
@@ -57,7 +57,7 @@
         })
         .collect();
 
-    let commands = laid(&many).commands_for(&[], Some(&shape("new")));
+    let commands = session_after(&many).commands_for(&[], Some(&shape("new")));
 
     assert_eq!(commands.first(), Some(&MemberCommand::Reset));
     assert_eq!(commands.len(), 2);
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -80,17 +80,17 @@
     MemberPool::new(target, dialer, limit)
 }
 
-fn ask(rank: u8) -> LinkRequest {
+fn request(rank: u8) -> LinkRequest {
     LinkRequest { user: LinkUser::Caller(None), rank }
 }
 
 #[tokio::test]
-async fn a_connection_that_comes_back_serves_the_next_caller() {
+async fn a_returned_connection_serves_the_next_caller() {
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
 
     for _ in 0..5 {
-        let mut link = pool.acquire(&ask(1), LONG).await.expect("a connection");
+        let mut link = pool.acquire(&request(1), LONG).await.expect("a connection");
         link.exchange(&[MemberCommand::Reset], LONG).await.expect("an answer");
     }
 
@@ -98,18 +98,18 @@
 }
 
 #[tokio::test]
-async fn urgent_work_goes_before_work_that_came_earlier() {
+async fn a_lower_rank_is_served_before_earlier_requests() {
     // Catalogue readers queue up for the only connection, then an order comes. Behind the readers
     // it would be late.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
-    let held = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let held = pool.acquire(&request(1), LONG).await.expect("a connection");
     let order = Arc::new(std::sync::Mutex::new(Vec::new()));
     let mut callers = Vec::new();
     for (name, priority) in [("reader", 2), ("another reader", 2), ("order", 1)] {
         let (pool, order) = (Arc::clone(&pool), Arc::clone(&order));
         callers.push(tokio::spawn(async move {
-            let link = pool.acquire(&ask(priority), LONG).await.expect("a connection");
+            let link = pool.acquire(&request(priority), LONG).await.expect("a connection");
             order.lock().expect("no panic").push(name);
             drop(link);
         }));
@@ -125,49 +125,49 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_missed_its_answer_is_never_used_again() {
+async fn a_connection_whose_response_timed_out_is_not_reused() {
     // Something between the two ends has lost track of the connection. The answer may still come,
     // and must not reach the next caller.
     let dialer = Arc::new(FakeDialer { silent: true, ..FakeDialer::default() });
     let pool = pool(&dialer, 1);
-    let mut link = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let mut link = pool.acquire(&request(1), LONG).await.expect("a connection");
 
     let answer = link.exchange(&[MemberCommand::Reset], Duration::from_millis(5)).await;
     drop(link);
-    pool.acquire(&ask(1), LONG).await.expect("another connection");
+    pool.acquire(&request(1), LONG).await.expect("another connection");
 
     assert_eq!(answer.expect_err("no answer").reason, LinkError::Silent);
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 2);
 }
 
 #[tokio::test]
-async fn a_caller_that_gives_up_takes_nothing_with_it() {
+async fn a_caller_that_stops_waiting_does_not_leak_a_connection() {
     // Callers leave while they wait; the places that come free meanwhile must not be lost, or the
     // instance runs out of connections that nobody holds.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     for _ in 0..20 {
-        let first = pool.acquire(&ask(1), LONG).await.expect("a connection");
-        let second = pool.acquire(&ask(1), LONG).await.expect("a connection");
-        let waiting = pool.acquire(&ask(1), Duration::from_millis(1)).await;
+        let first = pool.acquire(&request(1), LONG).await.expect("a connection");
+        let second = pool.acquire(&request(1), LONG).await.expect("a connection");
+        let waiting = pool.acquire(&request(1), Duration::from_millis(1)).await;
         assert!(matches!(waiting, Err(AcquireError::WaitOver)));
         first.close();
         drop(second);
     }
 
-    assert_eq!(pool.spare(), 2);
+    assert_eq!(pool.spare_connections(), 2);
 }
 
 #[tokio::test]
-async fn a_member_that_has_too_many_connections_is_not_pressed() {
+async fn a_member_at_its_connection_limit_is_not_dialed_repeatedly() {
     // The others hold more than their shares for a moment. Dialling again at once closes as many
     // connections as it opens.
     let dialer = Arc::new(FakeDialer { cap: Some(1), ..FakeDialer::default() });
     let pool = pool(&dialer, 10);
-    let held = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let held = pool.acquire(&request(1), LONG).await.expect("a connection");
 
     for _ in 0..50 {
-        let refused = pool.acquire(&ask(1), Duration::ZERO).await;
+        let refused = pool.acquire(&request(1), Duration::ZERO).await;
         assert!(refused.is_err());
     }
 
@@ -176,21 +176,21 @@
 }
 
 #[tokio::test]
-async fn a_smaller_share_closes_what_is_idle() {
+async fn a_smaller_share_closes_idle_connections() {
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 3);
-    let first = pool.acquire(&ask(1), LONG).await.expect("a connection");
-    let second = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let first = pool.acquire(&request(1), LONG).await.expect("a connection");
+    let second = pool.acquire(&request(1), LONG).await.expect("a connection");
     drop(first);
 
     pool.set_share(ConnectionShare(1), false);
     drop(second);
 
-    assert_eq!(pool.spare(), 1);
+    assert_eq!(pool.spare_connections(), 1);
 }
 
 #[tokio::test]
-async fn waiting_callers_do_not_dial_one_after_the_other() {
+async fn queued_callers_share_the_pause_after_a_refused_dial() {
     // All instances return from a loss of power, and the members still count their old
     // connections. Each refusal lets the next caller in line dial: hundreds of dials a second that
     // are known to be refused, from every instance, while nobody is served.
@@ -201,8 +201,9 @@
     let mut callers = tokio::task::JoinSet::new();
     for _ in 0..200 {
         let pool = Arc::clone(&pool);
-        callers
-            .spawn(async move { pool.acquire(&ask(1), Duration::from_millis(300)).await.is_ok() });
+        callers.spawn(async move {
+            pool.acquire(&request(1), Duration::from_millis(300)).await.is_ok()
+        });
     }
     let served = callers.join_all().await;
 
@@ -213,13 +214,13 @@
 }
 
 #[tokio::test]
-async fn a_place_that_comes_free_at_a_full_member_is_found() {
+async fn queued_callers_are_served_once_a_full_member_has_room() {
     // The old connections of lost machines expire one by one. Callers that wait must be served then,
     // although nobody new comes to knock.
     let dialer = Arc::new(FakeDialer { cap: Some(0), refusals: Some(2), ..FakeDialer::default() });
     let pool = pool(&dialer, 2);
 
-    let link = pool.acquire(&ask(1), LONG).await;
+    let link = pool.acquire(&request(1), LONG).await;
 
     assert!(link.is_ok());
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 3);
@@ -231,30 +232,30 @@
     // is over, although connections to another one come free meanwhile.
     let dialer = Arc::new(FakeDialer::default());
     let pools = [pool(&dialer, 1), pool(&dialer, 1)];
-    let _near = pools[0].acquire(&ask(1), LONG).await.expect("a connection");
-    let far = pools[1].acquire(&ask(1), LONG).await.expect("a connection");
+    let _near = pools[0].acquire(&request(1), LONG).await.expect("a connection");
+    let far = pools[1].acquire(&request(1), LONG).await.expect("a connection");
     let choices = pools.clone().map(|pool| PoolChoice { pool, kept_free: 0 });
-    let read = tokio::spawn(async move { acquire_any(&choices, &ask(1), LONG).await });
+    let read = tokio::spawn(async move { acquire_any(&choices, &request(1), LONG).await });
     tokio::task::yield_now().await;
 
     drop(far);
     let (index, _link) = read.await.expect("no panic").expect("a connection");
 
     assert_eq!(index, 1);
-    assert_eq!(pools[0].spare(), 0, "the other line is left");
+    assert_eq!(pools[0].spare_connections(), 0, "the other line is left");
 }
 
 #[tokio::test]
-async fn a_read_leaves_the_primarys_last_connection_to_writes() {
+async fn reads_leave_the_last_connection_to_the_primary_to_writes() {
     // Reads that a replica may serve as well hold all of an instance's connections to the primary;
     // an order that only the primary can take is refused.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     let read = [PoolChoice { pool: Arc::clone(&pool), kept_free: 1 }];
 
-    let first = acquire_any(&read, &ask(3), Duration::ZERO).await;
-    let second = acquire_any(&read, &ask(3), Duration::ZERO).await;
-    let write = pool.acquire(&ask(2), Duration::ZERO).await;
+    let first = acquire_any(&read, &request(3), Duration::ZERO).await;
+    let second = acquire_any(&read, &request(3), Duration::ZERO).await;
+    let write = pool.acquire(&request(2), Duration::ZERO).await;
 
     assert!(first.is_ok());
     assert_eq!(second.err(), Some(AcquireError::WaitOver));
@@ -262,34 +263,34 @@
 }
 
 #[tokio::test]
-async fn the_only_connection_of_an_instance_serves_reads_too() {
+async fn the_only_connection_to_a_member_also_serves_reads() {
     // Where an instance may hold one connection only, keeping it for writes would leave its reads
     // unserved for ever while no replica is fresh enough.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
     let read = [PoolChoice { pool, kept_free: 1 }];
 
-    let link = acquire_any(&read, &ask(3), Duration::ZERO).await;
+    let link = acquire_any(&read, &request(3), Duration::ZERO).await;
 
     assert!(link.is_ok());
 }
 
 #[tokio::test]
-async fn connections_that_nobody_uses_are_given_up_soon() {
+async fn idle_connections_are_closed_after_the_idle_timeout() {
     // All instances lose power. The members count their connections for seconds, idle ones too, and
     // refuse the instances when they are back: callers are turned away for want of a connection.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
-    drop(pool.acquire(&ask(1), LONG).await.expect("a connection"));
+    drop(pool.acquire(&request(1), LONG).await.expect("a connection"));
     tokio::time::sleep(Duration::from_millis(260)).await;
 
     pool.set_share(ConnectionShare(2), false);
-    drop(pool.acquire(&ask(1), LONG).await.expect("a connection"));
+    drop(pool.acquire(&request(1), LONG).await.expect("a connection"));
 
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 2);
 }
 
-fn ask_for(account: &str) -> LinkRequest {
+fn request_for(account: &str) -> LinkRequest {
     LinkRequest { user: LinkUser::Caller(Some(account.parse().expect("a name"))), rank: 1 }
 }
 
@@ -300,7 +301,7 @@
     let pool = pool(&dialer, 2);
 
     for account in ["choirs", "bands", "choirs", "bands"] {
-        let link = pool.acquire(&ask_for(account), LONG).await.expect("a connection");
+        let link = pool.acquire(&request_for(account), LONG).await.expect("a connection");
         assert_eq!(link.account().map(AccountName::as_str), Some(account));
     }
 
@@ -309,17 +310,17 @@
 
 /// Guards against callers that wait for ever while all connections are idle for other accounts.
 #[tokio::test]
-async fn the_longest_idle_connection_of_another_account_gives_way() {
+async fn the_longest_idle_connection_is_replaced_for_another_account() {
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     for account in ["choirs", "bands"] {
-        let kept = pool.acquire(&ask_for(account), LONG).await.expect("a connection");
+        let kept = pool.acquire(&request_for(account), LONG).await.expect("a connection");
         drop(kept);
     }
 
-    let third = pool.acquire(&ask_for("soloists"), LONG).await.expect("a connection");
-    let bands = pool.acquire(&ask_for("bands"), LONG).await.expect("a connection");
-    let fourth = pool.acquire(&ask_for("choirs"), Duration::from_millis(20)).await;
+    let third = pool.acquire(&request_for("soloists"), LONG).await.expect("a connection");
+    let bands = pool.acquire(&request_for("bands"), LONG).await.expect("a connection");
+    let fourth = pool.acquire(&request_for("choirs"), Duration::from_millis(20)).await;
 
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 3);
     assert!(fourth.is_err(), "no more connections are open than may be");
@@ -331,7 +332,7 @@
 async fn control_commands_take_a_connection_of_any_account() {
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
-    drop(pool.acquire(&ask_for("choirs"), LONG).await.expect("a connection"));
+    drop(pool.acquire(&request_for("choirs"), LONG).await.expect("a connection"));
 
     let control = LinkRequest { user: LinkUser::Control, rank: 0 };
     let link = pool.acquire(&control, LONG).await.expect("a connection");
@@ -342,13 +343,13 @@
 
 /// Guards against callers that are refused behind one transaction, although the member has room.
 #[tokio::test]
-async fn a_member_with_room_takes_more_than_one_connection_where_instances_are_many() {
+async fn an_instance_may_exceed_its_share_where_shares_are_scarce() {
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
     pool.set_share(ConnectionShare(1), true);
-    let transaction = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let transaction = pool.acquire(&request(1), LONG).await.expect("a connection");
 
-    let statement = pool.acquire(&ask(1), Duration::from_millis(50)).await;
+    let statement = pool.acquire(&request(1), Duration::from_millis(50)).await;
 
     assert!(statement.is_ok());
     drop(transaction);
@@ -356,14 +357,14 @@
 
 /// Guards against instances that take from each other what a full member does not have.
 #[tokio::test]
-async fn after_a_refusal_an_instance_keeps_to_its_share() {
+async fn headroom_is_withdrawn_after_a_refused_connection() {
     let dialer = Arc::new(FakeDialer { cap: Some(1), ..FakeDialer::default() });
     let pool = pool(&dialer, 1);
     pool.set_share(ConnectionShare(1), true);
-    let held = pool.acquire(&ask(1), LONG).await.expect("a connection");
+    let held = pool.acquire(&request(1), LONG).await.expect("a connection");
 
     for _ in 0..5 {
-        let refused = pool.acquire(&ask(1), Duration::from_millis(100)).await;
+        let refused = pool.acquire(&request(1), Duration::from_millis(100)).await;
         assert!(refused.is_err());
     }
 
--- a/crates/rudder-engine/src/group/tests/service.rs
+++ b/crates/rudder-engine/src/group/tests/service.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_primary_that_drops_out_of_the_list_is_used_until_it_is_replaced() {
+fn an_unregistered_primary_is_used_until_it_is_replaced() {
     // A primary loses its link to the store, and its entry expires. Crews who could reach it were
     // refused from that moment on, seconds before another member led.
     let (group, dialer) = group("a");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_replica_that_drops_out_of_the_list_is_used_no_more() {
+fn an_unregistered_replica_is_removed() {
     let (group, dialer) = group("a");
 
     group.set_members(&[member_entry("a")], &dialer);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_primary_that_comes_back_into_the_list_stays() {
+fn a_primary_that_registers_again_is_kept() {
     let (group, dialer) = group("a");
 
     group.set_members(&[member_entry("b")], &dialer);
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -4,8 +4,8 @@
 use super::job::{StatementJob, refuse};
 use crate::engine::ProxyEngine;
 use crate::group::{
-    AcquireError, ExchangeError, GroupMember, PooledLink, ReadPlace, ServiceGroup, acquire_any,
-    order_members, read_choices,
+    AcquireError, ExchangeError, GroupMember, PlacementContext, PooledLink, ServiceGroup,
+    acquire_any, order_members, read_choices,
 };
 use crate::settings::RouteRule;
 use crate::statement::{StatementError, StatementReply, TransactionState};
@@ -132,7 +132,7 @@
                 return Err(refused(&group, "the primary's position is not known"));
             };
             let floor_age = group.age_of(floor);
-            let place = ReadPlace { own: self.identity().place(), floor, floor_age };
+            let place = PlacementContext { own: self.identity().place(), floor, floor_age };
             let mut members = order_members(&group.members(), &place);
             members.retain(|member| !tried.contains(member.name()));
             if members.is_empty() {
@@ -216,7 +216,7 @@
         step: ReadStep,
         last: bool,
     ) -> Result<(StatementReply, PooledLink), AttemptEnd> {
-        member.note_tried(floor);
+        member.record_attempt(floor);
         let left = job.time_left();
         let limit = if last { left } else { left.min(ATTEMPT_MIN.max(left / 2)) };
         let answer = match step {
@@ -229,7 +229,7 @@
                 log_attempt(member, job, &error);
                 // The watch tells at once whether a primary is lost.
                 self.want_position();
-                member.doubt();
+                member.deprioritize();
                 Err(AttemptEnd::Next)
             }
         }
@@ -245,7 +245,7 @@
     step: ReadStep,
 ) -> Result<(StatementReply, PooledLink), AttemptEnd> {
     if let Some(position) = reply.position {
-        group.note_applied(member, position);
+        group.record_applied(member, position);
     }
     let Some(error) = reply.error() else { return Ok((reply, link)) };
     log::info!(
@@ -256,7 +256,7 @@
         // What its log lacks now says nothing of reads that need less: they may still go there.
         StatementError::Lagging => Err(AttemptEnd::Next),
         StatementError::Busy | StatementError::ReadOnly => {
-            member.doubt();
+            member.deprioritize();
             Err(AttemptEnd::Next)
         }
         StatementError::UnknownName => {
@@ -265,7 +265,7 @@
         }
         _ if step == ReadStep::Begin => Err(AttemptEnd::Next),
         StatementError::Failed => {
-            member.doubt();
+            member.deprioritize();
             Err(AttemptEnd::Failed(reply))
         }
         _ => Err(AttemptEnd::Final(reply)),
