--- a/crates/rudder-engine/src/session/caller.rs
+++ b/crates/rudder-engine/src/session/caller.rs
@@ -22,9 +22,9 @@
 enum SessionPhase {
     Idle,
     Open(Box<OpenTransaction>),
-    /// The transaction failed, and its connection is gone. `told` says whether the caller knows.
+    /// The transaction failed, and its connection is gone. `reported` says whether the caller knows.
     Failed {
-        told: bool,
+        reported: bool,
     },
 }
 
@@ -71,15 +71,15 @@
     pub fn expire_transaction(&mut self) {
         if let SessionPhase::Open(open) = std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             open.abandon();
-            self.phase = SessionPhase::Failed { told: false };
+            self.phase = SessionPhase::Failed { reported: false };
         }
     }
 
     /// Runs one statement.
     pub async fn run(&mut self, id: RequestId, statement: CallerStatement) -> StatementReply {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let reply = self.dispatch(id.clone(), statement).await;
-        note_statement(&id, &self.database, began_at.elapsed(), &reply);
+        record_statement(&id, &self.database, started_at.elapsed(), &reply);
         reply
     }
 
@@ -88,15 +88,19 @@
             return self.refuse(StatementError::Malformed, "this cannot be understood");
         }
         match &self.phase {
-            SessionPhase::Failed { told } => {
-                let told = *told;
-                self.run_failed(&statement, told)
+            SessionPhase::Failed { reported } => {
+                let reported = *reported;
+                self.run_in_failed_transaction(&statement, reported)
             }
-            _ => self.run_sound(id, statement).await,
+            _ => self.run_statement(id, statement).await,
         }
     }
 
-    fn run_failed(&mut self, statement: &CallerStatement, told: bool) -> StatementReply {
+    fn run_in_failed_transaction(
+        &mut self,
+        statement: &CallerStatement,
+        reported: bool,
+    ) -> StatementReply {
         let aborted = |state| {
             let text = "the transaction was rolled back; nothing of it is kept";
             StatementReply::refusal(StatementError::Aborted, text, state)
@@ -110,35 +114,35 @@
                 self.phase = SessionPhase::Idle;
                 aborted(TransactionState::Idle)
             }
-            _ if !told => {
-                self.phase = SessionPhase::Failed { told: true };
+            _ if !reported => {
+                self.phase = SessionPhase::Failed { reported: true };
                 aborted(TransactionState::Failed)
             }
             _ => self.refuse(StatementError::Malformed, "the transaction failed; roll it back"),
         }
     }
 
-    async fn run_sound(&mut self, id: RequestId, statement: CallerStatement) -> StatementReply {
+    async fn run_statement(&mut self, id: RequestId, statement: CallerStatement) -> StatementReply {
         match statement {
             CallerStatement::Begin { read_only } => self.begin(read_only),
             CallerStatement::Commit => self.commit(id).await,
             CallerStatement::Rollback => self.roll_back(),
             CallerStatement::SetValue(value) => {
                 let changed = self.session_state.set_value(value);
-                self.answer_local(changed)
+                self.reply_local(changed)
             }
             CallerStatement::Prepare { name, shape } => {
                 let changed = self.session_state.prepare(name, shape);
-                self.answer_local(changed)
+                self.reply_local(changed)
             }
             CallerStatement::Deallocate(name) => self.deallocate(&name),
             CallerStatement::Read(text) => {
                 let body = StatementBody::Text(text);
-                self.run_work(id, body, StatementEffect::Read, None).await
+                self.run_on_member(id, body, StatementEffect::Read, None).await
             }
             CallerStatement::Write(text) => {
                 let body = StatementBody::Text(text);
-                self.run_work(id, body, StatementEffect::Write, None).await
+                self.run_on_member(id, body, StatementEffect::Write, None).await
             }
             CallerStatement::Execute { name, arguments } => {
                 self.execute(id, &name, arguments).await
@@ -191,7 +195,7 @@
     }
 
     /// Answers what changed the session's state and needed no member.
-    fn answer_local(&self, changed: Result<(), StateFull>) -> StatementReply {
+    fn reply_local(&self, changed: Result<(), StateFull>) -> StatementReply {
         match changed {
             Ok(()) => StatementReply::local(self.state()),
             Err(error) => self.refuse(StatementError::TooLarge, &error.to_string()),
@@ -199,7 +203,7 @@
     }
 
     fn deallocate(&mut self, name: &str) -> StatementReply {
-        if self.session_state.forget(name) {
+        if self.session_state.remove_prepared(name) {
             return StatementReply::local(self.state());
         }
         self.fail(StatementError::UnknownName, "there is no such prepared name")
@@ -209,7 +213,7 @@
     fn fail(&mut self, error: StatementError, text: &str) -> StatementReply {
         if let SessionPhase::Open(open) = std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             open.abandon();
-            self.phase = SessionPhase::Failed { told: true };
+            self.phase = SessionPhase::Failed { reported: true };
         }
         self.refuse(error, text)
     }
@@ -219,10 +223,10 @@
             return self.fail(StatementError::UnknownName, "there is no such prepared name");
         };
         let body = StatementBody::Execute { alias: shape.alias(), arguments };
-        self.run_work(id, body, shape.effect, Some(shape)).await
+        self.run_on_member(id, body, shape.effect, Some(shape)).await
     }
 
-    async fn run_work(
+    async fn run_on_member(
         &mut self,
         id: RequestId,
         body: StatementBody,
@@ -244,7 +248,7 @@
         let job = StatementJob::new(id, body, effect, shape, self.session_state.values(), &access);
         let strict = route.kind == RouteKind::Strict || effect == StatementEffect::Write;
         if !strict {
-            let floor = self.floor_of(&route.service);
+            let floor = self.session_floor(&route.service);
             return engine.read_bounded(&route, &job, floor).await;
         }
         let reply = engine.run_strict(&route, &job).await;
@@ -265,22 +269,22 @@
         else {
             return self.refuse(StatementError::Malformed, "no transaction is open");
         };
-        if let Err(error) = self.keep_right(&open) {
+        if let Err(error) = self.check_account(&open) {
             open.abandon();
-            self.phase = SessionPhase::Failed { told: true };
+            self.phase = SessionPhase::Failed { reported: true };
             return self.refuse(error, "the account of this transaction lost its key");
         }
         if let Err(error) = open.claim(&self.engine, &id).await {
-            self.phase = SessionPhase::Failed { told: true };
+            self.phase = SessionPhase::Failed { reported: true };
             return self.refuse(StatementError::Busy, &refusal_text(&error));
         }
-        let floor = self.floor_of(open.service());
+        let floor = self.session_floor(open.service());
         let job =
             StatementJob::new(id, body, effect, shape, self.session_state.values(), open.access());
         let reply = open.run(&self.engine, &job, floor).await;
         if reply.state == TransactionState::Failed {
             open.abandon();
-            self.phase = SessionPhase::Failed { told: true };
+            self.phase = SessionPhase::Failed { reported: true };
         } else {
             self.phase = SessionPhase::Open(open);
         }
@@ -288,7 +292,7 @@
     }
 
     /// Whether the caller still is who began the transaction. Its route holds until it ends.
-    fn keep_right(&self, open: &OpenTransaction) -> Result<(), StatementError> {
+    fn check_account(&self, open: &OpenTransaction) -> Result<(), StatementError> {
         match self.engine.access(&self.database, &self.key) {
             Ok(access) if access.account != open.access().account => {
                 Err(StatementError::Unauthorized)
@@ -303,7 +307,7 @@
         else {
             return self.refuse(StatementError::Malformed, "no transaction is open");
         };
-        if let Err(error) = self.keep_right(&open) {
+        if let Err(error) = self.check_account(&open) {
             open.abandon();
             return self.refuse(error, "the account of this transaction lost its key");
         }
@@ -311,7 +315,7 @@
         if let Err(error) = open.claim(&self.engine, &id).await {
             return self.refuse(StatementError::Busy, &refusal_text(&error));
         }
-        let floor = self.floor_of(&service);
+        let floor = self.session_floor(&service);
         let body = StatementBody::Commit;
         let effect = StatementEffect::Read;
         let job =
@@ -324,7 +328,7 @@
         reply
     }
 
-    fn floor_of(&self, service: &ServiceName) -> Option<LogStamp> {
+    fn session_floor(&self, service: &ServiceName) -> Option<LogStamp> {
         let found = self.floors.binary_search_by(|floor| floor.service.cmp(service));
         found.ok().map(|index| self.floors[index].stamp)
     }
@@ -357,7 +361,12 @@
 
 /// Counts a statement, and logs one of [`SERVED_SAMPLE`] that were served by a member; every one
 /// that was not has a line of its own where that was decided.
-fn note_statement(id: &RequestId, database: &DatabaseName, took: Duration, reply: &StatementReply) {
+fn record_statement(
+    id: &RequestId,
+    database: &DatabaseName,
+    elapsed: Duration,
+    reply: &StatementReply,
+) {
     let outcome = match &reply.outcome {
         StatementOutcome::Done(proof) if proof.is_empty() => "local",
         StatementOutcome::Done(_) => "served",
@@ -367,12 +376,12 @@
     if outcome == "local" {
         return;
     }
-    metrics::histogram!("rudder_statement_seconds").record(took.as_secs_f64());
+    metrics::histogram!("rudder_statement_seconds").record(elapsed.as_secs_f64());
     // By a hash of the id, so that all instances log the same requests.
     let sampled = xxhash_rust::xxh3::xxh3_64(id.0.as_bytes()).is_multiple_of(SERVED_SAMPLE);
     if outcome == "served" && sampled {
         log::info!(
-            request:% = id, database:% = database, took_ms = took.as_millis(),
+            request:% = id, database:% = database, took_ms = elapsed.as_millis(),
             position = reply.position.map_or_else(String::new, |at| at.to_string()).as_str(),
             outcome = outcome;
             "a statement was served"
@@ -381,7 +390,7 @@
 }
 
 /// The greatest age of a route's reads, for routes that may be served by a replica.
-pub(super) fn bound_of(route: &RouteRule) -> Option<Duration> {
+pub(super) fn staleness_bound(route: &RouteRule) -> Option<Duration> {
     match route.kind {
         RouteKind::Strict => None,
         RouteKind::Bounded(bound) | RouteKind::OwnWrites(bound) => Some(bound),
--- a/crates/rudder-engine/src/session/job.rs
+++ b/crates/rudder-engine/src/session/job.rs
@@ -14,11 +14,11 @@
 
 /// The part of a request's latency target that it may wait before a member gets it. A request
 /// that waited longer could hardly be answered in time; told now, its caller still can elsewhere.
-const WAIT_PART: u32 = 4;
+const WAIT_DIVISOR: u32 = 4;
 
 /// The shortest and the longest time after which a refused caller is asked to come back; spread
 /// so that callers who were refused together do not return together.
-const RETRY_AFTER_MS: std::ops::Range<u64> = 100..400;
+const RETRY_AFTER_RANGE_MS: std::ops::Range<u64> = 100..400;
 
 /// A statement with all that it needs.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// The session's values, sorted.
     pub(crate) values: Vec<SessionValue>,
     pub(crate) priority: u8,
-    began_at: Instant,
+    started_at: Instant,
     /// Until when a connection and a primary may be waited for.
     pub(crate) wait_until: Instant,
     /// Until when an answer is of use.
@@ -61,8 +61,8 @@
             shape,
             values: values.to_vec(),
             priority: route.priority,
-            began_at: now,
-            wait_until: now + route.latency_target.min(route.statement_timeout) / WAIT_PART,
+            started_at: now,
+            wait_until: now + route.latency_target.min(route.statement_timeout) / WAIT_DIVISOR,
             deadline: now + route.statement_timeout,
         }
     }
@@ -73,12 +73,12 @@
     }
 
     /// How long a connection may still be waited for.
-    pub(crate) fn wait_left(&self) -> Duration {
+    pub(crate) fn wait_remaining(&self) -> Duration {
         self.wait_until.saturating_duration_since(Instant::now())
     }
 
     /// How long an answer may still be waited for.
-    pub(crate) fn time_left(&self) -> Duration {
+    pub(crate) fn time_remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -87,7 +87,7 @@
         &self,
         link: &mut PooledLink,
         floor: Option<LogStamp>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<StatementReply, ExchangeError> {
         let mut commands = link.session().commands_for(&self.values, self.shape.as_ref());
         commands.push(MemberCommand::Statement {
@@ -95,7 +95,7 @@
             floor,
             body: self.body.clone(),
         });
-        run_all(link, &commands, limit).await
+        run_all(link, &commands, timeout).await
     }
 
     /// Begins a transaction on a connection, values and names laid on before.
@@ -104,11 +104,11 @@
         link: &mut PooledLink,
         read_only: bool,
         floor: Option<LogStamp>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<StatementReply, ExchangeError> {
         let mut commands = link.session().commands_for(&self.values, self.shape.as_ref());
         commands.push(MemberCommand::Begin { read_only, floor });
-        run_all(link, &commands, limit).await
+        run_all(link, &commands, timeout).await
     }
 }
 
@@ -116,12 +116,12 @@
 async fn run_all(
     link: &mut PooledLink,
     commands: &[MemberCommand],
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<StatementReply, ExchangeError> {
-    let mut replies = link.exchange(commands, limit).await?;
+    let mut replies = link.exchange(commands, timeout).await?;
     let last = replies.pop();
-    let unprepared = replies.iter().find_map(StatementReply::error);
-    match (last, unprepared) {
+    let setup_error = replies.iter().find_map(StatementReply::error);
+    match (last, setup_error) {
         (Some(last), None) => Ok(last),
         // Guards against an answer that was made with another caller's values: without its
         // preparation a statement's answer is worth nothing, and may have run.
@@ -135,7 +135,7 @@
 
 /// Says when to come back, and why the request was not run.
 pub(crate) fn retry_text(reason: &str) -> String {
-    let after = rand::rng().random_range(RETRY_AFTER_MS);
+    let after = rand::rng().random_range(RETRY_AFTER_RANGE_MS);
     retry_text_after(Duration::from_millis(after), reason)
 }
 
@@ -162,7 +162,7 @@
     log::info!(
         request:% = job.id, service:% = job.service, effect:? = job.effect, reason = reason,
         epoch:% = epoch, record_age_ms = record_age_ms, sample_age_ms = sample_age_ms.as_str(),
-        waited_ms = job.began_at.elapsed().as_millis(), outcome = "not_run";
+        waited_ms = job.started_at.elapsed().as_millis(), outcome = "not_run";
         "a statement was refused"
     );
     StatementReply::refusal(StatementError::Busy, &retry_text(reason), state)
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -1,6 +1,6 @@
 //! Reads that a replica may serve.
 
-use super::caller::bound_of;
+use super::caller::staleness_bound;
 use super::job::{StatementJob, refuse};
 use crate::engine::ProxyEngine;
 use crate::group::{
@@ -16,14 +16,14 @@
 
 /// The least time that a member gets for its answer before another one is asked. Longer than
 /// almost all reads take (some 10 to 400 ms), so that slow ones are not run twice.
-const ATTEMPT_MIN: Duration = Duration::from_millis(450);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// The pause before the members are tried anew when none could serve.
-const ROUND_PAUSE: Duration = Duration::from_millis(25);
+const ROUND_DELAY: Duration = Duration::from_millis(25);
 
 /// How long word of the primary's position is awaited before it is asked for again: the first
 /// question may meet a reader that has just started and knows none either.
-const POSITION_PAUSE: Duration = Duration::from_millis(60);
+const POSITION_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What is to be run at a member that may be a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 }
 
 /// A connection in a read-only transaction.
-pub(super) struct ReadStart {
+pub(super) struct ReadConnection {
     pub(super) link: PooledLink,
     pub(super) member: Arc<GroupMember>,
 }
@@ -52,24 +52,24 @@
 /// Why no member served a read.
 pub(super) enum ReadFailure {
     /// The caller has this answer.
-    Answered(StatementReply),
+    Reply(StatementReply),
     /// Nothing is known of what a replica must hold, but the primary may be read.
     ///
     /// Guards against reads that are refused for as long as no instance can watch the primary, as
     /// when the connections of lost machines fill it: the answer tells its position as well.
-    NoPosition,
+    UnknownPosition,
 }
 
 impl From<StatementReply> for ReadFailure {
     fn from(reply: StatementReply) -> Self {
-        Self::Answered(reply)
+        Self::Reply(reply)
     }
 }
 
 /// The end of one attempt that did not serve.
-enum AttemptEnd {
+enum AttemptFailure {
     /// Another member may do better.
-    Next,
+    TryNext,
     /// The read ran and failed here; another member may do better, else this is the answer.
     Failed(StatementReply),
     /// This answer is final.
@@ -86,13 +86,13 @@
     ) -> StatementReply {
         let mut failed = None;
         let step = ReadStep::Statement;
-        let read = self.read_at_some_member(route, job, session_floor, step, &mut failed).await;
+        let read = self.read_at_any_member(route, job, session_floor, step, &mut failed).await;
         match (read, failed) {
             (Ok((reply, _)), _) => reply,
             // Where it has run, a refusal that says otherwise would not be true.
             (Err(_), Some(failed)) => failed,
-            (Err(ReadFailure::Answered(reply)), None) => reply,
-            (Err(ReadFailure::NoPosition), None) => self.run_strict(route, job).await,
+            (Err(ReadFailure::Reply(reply)), None) => reply,
+            (Err(ReadFailure::UnknownPosition), None) => self.run_strict(route, job).await,
         }
     }
 
@@ -102,23 +102,23 @@
         route: &RouteRule,
         job: &StatementJob,
         session_floor: Option<LogStamp>,
-    ) -> Result<ReadStart, ReadFailure> {
+    ) -> Result<ReadConnection, ReadFailure> {
         let step = ReadStep::Begin;
-        let (_, start) =
-            self.read_at_some_member(route, job, session_floor, step, &mut None).await?;
-        Ok(start)
+        let (_, connection) =
+            self.read_at_any_member(route, job, session_floor, step, &mut None).await?;
+        Ok(connection)
     }
 
     /// Runs a step at the first member that serves it. A read that fails at a member is tried once
     /// at each other one; `failed` is then the last such answer.
-    async fn read_at_some_member(
+    async fn read_at_any_member(
         &self,
         route: &RouteRule,
         job: &StatementJob,
         session_floor: Option<LogStamp>,
         step: ReadStep,
         failed: &mut Option<StatementReply>,
-    ) -> Result<(StatementReply, ReadStart), ReadFailure> {
+    ) -> Result<(StatementReply, ReadConnection), ReadFailure> {
         let refused =
             |group: &ServiceGroup, reason| refuse(group, job, reason, state_after(step)).into();
         let group = self.group(&route.service);
@@ -127,30 +127,30 @@
         loop {
             let Some(floor) = self.read_floor(&group, route, job, session_floor).await else {
                 if self.leader(&group).is_some() {
-                    return Err(ReadFailure::NoPosition);
+                    return Err(ReadFailure::UnknownPosition);
                 }
                 return Err(refused(&group, "the primary's position is not known"));
             };
             let floor_age = group.age_of(floor);
-            let place = PlacementContext { own: self.identity().place(), floor, floor_age };
-            let mut members = order_members(&group.members(), &place);
+            let context = PlacementContext { own: self.identity().place(), floor, floor_age };
+            let mut members = order_members(&group.members(), &context);
             members.retain(|member| !tried.contains(member.name()));
             if members.is_empty() {
                 if let Some(reply) = failed.take() {
                     return Err(reply.into());
                 }
-                if job.wait_left() < ROUND_PAUSE {
+                if job.wait_remaining() < ROUND_DELAY {
                     return Err(refused(&group, reason));
                 }
-                tokio::time::sleep(ROUND_PAUSE).await;
+                tokio::time::sleep(ROUND_DELAY).await;
                 tried.clear();
                 continue;
             }
             let last = members.len() == 1;
-            let choices = read_choices(&group, &members, &place);
+            let choices = read_choices(&group, &members, &context);
             let request = job.link_request(step.work());
             reason = "no member could serve the read in time";
-            let (member, link) = match acquire_any(&choices, &request, job.wait_left()).await {
+            let (member, link) = match acquire_any(&choices, &request, job.wait_remaining()).await {
                 Ok((index, link)) => (&members[index], link),
                 Err(AcquireError::WaitOver) => {
                     return Err(refused(&group, reason));
@@ -164,16 +164,16 @@
             };
             match self.try_member(member, link, job, floor, step, last).await {
                 Ok((reply, link)) => {
-                    return Ok((reply, ReadStart { link, member: Arc::clone(member) }));
+                    return Ok((reply, ReadConnection { link, member: Arc::clone(member) }));
                 }
-                Err(AttemptEnd::Final(reply)) => return Err(reply.into()),
-                Err(AttemptEnd::Next) => tried.push(member.name().clone()),
-                Err(AttemptEnd::Failed(reply)) => {
+                Err(AttemptFailure::Final(reply)) => return Err(reply.into()),
+                Err(AttemptFailure::TryNext) => tried.push(member.name().clone()),
+                Err(AttemptFailure::Failed(reply)) => {
                     *failed = Some(reply);
                     tried.push(member.name().clone());
                 }
             }
-            if job.time_left().is_zero() {
+            if job.time_remaining().is_zero() {
                 return Err(timed_out(job, step).into());
             }
         }
@@ -189,21 +189,21 @@
         job: &StatementJob,
         session_floor: Option<LogStamp>,
     ) -> Option<LogStamp> {
-        let bound = bound_of(route).unwrap_or_default();
-        let position_until = Instant::now() + POSITION_PAUSE;
+        let bound = staleness_bound(route).unwrap_or_default();
+        let position_until = Instant::now() + POSITION_RETRY_DELAY;
         loop {
             if let Some(floor) = group.bounded_floor(bound) {
                 let own = session_floor.map(|floor| group.reachable(floor));
                 return Some(own.map_or(floor, |own| own.max(floor)));
             }
-            let left = job.wait_left();
+            let remaining = job.wait_remaining();
             let readable = Instant::now() >= position_until && self.leader(group).is_some();
-            if left.is_zero() || readable {
+            if remaining.is_zero() || readable {
                 return None;
             }
             self.want_position();
             self.want_records();
-            group.wait_changed(left.min(POSITION_PAUSE)).await;
+            group.wait_changed(remaining.min(POSITION_RETRY_DELAY)).await;
         }
     }
 
@@ -215,35 +215,36 @@
         floor: LogStamp,
         step: ReadStep,
         last: bool,
-    ) -> Result<(StatementReply, PooledLink), AttemptEnd> {
+    ) -> Result<(StatementReply, PooledLink), AttemptFailure> {
         member.record_attempt(floor);
-        let left = job.time_left();
-        let limit = if last { left } else { left.min(ATTEMPT_MIN.max(left / 2)) };
-        let answer = match step {
-            ReadStep::Statement => job.run_on(&mut link, Some(floor), limit).await,
-            ReadStep::Begin => job.begin_on(&mut link, true, Some(floor), limit).await,
+        let remaining = job.time_remaining();
+        let timeout =
+            if last { remaining } else { remaining.min(MIN_ATTEMPT_TIMEOUT.max(remaining / 2)) };
+        let result = match step {
+            ReadStep::Statement => job.run_on(&mut link, Some(floor), timeout).await,
+            ReadStep::Begin => job.begin_on(&mut link, true, Some(floor), timeout).await,
         };
-        match answer {
-            Ok(reply) => judge_reply(&self.group(&job.service), member, job, reply, link, step),
+        match result {
+            Ok(reply) => classify_reply(&self.group(&job.service), member, job, reply, link, step),
             Err(error) => {
                 log_attempt(member, job, &error);
                 // The watch tells at once whether a primary is lost.
                 self.want_position();
                 member.deprioritize();
-                Err(AttemptEnd::Next)
+                Err(AttemptFailure::TryNext)
             }
         }
     }
 }
 
-fn judge_reply(
+fn classify_reply(
     group: &ServiceGroup,
     member: &Arc<GroupMember>,
     job: &StatementJob,
     reply: StatementReply,
     link: PooledLink,
     step: ReadStep,
-) -> Result<(StatementReply, PooledLink), AttemptEnd> {
+) -> Result<(StatementReply, PooledLink), AttemptFailure> {
     if let Some(position) = reply.position {
         group.record_applied(member, position);
     }
@@ -254,21 +255,21 @@
     );
     match error {
         // What its log lacks now says nothing of reads that need less: they may still go there.
-        StatementError::Lagging => Err(AttemptEnd::Next),
+        StatementError::Lagging => Err(AttemptFailure::TryNext),
         StatementError::Busy | StatementError::ReadOnly => {
             member.deprioritize();
-            Err(AttemptEnd::Next)
+            Err(AttemptFailure::TryNext)
         }
         StatementError::UnknownName => {
             link.close();
-            Err(AttemptEnd::Next)
+            Err(AttemptFailure::TryNext)
         }
-        _ if step == ReadStep::Begin => Err(AttemptEnd::Next),
+        _ if step == ReadStep::Begin => Err(AttemptFailure::TryNext),
         StatementError::Failed => {
             member.deprioritize();
-            Err(AttemptEnd::Failed(reply))
+            Err(AttemptFailure::Failed(reply))
         }
-        _ => Err(AttemptEnd::Final(reply)),
+        _ => Err(AttemptFailure::Final(reply)),
     }
 }
 
--- a/crates/rudder-engine/src/session/state.rs
+++ b/crates/rudder-engine/src/session/state.rs
@@ -55,7 +55,7 @@
     }
 
     /// Forgets a name; returns whether it was known.
-    pub(super) fn forget(&mut self, name: &str) -> bool {
+    pub(super) fn remove_prepared(&mut self, name: &str) -> bool {
         let found = self.position(name);
         if let Ok(index) = found {
             self.names.remove(index);
--- a/crates/rudder-engine/src/session/strict.rs
+++ b/crates/rudder-engine/src/session/strict.rs
@@ -12,41 +12,41 @@
 use std::time::Duration;
 
 /// The pause before the primary is tried again after it said that it ran nothing.
-const AGAIN_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A connection to the primary, and the permission to answer for it.
-pub(super) struct StrictStart {
+pub(super) struct PrimaryConnection {
     pub(super) link: PooledLink,
     pub(super) member: Arc<GroupMember>,
     pub(super) lease: LeaderLease,
-    pub(super) flight: InFlight,
+    pub(super) guard: InFlightGuard,
 }
 
 /// Counts a statement under way, so that a change of primary waits for its answer.
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     group: Arc<ServiceGroup>,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(super) fn new(group: &Arc<ServiceGroup>) -> Self {
         group.with_leases(crate::lead::LeaseTable::enter);
         Self { group: Arc::clone(group) }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.group.with_leases(crate::lead::LeaseTable::leave);
     }
 }
 
 /// What one attempt at the primary came to.
-enum StrictEnd {
-    Answer(StatementReply),
+enum StrictOutcome {
+    Reply(StatementReply),
     /// Nothing ran, or it was a read: it may be sent again.
-    Again(&'static str),
+    Retry(&'static str),
     /// A read ran and failed.
-    FailedRead(StatementReply),
+    ReadFailed(StatementReply),
 }
 
 impl ProxyEngine {
@@ -55,27 +55,28 @@
         let group = self.group(&route.service);
         let mut failed: Option<StatementReply> = None;
         loop {
-            let give_up = |failed: Option<StatementReply>, reason| {
+            let reject = |failed: Option<StatementReply>, reason| {
                 // Where it has run, a refusal that says otherwise would not be true.
                 failed.unwrap_or_else(|| refuse(&group, job, reason, TransactionState::Idle))
             };
-            let start = match self.start_strict(&group, job, WaitingWork::StrictStatement).await {
-                Ok(start) => start,
-                Err(reason) => return give_up(failed, reason),
-            };
-            let reason = match self.attempt(&group, job, start).await {
-                StrictEnd::Answer(reply) => return reply,
-                StrictEnd::Again(reason) => reason,
-                StrictEnd::FailedRead(reply) if failed.is_some() => return reply,
-                StrictEnd::FailedRead(reply) => {
+            let connection =
+                match self.acquire_primary(&group, job, WaitingWork::StrictStatement).await {
+                    Ok(connection) => connection,
+                    Err(reason) => return reject(failed, reason),
+                };
+            let reason = match self.attempt(&group, job, connection).await {
+                StrictOutcome::Reply(reply) => return reply,
+                StrictOutcome::Retry(reason) => reason,
+                StrictOutcome::ReadFailed(reply) if failed.is_some() => return reply,
+                StrictOutcome::ReadFailed(reply) => {
                     failed = Some(reply);
                     "the read failed"
                 }
             };
-            if job.wait_left() < AGAIN_PAUSE {
-                return give_up(failed, reason);
+            if job.wait_remaining() < RETRY_DELAY {
+                return reject(failed, reason);
             }
-            tokio::time::sleep(AGAIN_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -83,61 +84,61 @@
         &self,
         group: &Arc<ServiceGroup>,
         job: &StatementJob,
-        start: StrictStart,
-    ) -> StrictEnd {
-        let StrictStart { mut link, member, lease, flight } = start;
+        connection: PrimaryConnection,
+    ) -> StrictOutcome {
+        let PrimaryConnection { mut link, member, lease, guard } = connection;
         let sent_at = boot_time();
         // Guards against a primary that restarted with an empty log: it lacks what was seen there.
         let floor = match job.effect {
             StatementEffect::Read => group.newest_position(),
             StatementEffect::Write => None,
         };
-        let answer = job.run_on(&mut link, floor, job.time_left()).await;
-        let end = match answer {
-            Ok(reply) => judge_reply(group, job, &lease, sent_at, reply, link),
+        let result = job.run_on(&mut link, floor, job.time_remaining()).await;
+        let outcome = match result {
+            Ok(reply) => classify_reply(group, job, &lease, sent_at, reply, link),
             Err(error) => {
                 // The watch tells at once whether it is the connection or the primary.
                 self.want_position();
-                judge_failure(group, job, &member, &lease, &error)
+                classify_failure(group, job, &member, &lease, &error)
             }
         };
-        drop(flight);
-        end
+        drop(guard);
+        outcome
     }
 
     /// Waits for a primary with a lease, and for a connection to it.
-    pub(super) async fn start_strict(
+    pub(super) async fn acquire_primary(
         &self,
         group: &Arc<ServiceGroup>,
         job: &StatementJob,
         work: WaitingWork,
-    ) -> Result<StrictStart, &'static str> {
+    ) -> Result<PrimaryConnection, &'static str> {
         loop {
-            let left = job.wait_left();
+            let remaining = job.wait_remaining();
             let Some((member, _)) = self.leader(group) else {
-                if left.is_zero() {
+                if remaining.is_zero() {
                     return Err("no primary is confirmed");
                 }
                 self.want_records();
-                group.wait_changed(left).await;
+                group.wait_changed(remaining).await;
                 continue;
             };
-            let link = match member.pool().acquire(&job.link_request(work), left).await {
+            let link = match member.pool().acquire(&job.link_request(work), remaining).await {
                 Ok(link) => link,
                 Err(AcquireError::WaitOver) => return Err("all connections are in use"),
-                Err(AcquireError::Down(_)) if left < AGAIN_PAUSE => {
+                Err(AcquireError::Down(_)) if remaining < RETRY_DELAY => {
                     return Err("the primary cannot be reached");
                 }
                 Err(AcquireError::Down(_)) => {
-                    group.wait_changed(AGAIN_PAUSE).await;
+                    group.wait_changed(RETRY_DELAY).await;
                     continue;
                 }
             };
             // Looked at again: the primary may have changed while the connection was waited for.
             match self.leader(group) {
                 Some((now_member, lease)) if Arc::ptr_eq(&now_member, &member) => {
-                    let flight = InFlight::new(group);
-                    return Ok(StrictStart { link, member, lease, flight });
+                    let guard = InFlightGuard::new(group);
+                    return Ok(PrimaryConnection { link, member, lease, guard });
                 }
                 _ => {}
             }
@@ -145,43 +146,43 @@
     }
 }
 
-fn judge_reply(
+fn classify_reply(
     group: &ServiceGroup,
     job: &StatementJob,
     lease: &LeaderLease,
     sent_at: Duration,
     reply: StatementReply,
     link: PooledLink,
-) -> StrictEnd {
+) -> StrictOutcome {
     let Some(error) = reply.error() else {
-        return judge_success(group, job, lease, sent_at, reply);
+        return accept_under_lease(group, job, lease, sent_at, reply);
     };
     log::info!(
         request:% = job.id, service:% = group.service(), member:% = lease.primary,
         reason:% = error; "the primary did not serve a statement"
     );
     match error {
-        StatementError::Busy => StrictEnd::Again("the primary is busy"),
-        StatementError::ReadOnly => StrictEnd::Again("the primary has lost the lead"),
-        StatementError::Lagging => StrictEnd::Again("the primary lacks what it had"),
+        StatementError::Busy => StrictOutcome::Retry("the primary is busy"),
+        StatementError::ReadOnly => StrictOutcome::Retry("the primary has lost the lead"),
+        StatementError::Lagging => StrictOutcome::Retry("the primary lacks what it had"),
         StatementError::UnknownName => {
             link.close();
-            StrictEnd::Again("the primary forgot a prepared statement")
+            StrictOutcome::Retry("the primary forgot a prepared statement")
         }
         StatementError::Failed if job.effect == StatementEffect::Read => {
-            StrictEnd::FailedRead(reply)
+            StrictOutcome::ReadFailed(reply)
         }
-        _ => StrictEnd::Answer(reply),
+        _ => StrictOutcome::Reply(reply),
     }
 }
 
-fn judge_success(
+fn accept_under_lease(
     group: &ServiceGroup,
     job: &StatementJob,
     lease: &LeaderLease,
     sent_at: Duration,
     reply: StatementReply,
-) -> StrictEnd {
+) -> StrictOutcome {
     // Guards against an answer by a superseded primary: the lease may have expired while the
     // statement ran, and another member may have been promoted since.
     if !group.holds(lease) {
@@ -190,23 +191,23 @@
             epoch:% = lease.epoch, outcome = "withheld"; "the lease expired while a statement ran"
         );
         return match job.effect {
-            StatementEffect::Read => StrictEnd::Again("the primary is no longer confirmed"),
-            StatementEffect::Write => StrictEnd::Answer(in_doubt("the primary was changed")),
+            StatementEffect::Read => StrictOutcome::Retry("the primary is no longer confirmed"),
+            StatementEffect::Write => StrictOutcome::Reply(in_doubt("the primary was changed")),
         };
     }
     if let Some(position) = reply.position {
         group.note_position(lease, sent_at, position);
     }
-    StrictEnd::Answer(reply)
+    StrictOutcome::Reply(reply)
 }
 
-fn judge_failure(
+fn classify_failure(
     group: &ServiceGroup,
     job: &StatementJob,
     member: &GroupMember,
     lease: &LeaderLease,
     error: &ExchangeError,
-) -> StrictEnd {
+) -> StrictOutcome {
     log::info!(
         request:% = job.id, service:% = group.service(), member:% = member.name(),
         epoch:% = lease.epoch, reason:% = error.reason, sent = error.sent;
@@ -214,14 +215,14 @@
     );
     match job.effect {
         StatementEffect::Write if error.sent => {
-            StrictEnd::Answer(in_doubt("no answer from the primary"))
+            StrictOutcome::Reply(in_doubt("no answer from the primary"))
         }
-        _ if job.time_left().is_zero() => {
+        _ if job.time_remaining().is_zero() => {
             let text = "the primary did not answer in time";
             let idle = TransactionState::Idle;
-            StrictEnd::Answer(StatementReply::refusal(StatementError::TimedOut, text, idle))
+            StrictOutcome::Reply(StatementReply::refusal(StatementError::TimedOut, text, idle))
         }
-        _ => StrictEnd::Again("the primary gave no answer"),
+        _ => StrictOutcome::Retry("the primary gave no answer"),
     }
 }
 
--- a/crates/rudder-engine/src/session/tests/failing_member.rs
+++ b/crates/rudder-engine/src/session/tests/failing_member.rs
@@ -19,26 +19,26 @@
 
 /// Members of which some fail statements.
 #[derive(Default)]
-struct GreyMembers {
+struct FailingMembers {
     /// Those that fail, each with how many statements it fails.
     failing: Mutex<Vec<(MemberName, u32)>>,
     /// Who was asked, in this order.
-    asked: Mutex<Vec<MemberName>>,
+    contacted: Mutex<Vec<MemberName>>,
 }
 
-impl GreyMembers {
+impl FailingMembers {
     fn new(failing: &[(&str, u32)]) -> Arc<Self> {
         let failing = failing.iter().map(|(name, count)| (member(name), *count)).collect();
-        Arc::new(Self { failing: Mutex::new(failing), asked: Mutex::default() })
+        Arc::new(Self { failing: Mutex::new(failing), contacted: Mutex::default() })
     }
 
-    fn asked(&self) -> Vec<String> {
-        let asked = self.asked.lock().expect("no holder panics");
-        asked.iter().map(ToString::to_string).collect()
+    fn contacted(&self) -> Vec<String> {
+        let contacted = self.contacted.lock().expect("no holder panics");
+        contacted.iter().map(ToString::to_string).collect()
     }
 
     fn outcome_at(&self, member: &MemberName) -> StatementOutcome {
-        self.asked.lock().expect("no holder panics").push(member.clone());
+        self.contacted.lock().expect("no holder panics").push(member.clone());
         let mut failing = self.failing.lock().expect("no holder panics");
         let left = failing.iter_mut().find(|(name, left)| name == member && *left > 0);
         let Some((_, left)) = left else { return StatementOutcome::Done("proof".to_owned()) };
@@ -47,22 +47,22 @@
     }
 }
 
-struct GreyDialer(Arc<GreyMembers>);
+struct FailingDialer(Arc<FailingMembers>);
 
-struct GreyLink {
-    members: Arc<GreyMembers>,
+struct FailingLink {
+    members: Arc<FailingMembers>,
     member: MemberName,
 }
 
 #[async_trait]
-impl MemberDialer for GreyDialer {
+impl MemberDialer for FailingDialer {
     async fn dial(
         &self,
         target: &MemberTarget,
         _account: Option<&AccountName>,
     ) -> Result<Box<dyn MemberLink>, LinkError> {
         let members = Arc::clone(&self.0);
-        Ok(Box::new(GreyLink { members, member: target.member.clone() }))
+        Ok(Box::new(FailingLink { members, member: target.member.clone() }))
     }
 
     fn read_status(&self, _reply: &StatementReply) -> Option<MemberStatus> {
@@ -71,7 +71,7 @@
 }
 
 #[async_trait]
-impl MemberLink for GreyLink {
+impl MemberLink for FailingLink {
     async fn send(&mut self, _commands: &[MemberCommand]) -> Result<(), LinkError> {
         Ok(())
     }
@@ -96,9 +96,9 @@
 }
 
 /// An instance before the primary `a` and the replicas `b` and `c`, all alike near.
-fn engine(members: &Arc<GreyMembers>) -> Arc<ProxyEngine> {
+fn engine(members: &Arc<FailingMembers>) -> Arc<ProxyEngine> {
     let borders = crate::identity::EngineBorders {
-        dialer: Arc::new(GreyDialer(Arc::clone(members))),
+        dialer: Arc::new(FailingDialer(Arc::clone(members))),
         promotion: Arc::new(NoPromotion),
         store: Arc::new(SilentStore),
     };
@@ -137,7 +137,7 @@
 /// Guards against reads that fail for as long as the nearest member fails them.
 #[tokio::test]
 async fn a_read_that_fails_at_one_member_is_served_by_another() {
-    let members = GreyMembers::new(&[("a", 9)]);
+    let members = FailingMembers::new(&[("a", 9)]);
     let engine = engine(&members);
     let access = access(RouteKind::Bounded(Duration::from_secs(60)));
 
@@ -145,13 +145,13 @@
         engine.read_bounded(&access.route, &job(StatementEffect::Read, &access), None).await;
 
     assert_eq!(reply.error(), None);
-    assert_eq!(members.asked(), ["a", "b"]);
+    assert_eq!(members.contacted(), ["a", "b"]);
 }
 
 /// Guards against a read that all members fail, and that is said not to have run.
 #[tokio::test]
-async fn a_read_that_fails_everywhere_is_tried_once_at_each_member_and_said_to_have_failed() {
-    let members = GreyMembers::new(&[("a", 9), ("b", 9), ("c", 9)]);
+async fn a_read_that_fails_everywhere_is_tried_once_at_each_member_and_reported_as_failed() {
+    let members = FailingMembers::new(&[("a", 9), ("b", 9), ("c", 9)]);
     let engine = engine(&members);
     let access = access(RouteKind::Bounded(Duration::from_secs(60)));
 
@@ -159,44 +159,44 @@
         engine.read_bounded(&access.route, &job(StatementEffect::Read, &access), None).await;
 
     assert_eq!(reply.error(), Some(&StatementError::Failed));
-    assert_eq!(members.asked(), ["a", "b", "c"]);
+    assert_eq!(members.contacted(), ["a", "b", "c"]);
 }
 
 /// Guards against strict reads that fail with each mishap of the primary.
 #[tokio::test]
-async fn a_strict_read_that_failed_is_sent_once_more() {
-    let members = GreyMembers::new(&[("a", 1)]);
+async fn a_failed_strict_read_is_retried_once() {
+    let members = FailingMembers::new(&[("a", 1)]);
     let engine = engine(&members);
     let access = access(RouteKind::Strict);
 
     let reply = engine.run_strict(&access.route, &job(StatementEffect::Read, &access)).await;
 
     assert_eq!(reply.error(), None);
-    assert_eq!(members.asked(), ["a", "a"]);
+    assert_eq!(members.contacted(), ["a", "a"]);
 }
 
 /// Guards against a primary that fails all reads and gets each of them without end.
 #[tokio::test]
-async fn a_strict_read_that_failed_twice_is_answered_so() {
-    let members = GreyMembers::new(&[("a", 9)]);
+async fn a_strict_read_that_fails_twice_is_reported_as_failed() {
+    let members = FailingMembers::new(&[("a", 9)]);
     let engine = engine(&members);
     let access = access(RouteKind::Strict);
 
     let reply = engine.run_strict(&access.route, &job(StatementEffect::Read, &access)).await;
 
     assert_eq!(reply.error(), Some(&StatementError::Failed));
-    assert_eq!(members.asked(), ["a", "a"]);
+    assert_eq!(members.contacted(), ["a", "a"]);
 }
 
 /// Guards against a write that runs twice.
 #[tokio::test]
-async fn a_write_that_failed_is_not_sent_again() {
-    let members = GreyMembers::new(&[("a", 1)]);
+async fn a_failed_write_is_not_retried() {
+    let members = FailingMembers::new(&[("a", 1)]);
     let engine = engine(&members);
     let access = access(RouteKind::Strict);
 
     let reply = engine.run_strict(&access.route, &job(StatementEffect::Write, &access)).await;
 
     assert_eq!(reply.error(), Some(&StatementError::Failed));
-    assert_eq!(members.asked(), ["a"]);
+    assert_eq!(members.contacted(), ["a"]);
 }
--- a/crates/rudder-engine/src/session/transaction.rs
+++ b/crates/rudder-engine/src/session/transaction.rs
@@ -1,9 +1,9 @@
 //! A transaction: pinned to one connection from its first statement to its end.
 
-use super::caller::bound_of;
+use super::caller::staleness_bound;
 use super::job::{StatementJob, refuse, retry_text};
-use super::read::{ReadFailure, ReadStart};
-use super::strict::{InFlight, in_doubt};
+use super::read::{ReadConnection, ReadFailure};
+use super::strict::{InFlightGuard, in_doubt};
 use crate::clock::boot_time;
 use crate::engine::{ProxyEngine, RouteAccess};
 use crate::group::{ExchangeError, GroupMember, PooledLink, ServiceGroup};
@@ -18,10 +18,10 @@
 use std::time::Duration;
 
 /// How long the end of an abandoned transaction is waited for before its connection is closed.
-const ROLLBACK_LIMIT: Duration = Duration::from_millis(1000);
+const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The pause before a statement is sent again that the member was too busy to run.
-const AGAIN_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A transaction of a caller. It reaches a member with its first statement.
 pub(super) struct OpenTransaction {
@@ -44,7 +44,7 @@
 
 impl PinnedLink {
     /// Whether answers may go out.
-    fn may_answer(&self) -> bool {
+    fn may_reply(&self) -> bool {
         self.lease.as_ref().is_none_or(|lease| self.group.holds(lease))
     }
 }
@@ -88,7 +88,7 @@
             }
             // A failed exchange closes the connection, which rolls back as well.
             if let Err(error) =
-                pinned.link.exchange(&[MemberCommand::Rollback], ROLLBACK_LIMIT).await
+                pinned.link.exchange(&[MemberCommand::Rollback], ROLLBACK_TIMEOUT).await
             {
                 log::debug!(
                     member:% = pinned.member.name(), reason:% = error.reason;
@@ -109,13 +109,13 @@
             return reply;
         }
         let Some(pinned) = self.pinned.as_mut() else { return aborted(job, "no connection") };
-        if !pinned.may_answer() {
+        if !pinned.may_reply() {
             return aborted(job, "the primary was changed");
         }
         if job.effect == StatementEffect::Write {
             self.wrote = true;
         }
-        let _flight = pinned.lease.as_ref().map(|_| InFlight::new(&pinned.group));
+        let _guard = pinned.lease.as_ref().map(|_| InFlightGuard::new(&pinned.group));
         let reply = match run_pinned(pinned, job).await {
             Ok(reply) => reply,
             Err(error) => {
@@ -129,7 +129,7 @@
             }
         };
         // Guards against a read of a superseded primary in the middle of a transaction.
-        if !pinned.may_answer() {
+        if !pinned.may_reply() {
             return aborted(job, "the primary was changed");
         }
         match reply.error() {
@@ -159,7 +159,7 @@
         let wrote = self.wrote;
         let reply = match self.pinned.as_mut() {
             None => aborted(job, "no connection"),
-            Some(pinned) if !pinned.may_answer() => aborted(job, "the primary was changed"),
+            Some(pinned) if !pinned.may_reply() => aborted(job, "the primary was changed"),
             Some(pinned) => commit_pinned(pinned, job, wrote).await,
         };
         self.abandon();
@@ -178,15 +178,15 @@
         }
         let route = Arc::clone(&self.access.route);
         let group = engine.group(&route.service);
-        let replica_may = self.read_only && bound_of(&route).is_some();
-        if replica_may {
+        let replica_allowed = self.read_only && staleness_bound(&route).is_some();
+        if replica_allowed {
             match engine.begin_bounded(&route, job, session_floor).await {
-                Ok(ReadStart { link, member }) => {
+                Ok(ReadConnection { link, member }) => {
                     self.pinned = Some(PinnedLink { link, member, group, lease: None });
                     return Ok(());
                 }
-                Err(ReadFailure::Answered(reply)) => return Err(reply),
-                Err(ReadFailure::NoPosition) => {}
+                Err(ReadFailure::Reply(reply)) => return Err(reply),
+                Err(ReadFailure::UnknownPosition) => {}
             }
         }
         self.pinned = Some(begin_strict(engine, &group, job, self.read_only).await?);
@@ -202,37 +202,37 @@
     read_only: bool,
 ) -> Result<PinnedLink, StatementReply> {
     loop {
-        let start = engine.start_strict(group, job, WaitingWork::StrictTransaction).await;
-        let mut start =
-            start.map_err(|reason| refuse(group, job, reason, TransactionState::Failed))?;
+        let acquired = engine.acquire_primary(group, job, WaitingWork::StrictTransaction).await;
+        let mut connection =
+            acquired.map_err(|reason| refuse(group, job, reason, TransactionState::Failed))?;
         let sent_at = boot_time();
         let floor = group.newest_position();
-        let limit = job.time_left();
-        let begun = job.begin_on(&mut start.link, read_only, floor, limit).await;
-        let reason = match begun {
+        let timeout = job.time_remaining();
+        let begin_result = job.begin_on(&mut connection.link, read_only, floor, timeout).await;
+        let reason = match begin_result {
             Ok(reply) if reply.error().is_none() => {
                 if let Some(position) = reply.position {
-                    group.note_position(&start.lease, sent_at, position);
+                    group.note_position(&connection.lease, sent_at, position);
                 }
                 return Ok(PinnedLink {
-                    link: start.link,
-                    member: start.member,
+                    link: connection.link,
+                    member: connection.member,
                     group: Arc::clone(group),
-                    lease: Some(start.lease),
+                    lease: Some(connection.lease),
                 });
             }
             Ok(reply) => reply.error().map_or_else(String::new, ToString::to_string),
             Err(error) => error.reason.to_string(),
         };
         log::info!(
-            request:% = job.id, service:% = job.service, member:% = start.member.name(), reason:% = reason;
+            request:% = job.id, service:% = job.service, member:% = connection.member.name(), reason:% = reason;
             "a transaction did not begin"
         );
-        if job.wait_left() < AGAIN_PAUSE {
+        if job.wait_remaining() < RETRY_DELAY {
             let reason = "the primary began no transaction";
             return Err(refuse(group, job, reason, TransactionState::Failed));
         }
-        tokio::time::sleep(AGAIN_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -242,20 +242,20 @@
     job: &StatementJob,
 ) -> Result<StatementReply, ExchangeError> {
     loop {
-        let reply = job.run_on(&mut pinned.link, None, job.time_left()).await?;
+        let reply = job.run_on(&mut pinned.link, None, job.time_remaining()).await?;
         let busy = reply.error() == Some(&StatementError::Busy);
-        if !busy || reply.state != TransactionState::Open || job.wait_left() < AGAIN_PAUSE {
+        if !busy || reply.state != TransactionState::Open || job.wait_remaining() < RETRY_DELAY {
             return Ok(reply);
         }
-        tokio::time::sleep(AGAIN_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 async fn commit_pinned(pinned: &mut PinnedLink, job: &StatementJob, wrote: bool) -> StatementReply {
-    let _flight = pinned.lease.as_ref().map(|_| InFlight::new(&pinned.group));
+    let _guard = pinned.lease.as_ref().map(|_| InFlightGuard::new(&pinned.group));
     let sent_at = boot_time();
     match run_pinned(pinned, job).await {
-        Ok(reply) => judge_commit(pinned, job, wrote, sent_at, reply),
+        Ok(reply) => classify_commit(pinned, job, wrote, sent_at, reply),
         Err(error) if wrote => {
             log::warn!(
                 request:% = job.id, service:% = job.service, member:% = pinned.member.name(), reason:% = error.reason,
@@ -267,7 +267,7 @@
     }
 }
 
-fn judge_commit(
+fn classify_commit(
     pinned: &PinnedLink,
     job: &StatementJob,
     wrote: bool,
@@ -286,7 +286,7 @@
         };
     }
     // Guards against a commit of a superseded primary that is acknowledged.
-    if wrote && !pinned.may_answer() {
+    if wrote && !pinned.may_reply() {
         log::warn!(
             request:% = job.id, service:% = job.service, member:% = pinned.member.name(), outcome = "in_doubt";
             "the lease expired during a commit"
