--- a/crates/rudder-engine/src/group/acquire.rs
+++ b/crates/rudder-engine/src/group/acquire.rs
@@ -1,9 +1,9 @@
-//! How a caller comes by a connection: to one member, or to the first of several that has one.
+//! Acquisition of a connection to one member, or to whichever of several members has one first.
 //!
-//! Load pattern: at saturation the members that could serve a read are all full, and connections
-//! come free at each of them every few milliseconds. A read that stands in the queue of one member
-//! is sent away when its time is over, although others have come free meanwhile. So it stands in
-//! the queues of all that may serve it, and takes the first connection that it is given.
+//! Load pattern: at saturation all members that could serve a read are full, and each of them frees
+//! a connection every few milliseconds. A read that waits in the queue of a single member is
+//! refused at its wait deadline although connections to other members became free. A read therefore
+//! waits in the queues of all members that may serve it and takes the first connection granted.
 
 use super::link::PooledLink;
 use super::pool::{
@@ -18,7 +18,7 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Why no connection was had.
+/// Reason why no connection was acquired.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub(crate) enum AcquireError {
     /// all connections stayed in use
@@ -27,18 +27,18 @@
     Down(LinkError),
 }
 
-/// A member that may serve.
+/// The pool of a member that may serve the request.
 #[derive(Clone)]
 pub(crate) struct PoolChoice {
-    /// Its connections.
+    /// Connection pool of the member.
     pub(crate) pool: Arc<MemberPool>,
-    /// Connections to it that must stay free for others.
+    /// Number of connections to the member that must stay free for other requests.
     pub(crate) kept_free: u32,
 }
 
-/// A choice that is still open, with the caller's place in its queue.
+/// A choice that is still usable, with the caller's entry in the queue of its pool.
 struct QueuedChoice {
-    /// Where it stands among all choices.
+    /// Index among all choices.
     index: usize,
     choice: PoolChoice,
     sequence: Option<u64>,
@@ -57,7 +57,7 @@
         self.entry = Some(entry);
     }
 
-    /// What was granted without waiting.
+    /// Returns the grant if one is available without waiting.
     fn try_grant(&mut self) -> Option<ConnectionGrant> {
         self.entry.as_mut()?.granted.try_recv().ok()
     }
@@ -72,7 +72,8 @@
 }
 
 impl MemberPool {
-    /// Takes a connection to this member; the least rank goes first among those that wait.
+    /// Acquires a connection to this member. Waiting requests are served in order of rank, the
+    /// lowest first.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         request: &LinkRequest,
@@ -83,8 +84,8 @@
     }
 }
 
-/// Takes the first connection that comes free to one of several members, of which the first one
-/// is liked best. Returns it with the index of its member.
+/// Acquires the first available connection to one of several members, which are given in order of
+/// preference. Returns it with the index of its member.
 pub(crate) async fn acquire_any(
     choices: &[PoolChoice],
     request: &LinkRequest,
@@ -126,8 +127,8 @@
     Err(AcquireError::Down(reason))
 }
 
-/// Opens the connection. The places in the other queues are given up meanwhile, as what is granted
-/// there would stand idle; the turns are kept.
+/// Opens a connection. Meanwhile the entries in the other queues are dropped, as connections
+/// granted there would be idle; their sequence numbers are kept for the next attempt.
 async fn dial_at(
     open: &mut [QueuedChoice],
     position: usize,
@@ -140,7 +141,7 @@
     open[position].choice.pool.dial(slot, request.user.account()).await
 }
 
-/// Joins the queues one after the other until a connection is granted, and then waits in all.
+/// Joins the queues in order until a connection is granted, then waits in all of them.
 async fn first_grant(open: &mut [QueuedChoice], request: &LinkRequest) -> (usize, ConnectionGrant) {
     for (position, choice) in open.iter_mut().enumerate() {
         if choice.entry.is_none() {
--- a/crates/rudder-engine/src/group/link.rs
+++ b/crates/rudder-engine/src/group/link.rs
@@ -1,4 +1,4 @@
-//! A connection on loan from a pool.
+//! A pooled connection and the exchanges on it.
 
 use super::link_session::LinkSession;
 use super::pool::MemberPool;
@@ -8,29 +8,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An exchange that gave no whole answer. The connection is lost with it: its late answer must
-/// not reach the next caller.
+/// An exchange without complete replies. The connection is closed, as a late reply must not reach
+/// the next caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ExchangeError {
-    /// What happened.
+    /// Cause of the failure.
     pub(crate) reason: LinkError,
-    /// Whether the member may have got the commands.
+    /// Whether the member may have received the commands.
     pub(crate) sent: bool,
 }
 
-/// A connection, which goes back to its pool when it is dropped between statements and outside of
-/// a transaction, and is closed else.
+/// A connection that returns to its pool when dropped. It is closed instead if a reply is
+/// outstanding or a transaction is open.
 pub(crate) struct PooledLink {
     pool: Arc<MemberPool>,
     link: Option<Box<dyn MemberLink>>,
-    /// The client account that the member takes its work for; none for this instance's own.
+    /// Client account that the connection was opened for; `None` without one.
     account: Option<AccountName>,
     session: LinkSession,
     state: TransactionState,
-    /// Whether an answer is awaited.
+    /// Whether replies are outstanding.
     awaiting_reply: bool,
     used_at: Instant,
-    /// Whether the pool counts it as open.
+    /// Whether the connection counts towards the pool's open connections.
     counted: bool,
 }
 
@@ -56,7 +56,7 @@
         &self.pool
     }
 
-    /// The client account that the member takes its work for.
+    /// Client account that the connection was opened for.
     pub(crate) fn account(&self) -> Option<&AccountName> {
         self.account.as_ref()
     }
@@ -69,7 +69,7 @@
         self.used_at
     }
 
-    /// The state after the last answer.
+    /// Transaction state after the last reply.
     pub(crate) fn state(&self) -> TransactionState {
         self.state
     }
@@ -79,14 +79,15 @@
         self.link.is_some() && !self.awaiting_reply && self.state == TransactionState::Idle
     }
 
-    /// Sends commands in one write and awaits all answers.
+    /// Sends commands in one write and waits for all replies.
     pub(crate) async fn exchange(
         &mut self,
         commands: &[MemberCommand],
         timeout: Duration,
     ) -> Result<Vec<StatementReply>, ExchangeError> {
         let started_at = Instant::now();
-        // Stays set if the caller gives up and drops this future half-way.
+        // Stays set if this future is dropped before it completes, so that the connection is
+        // closed.
         self.awaiting_reply = true;
         let mut sent = false;
         let round_trip = Self::send_and_receive(self.link.as_mut(), commands, &mut sent);
@@ -142,7 +143,7 @@
         self.link = None;
     }
 
-    /// Closes the connection; another one is opened in its place.
+    /// Closes the connection but keeps its slot for the connection that replaces it.
     pub(super) fn close_for_replacement(mut self) {
         self.link = None;
         self.counted = false;
--- a/crates/rudder-engine/src/group/link_session.rs
+++ b/crates/rudder-engine/src/group/link_session.rs
@@ -1,12 +1,12 @@
-//! What a shared connection knows of a session, and how to bring it to what the next one needs.
+//! Session state on a pooled connection, and the commands that prepare it for the next session.
 
 use crate::statement::{MemberCommand, SessionValue, StatementShape};
 
-/// Shapes that one connection may know. Above it the connection is cleared, so that callers who
-/// prepare ever new statements cannot fill a member's memory.
+/// Maximum number of prepared shapes on a connection. Beyond it the connection is reset, so that
+/// callers that keep preparing new statements cannot exhaust a member's memory.
 const SHAPES_MAX: usize = 64;
 
-/// The values and prepared shapes on one connection, both sorted.
+/// Session values and prepared shapes on one connection, both sorted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LinkSession {
     values: Vec<SessionValue>,
@@ -14,10 +14,10 @@
 }
 
 impl LinkSession {
-    /// The commands after which the connection has exactly these values and knows the shape.
+    /// Returns the commands that give the connection exactly these values and prepare the shape.
     ///
-    /// Guards against a statement that runs with another caller's values: a value that the session
-    /// never set can only be cleared with all others, so the connection is reset first.
+    /// A value that another session left behind can only be cleared together with all others, so
+    /// the connection is reset first. Otherwise the statement would run with that session's values.
     pub(crate) fn commands_for(
         &self,
         values: &[SessionValue],
@@ -41,7 +41,7 @@
         commands
     }
 
-    /// Takes in that a command was done.
+    /// Updates the state after a command succeeded.
     pub(crate) fn apply(&mut self, command: &MemberCommand) {
         match command {
             MemberCommand::Reset => *self = Self::default(),
@@ -60,7 +60,7 @@
     }
 }
 
-/// Puts a value into a sorted list, in place of the one of the same name.
+/// Inserts a value into a sorted list, replacing the one with the same name.
 pub(crate) fn put_value(values: &mut Vec<SessionValue>, value: SessionValue) {
     match values.binary_search_by(|known| known.name.cmp(&value.name)) {
         Ok(index) => values[index] = value,
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -1,4 +1,4 @@
-//! One member of a service, as this instance knows it.
+//! One member of a service with its connection pool and this instance's observations of it.
 
 use super::pool::MemberPool;
 use crate::border::{MemberDialer, MemberTarget};
@@ -10,38 +10,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a member is tried last after it failed a read: it is slow or busy for about as long.
+/// How long a member is ordered last after it failed a read. Members are slow or busy for about as
+/// long.
 const FAILED_READ_PENALTY: Duration = Duration::from_millis(250);
 
-/// How long a primary that is missing from the list is still used. Longer than its absence lasts
-/// before it is replaced (2.6 s and a turn of 0.3 s); half of the time for which deployments let
-/// members that are gone be sent work (7 s and more).
+/// How long a primary that is missing from the membership is still used. Longer than the time until
+/// an absent primary is replaced (2.6 s and one cycle of 0.3 s), and half of the time for which
+/// deployments allow work to be sent to removed members (7 s and more).
 const UNLISTED_PRIMARY_GRACE: Duration = Duration::from_millis(3500);
 
-/// Whether a member takes new work.
+/// Whether a member accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It does.
+    /// The member accepts new work.
     Ready,
-    /// It is leaving.
+    /// The member is draining and accepts no new work.
     Draining,
 }
 
 plain_data! {
-    /// What a member says of itself.
+    /// A member's registration, as published by the member.
     #[derive(Serialize, Deserialize)]
     pub struct MemberEntry {
-        /// Where it is and who it is.
+        /// Service, name and address of the member.
         pub target: MemberTarget,
-        /// Its failure domain.
+        /// Failure domain of the member.
         pub domain: DomainName,
-        /// The region of that domain.
+        /// Region of the failure domain.
         pub region: String,
-        /// Whether it takes new work.
+        /// Whether the member accepts new work.
         pub state: MemberState,
-        /// How it sees its own role.
+        /// Role that the member reports for itself.
         pub role: MemberRole,
-        /// When it started, in milliseconds since 1970: a restarted member knows nothing of before.
+        /// Start time in milliseconds since 1970. A restarted member keeps no state from before.
         pub born: u64,
     }
 }
@@ -60,9 +61,9 @@
 struct MemberObservations {
     progress: ReplicaProgress,
     deprioritized_until: Duration,
-    /// Since when the list has lacked it.
+    /// When the member was first missing from the membership.
     unlisted_since: Option<Duration>,
-    /// Since when it has said that it is leaving.
+    /// When the member was first reported as draining.
     leaving_since: Option<Duration>,
 }
 
@@ -99,39 +100,40 @@
         lock(&self.entry).clone()
     }
 
-    /// Whether reads may be sent to it: from the moment that it says it is leaving, none are.
+    /// Whether reads may be sent to the member: none once it is draining.
     pub(crate) fn serves_reads(&self) -> bool {
         lock(&self.entry).state == MemberState::Ready
     }
 
-    /// Whether it has been leaving for `limit` or longer.
+    /// Whether the member has been draining for at least `limit`.
     pub(crate) fn has_left(&self, limit: Duration) -> bool {
         let since = lock(&self.observations).leaving_since;
         since.is_some_and(|since| boot_time() >= since + limit)
     }
 
-    /// Whether the list of members names it.
+    /// Whether the member is in the membership.
     pub(crate) fn is_listed(&self) -> bool {
         lock(&self.observations).unlisted_since.is_none()
     }
 
-    /// Takes in that the list lacks it; returns whether it may still be used.
+    /// Records that the member is missing from the membership; returns whether it may still be
+    /// used.
     pub(super) fn mark_unlisted(&self) -> bool {
         let now = boot_time();
         now < *lock(&self.observations).unlisted_since.get_or_insert(now) + UNLISTED_PRIMARY_GRACE
     }
 
-    /// Takes in how far its log is applied, and for how long the primary has been farther.
+    /// Records the applied log position and for how long the primary has been ahead of it.
     pub(crate) fn record_applied(&self, stamp: LogStamp, lag: Duration) {
         lock(&self.observations).progress.note(stamp, lag, boot_time());
     }
 
-    /// Takes in that a read that needs `floor` is being sent to it.
+    /// Records that a read with this floor is being sent to the member.
     pub(crate) fn record_attempt(&self, floor: LogStamp) {
         lock(&self.observations).progress.note_tried(floor, boot_time());
     }
 
-    /// Tries it last for a moment.
+    /// Orders the member last for [`FAILED_READ_PENALTY`].
     pub(crate) fn deprioritize(&self) {
         lock(&self.observations).deprioritized_until = boot_time() + FAILED_READ_PENALTY;
     }
@@ -140,14 +142,14 @@
         boot_time() < lock(&self.observations).deprioritized_until
     }
 
-    /// Whether it most likely still lacks `floor`, which the primary reached `age` ago.
+    /// Whether the member most likely has not applied `floor`, which the primary reached `age` ago.
     pub(crate) fn lacks(&self, floor: LogStamp, age: Duration) -> bool {
         lock(&self.observations).progress.lacks(floor, age, boot_time())
     }
 }
 
-/// Keeps a known member with its connections, unless it moved or started anew: then connections
-/// and what is known of its log are of no more use.
+/// Returns the known member with its connections, or a new one if the member moved or restarted, as
+/// its connections and observed log position are then invalid.
 pub(super) fn reuse_or_create(
     known: &[Arc<GroupMember>],
     entry: &MemberEntry,
--- a/crates/rudder-engine/src/group/mod.rs
+++ b/crates/rudder-engine/src/group/mod.rs
@@ -1,4 +1,4 @@
-//! The members of a service, the connections to them, and where a read may go.
+//! Members of a service, connection pools to them, and the placement of reads.
 
 mod acquire;
 mod link;
--- a/crates/rudder-engine/src/group/placement.rs
+++ b/crates/rudder-engine/src/group/placement.rs
@@ -1,4 +1,4 @@
-//! At which member a read is tried first.
+//! The order in which members are tried for a read.
 
 use super::acquire::PoolChoice;
 use super::member::GroupMember;
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What placing a read depends on.
+/// Inputs for the placement of a read.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacementContext {
-    /// Where this instance is.
+    /// Location of this instance.
     pub(crate) own: NodePlace,
-    /// What the member's log must hold.
+    /// Position that the member must have applied.
     pub(crate) floor: LogStamp,
-    /// How long ago the primary reached that.
+    /// Time since the primary reached `floor`.
     pub(crate) floor_age: Duration,
 }
 
-/// The members that may serve a read, the best first; equal ones by name.
+/// Returns the members that may serve a read, the best first and equal ones by name.
 pub(crate) fn order_members(
     members: &[Arc<GroupMember>],
     context: &PlacementContext,
@@ -40,8 +40,9 @@
     }
 }
 
-/// The connections that a read waits for, in the order of `members`: those of the members that are
-/// expected to serve it, or of all if there is none.
+/// Returns the pools that a read waits for, in the order of `members`: those of the members
+/// expected to serve it, or all if there are none. One connection to the primary is kept free if
+/// another member can serve the read.
 pub(crate) fn read_choices(
     group: &ServiceGroup,
     members: &[Arc<GroupMember>],
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -1,15 +1,16 @@
-//! The connections of this instance to one member.
+//! The connection pool of this instance for one member.
 //!
-//! Load pattern: a member takes a few dozen connections from all instances together, and callers
-//! hold them over the pauses of their transactions. Without a share of its own the busiest instance
-//! takes them all and the rest are refused; without a queue a caller is refused although a
-//! connection comes free a millisecond later; without priorities the reads that can wait stand
-//! before orders. Limits: the share comes from [`ConnectionShare`], what may be held beyond it from
-//! [`ConnectionHeadroom`], the order from [`WaitQueue`], dials after a failure from [`DialGate`], the
-//! wait from the caller.
+//! Load pattern: a member accepts a few dozen connections from all instances together, and callers
+//! hold them through the pauses within their transactions. Without a share per instance the busiest
+//! instance takes all connections and the others are refused; without a queue a caller is refused
+//! although a connection becomes free a millisecond later; without priorities, reads that can wait
+//! are served before urgent writes. Limits: [`ConnectionShare`] sets the share,
+//! [`ConnectionHeadroom`] the connections allowed beyond it, [`WaitQueue`] the order, [`DialGate`]
+//! the dials after a failure, and the caller the wait deadline.
 //!
-//! A member runs work in the name that a connection was opened with, so a connection serves one client
-//! account. Where all places are taken, the one that was idle for longest gives way to another account.
+//! A member runs statements as the account that the connection was opened for, so a connection
+//! serves one client account. If no further connection may be opened, the one that has been idle
+//! longest is replaced by one for the account that needs it.
 
 use super::link::PooledLink;
 use crate::border::{LinkError, MemberDialer, MemberTarget};
@@ -21,18 +22,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// The most time for opening a connection: two lost packets' resends (0.2 and 0.4 s) and the
-/// member's own work fit in.
+/// Timeout for opening a connection. Leaves room for retransmissions of two lost packets (0.2 and
+/// 0.4 s) and for the member's own processing.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long an idle connection is kept: long enough for the statements of a caller that is at work,
-/// as a new one takes a slot and 12 ms.
-///
-/// Guards against callers that are refused after a loss of power: members keep the connections of
-/// a lost machine for some seconds, and what was idle there takes the place of a new one.
+/// Time that an idle connection is kept. Long enough for the next statement of an active caller, as
+/// a new connection takes a slot and 12 ms. Short because members keep connections of a failed
+/// machine for some seconds after a power loss, and its idle ones block new connections.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The connections to one member.
+/// Connection pool for one member.
 pub(crate) struct MemberPool {
     target: MemberTarget,
     dialer: Arc<dyn MemberDialer>,
@@ -41,7 +40,7 @@
 
 struct PoolState {
     idle: Vec<PooledLink>,
-    /// Connections that are idle, in use or being opened.
+    /// Number of connections that are idle, in use or being opened.
     open: u32,
     share: u32,
     headroom: ConnectionHeadroom,
@@ -50,13 +49,13 @@
 }
 
 impl PoolState {
-    /// How many connections may be open.
+    /// Maximum number of open connections.
     fn max_open(&self, now: Instant) -> u32 {
         self.share + if self.share > 0 { self.headroom.extra(now) } else { 0 }
     }
 
-    /// Counts in a connection that is to be opened; returns the one that must be closed for it, which
-    /// is the one that was idle for longest.
+    /// Reserves a slot for a new connection. If none is left, returns the connection that has been
+    /// idle longest, which has to be closed to free its slot.
     fn reserve_slot(&mut self, now: Instant) -> Option<PooledLink> {
         if self.open >= self.max_open(now) && !self.idle.is_empty() {
             return Some(self.idle.remove(0));
@@ -65,7 +64,7 @@
         None
     }
 
-    /// How many connections could be had at once.
+    /// Number of connections that can be granted immediately.
     fn free(&self, now: Instant) -> u32 {
         let unopened = self.max_open(now).saturating_sub(self.open);
         let unopened = if self.gate.may_begin(now) { unopened } else { 0 };
@@ -73,17 +72,17 @@
     }
 }
 
-/// For whom a connection is wanted.
+/// User of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LinkUser {
-    /// Callers of a client account, or callers who need none.
+    /// A caller with its client account, or a caller that needs none.
     Caller(Option<AccountName>),
-    /// This instance, for whose commands any connection will do.
+    /// This instance itself. Its control commands can use a connection of any account.
     Control,
 }
 
 impl LinkUser {
-    /// Whether a connection that was opened for `account` will do.
+    /// Whether the user can use a connection that was opened for `account`.
     fn takes(&self, account: Option<&AccountName>) -> bool {
         match self {
             Self::Caller(own) => own.as_ref() == account,
@@ -91,7 +90,7 @@
         }
     }
 
-    /// The account for which a new connection is opened.
+    /// Account that a new connection is opened for.
     pub(super) fn account(&self) -> Option<&AccountName> {
         match self {
             Self::Caller(account) => account.as_ref(),
@@ -100,41 +99,41 @@
     }
 }
 
-/// Who wants a connection, and how urgently.
+/// A request for a connection: its user and its rank.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkRequest {
     pub(crate) user: LinkUser,
-    /// The least is served first.
+    /// Rank in the queue; the lowest is served first.
     pub(crate) rank: u8,
 }
 
-/// A caller in queue for a connection.
+/// A caller in the queue for a connection.
 struct WaitingCaller {
     user: LinkUser,
     granted: oneshot::Sender<ConnectionGrant>,
-    /// Connections that must stay free for others if it is to have one.
+    /// Number of connections that must stay free for others after the grant.
     kept_free: u32,
 }
 
-/// What a caller was waiting for.
+/// Grant to a waiting caller.
 pub(super) enum ConnectionGrant {
     /// An open connection.
     Link(PooledLink),
-    /// The right to open one.
+    /// A reserved slot in which the caller may open a connection.
     Dial(ConnectionSlot),
 }
 
-/// How a caller waits in a queue.
+/// A request to join the queue of a pool.
 #[derive(Clone, Debug)]
 pub(super) struct QueueRequest {
     pub(super) link: LinkRequest,
-    /// Connections that must stay free for others if it is to have one.
+    /// Number of connections that must stay free for others after the grant.
     pub(super) kept_free: u32,
-    /// The turn that it had in this queue before.
+    /// Sequence number from an earlier entry in this queue, which keeps its order.
     pub(super) sequence: Option<u64>,
 }
 
-/// A caller's place in a queue; given up when it is dropped.
+/// A caller's entry in the queue, which it leaves when the entry is dropped.
 pub(super) struct QueueEntry {
     pub(super) sequence: u64,
     pub(super) granted: oneshot::Receiver<ConnectionGrant>,
@@ -165,8 +164,8 @@
         lock(&self.state)
     }
 
-    /// Sets how many connections may be open, and whether there are fewer than instances; idle ones
-    /// above the share are closed.
+    /// Sets the share of connections, and whether there are fewer connections than instances.
+    /// Closes idle connections beyond the share or past the idle timeout.
     pub(crate) fn set_share(self: &Arc<Self>, share: ConnectionShare, is_scarce: bool) {
         let mut closed = Vec::new();
         {
@@ -185,7 +184,7 @@
         self.serve_queue();
     }
 
-    /// Closes what is idle.
+    /// Closes all idle connections.
     pub(crate) fn close_idle(&self) {
         let idle = std::mem::take(&mut self.state().idle);
         idle.into_iter().for_each(PooledLink::close);
@@ -193,8 +192,8 @@
 
     /// Closes idle connections that were not used since `cutoff`.
     ///
-    /// Guards against connections that something between the two ends has lost track of: where
-    /// one went silent, others that were idle as long may have, too.
+    /// When one connection times out, a device on the path may have dropped its state, and that of
+    /// other connections that were idle as long.
     pub(crate) fn close_unused_since(&self, cutoff: Instant) {
         let stale: Vec<PooledLink> = {
             let mut state = self.state();
@@ -206,25 +205,26 @@
         stale.into_iter().for_each(PooledLink::close);
     }
 
-    /// How many callers could be served at once without waiting.
+    /// Number of further callers that can be served without waiting.
     pub(crate) fn spare_connections(&self) -> u32 {
         let mut state = self.state();
         state.waiters.retain(|caller| !caller.granted.is_closed());
         state.free(Instant::now()).saturating_sub(count(state.waiters.len()))
     }
 
-    /// Whether the member could not be reached just now.
+    /// Whether a recent dial found the member unreachable.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.state().gate.is_unreachable(Instant::now())
     }
 
-    /// Whether no connection is to be had for as long as the member counts as unreachable.
+    /// Whether the pool can grant nothing: no connection is idle and the member counts as
+    /// unreachable.
     pub(super) fn is_unavailable(&self) -> bool {
         let state = self.state();
         state.idle.is_empty() && state.gate.is_unreachable(Instant::now())
     }
 
-    /// Puts a caller in queue, and serves it at once if it is its turn.
+    /// Adds a caller to the queue and serves it immediately if a connection is available to it.
     pub(super) fn join_queue(self: &Arc<Self>, request: QueueRequest) -> QueueEntry {
         let (sender, granted) = oneshot::channel();
         let LinkRequest { user, rank } = request.link;
@@ -243,10 +243,10 @@
         QueueEntry { sequence, granted }
     }
 
-    /// Gives what is free to those who wait.
+    /// Grants available connections and slots to waiting callers.
     fn serve_queue(self: &Arc<Self>) {
         while let Some((caller, grant)) = self.next_grant() {
-            // A grant to a caller that has just given up is dropped, and so counted free again.
+            // If the caller has just stopped waiting, dropping the grant frees it again.
             drop(caller.granted.send(grant));
         }
     }
@@ -259,7 +259,7 @@
             return None;
         }
         state.waiters.retain(|caller| !caller.granted.is_closed());
-        // The only connection that this instance may hold is for all of its callers.
+        // If the pool may hold only one connection, it is available to all requests.
         let max_kept_free = state.max_open(now).saturating_sub(1);
         let may_dial = state.gate.may_begin(now);
         let PoolState { idle, waiters, .. } = &mut *state;
@@ -280,7 +280,7 @@
         Some((caller, ConnectionGrant::Dial(ConnectionSlot::new(self))))
     }
 
-    /// Opens a connection for which a place was counted in.
+    /// Opens a connection in a reserved slot.
     pub(super) async fn dial(
         self: &Arc<Self>,
         slot: ConnectionSlot,
@@ -329,7 +329,7 @@
         );
     }
 
-    /// Lets the next caller dial when the pause after a failure is over.
+    /// Serves the queue again after the pause that follows a failed dial.
     fn serve_queue_after(self: &Arc<Self>, pause: Duration) {
         let pool = Arc::downgrade(self);
         tokio::spawn(async move {
@@ -340,7 +340,7 @@
         });
     }
 
-    /// Puts a connection at the disposal of the next caller.
+    /// Returns a connection to the pool, or closes it if the pool is over its limit.
     pub(super) fn return_link(link: PooledLink) {
         let pool = Arc::clone(link.pool());
         {
@@ -355,7 +355,7 @@
         pool.serve_queue();
     }
 
-    /// Counts a closed connection out, and lets the next caller open one.
+    /// Releases the slot of a closed connection and serves the queue.
     pub(super) fn release_slot(self: &Arc<Self>) {
         {
             let mut state = self.state();
@@ -365,7 +365,7 @@
     }
 }
 
-/// A place that is counted as open while a connection is being opened, and given up with it.
+/// A slot that counts as open while a connection is being opened; released when dropped.
 pub(super) struct ConnectionSlot {
     pool: Option<Arc<MemberPool>>,
 }
@@ -375,7 +375,7 @@
         Self { pool: Some(Arc::clone(pool)) }
     }
 
-    /// Leaves the place counted.
+    /// Keeps the slot counted for the opened connection.
     fn keep_counted(mut self) {
         self.pool = None;
     }
--- a/crates/rudder-engine/src/group/service.rs
+++ b/crates/rudder-engine/src/group/service.rs
@@ -1,4 +1,4 @@
-//! One service: its members, its primary, and what is known of their logs.
+//! One service: its members, its primary's lease, and the observed log positions.
 
 use super::member::{GroupMember, MemberEntry, reuse_or_create};
 use crate::border::MemberDialer;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// One service.
+/// A service and its replicated database group.
 pub(crate) struct ServiceGroup {
     service: ServiceName,
     state: Mutex<GroupState>,
@@ -24,15 +24,15 @@
     members: Vec<Arc<GroupMember>>,
     leases: LeaseTable,
     history: PositionHistory,
-    /// Since when the watch of the primary has failed.
+    /// Time of the first failure in the current run of failed watches of the primary.
     silent_since: Option<Duration>,
 }
 
 impl GroupState {
-    /// The primary, if the list lacks it and it may still be used.
+    /// Returns the primary if it is missing from the membership but may still be used.
     ///
-    /// Guards against strict work that ends seconds before the primary is replaced: a primary that
-    /// is cut off from the store, and from nothing else, drops out of the list although it serves.
+    /// A primary that only lost its connection to the store drops out of the membership although it
+    /// still serves. Without this, strict statements would fail for seconds until it is replaced.
     fn unlisted_primary(
         &self,
         known: &[Arc<GroupMember>],
@@ -68,18 +68,18 @@
         found.ok().map(|index| Arc::clone(&state.members[index]))
     }
 
-    /// Reads or changes what is known of the primary.
+    /// Accesses the lease table under the group's lock.
     pub(crate) fn with_leases<T>(&self, use_leases: impl FnOnce(&mut LeaseTable) -> T) -> T {
         use_leases(&mut self.state().leases)
     }
 
-    /// What is known of the primary and its newest sample, which belong to the same version.
+    /// Returns the lease table and the newest position sample, both of the same record version.
     pub(crate) fn knowledge(&self) -> (LeaseTable, Option<FreshSample>) {
         let state = self.state();
         (state.leases.clone(), state.history.newest())
     }
 
-    /// Replaces the list of members.
+    /// Replaces the membership.
     pub(crate) fn set_members(&self, entries: &[MemberEntry], dialer: &Arc<dyn MemberDialer>) {
         let mut state = self.state();
         let known = std::mem::take(&mut state.members);
@@ -93,7 +93,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops a primary that has been missing from the list for long, or leads no more.
+    /// Removes a primary that is missing from the membership and has exceeded its grace time or has
+    /// been replaced.
     pub(crate) fn drop_unlisted(&self) {
         let mut state = self.state();
         if state.members.iter().all(|member| member.is_listed()) {
@@ -109,7 +110,7 @@
         close_removed(&known, &members);
     }
 
-    /// Takes in a version of the record; returns whether it is a new one.
+    /// Records a version of the primary's record; returns whether it is new.
     pub(crate) fn observe(&self, record: &LeadRecord, confirmed_at: Duration) -> bool {
         let now = boot_time();
         let mut state = self.state();
@@ -126,39 +127,40 @@
             );
         }
         drop(state);
-        // Also without a change: a lease that had expired is good again.
+        // Notifies also without a new version, as the observation may renew an expired lease.
         self.changed.notify_waiters();
         new
     }
 
-    /// Takes in that most instances knew of no later version at `majority_at`.
-    /// Returns whether that is later than was known.
+    /// Records that a majority of instances knew of no later version at `majority_at`; returns
+    /// whether that is later than the previous confirmation.
     pub(crate) fn confirm_by_majority(&self, epoch: LeaderEpoch, majority_at: Duration) -> bool {
         let later = self.state().leases.confirm_by_majority(epoch, majority_at);
         self.changed.notify_waiters();
         later
     }
 
-    /// The primary and the permission to answer for it.
+    /// Returns the primary with its current lease.
     pub(crate) fn leader(&self) -> Option<(Arc<GroupMember>, LeaderLease)> {
         let lease = self.state().leases.lease(boot_time())?;
         let member = self.member(&lease.primary)?;
         Some((member, lease))
     }
 
-    /// Whether an answer under `lease` may still go out.
+    /// Whether a reply under `lease` may still be returned.
     pub(crate) fn holds(&self, lease: &LeaderLease) -> bool {
         self.state().leases.holds(lease, boot_time())
     }
 
-    /// Waits until something changes, at most until `timeout` is over.
+    /// Waits until the group changes, at most for `timeout`.
     pub(crate) async fn wait_changed(&self, timeout: Duration) {
         let changed = self.changed.notified();
-        // Over means that nothing changed; the caller looks again in either case.
+        // The result is ignored: the caller checks the state again in either case.
         let _ = tokio::time::timeout(timeout, changed).await;
     }
 
-    /// Takes in a position that the primary had when it answered a question sent at `sent_at`.
+    /// Records the primary's position from its response to a request sent at `sent_at`. Ignored
+    /// unless the lease is of the current version and covered that time.
     pub(crate) fn note_position(&self, lease: &LeaderLease, sent_at: Duration, stamp: LogStamp) {
         let mut state = self.state();
         let current = state.leases.epoch() == lease.epoch;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Takes in that the watch of a version's primary failed from `since` on.
+    /// Records that the watch of the primary of this version has failed since `since`.
     pub(crate) fn note_silence(&self, epoch: LeaderEpoch, since: Duration) {
         let mut state = self.state();
         if state.leases.epoch() == epoch {
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Takes in a peer's sample of a version's primary.
+    /// Records a peer's position sample of the primary of this version.
     pub(crate) fn note_peer_sample(&self, epoch: LeaderEpoch, sent_at: Duration, stamp: LogStamp) {
         let lease = self.state().leases.lease(boot_time());
         if let Some(lease) = lease.filter(|lease| lease.epoch == epoch) {
@@ -185,49 +187,51 @@
         }
     }
 
-    /// The newest sample.
+    /// Newest position sample of the primary.
     pub(crate) fn newest_sample(&self) -> Option<FreshSample> {
         self.state().history.newest()
     }
 
-    /// Takes in that the primary answered its watch.
+    /// Records that the primary responded to the watch.
     pub(crate) fn note_alive(&self) {
         self.state().silent_since = None;
     }
 
-    /// Since when the watch of the primary has failed.
+    /// Time since which the watch of the primary has failed; `None` if it succeeds.
     pub(crate) fn silent_since(&self) -> Option<Duration> {
         self.state().silent_since
     }
 
-    /// What a member must hold for a read with `bound`; none if that is not known.
+    /// Position that a member must have applied for a read with this staleness bound; `None` if
+    /// unknown.
     pub(crate) fn bounded_floor(&self, bound: Duration) -> Option<LogStamp> {
         self.state().history.floor(bound, boot_time())
     }
 
-    /// How long ago the primary reached a position, as far as is known.
+    /// Time since the primary reached a position, as far as is known.
     pub(crate) fn age_of(&self, floor: LogStamp) -> Duration {
         self.state().history.age_of(floor, boot_time())
     }
 
-    /// Takes in how far a member's log is applied.
+    /// Records a member's applied log position.
     pub(crate) fn record_applied(&self, member: &GroupMember, stamp: LogStamp) {
         let lag = self.state().history.lag_of(stamp, boot_time());
         member.record_applied(stamp, lag);
     }
 
-    /// The primary's newest known position.
+    /// Newest known position of the primary.
     pub(crate) fn newest_position(&self) -> Option<LogStamp> {
         self.newest_sample().map(|sample| sample.stamp)
     }
 
-    /// What a session must see after changes of primary.
+    /// Lowers a session floor to the promotion's base position if the change of primary cut the log
+    /// off below it, as no member would ever reach it.
     pub(crate) fn reachable(&self, floor: LogStamp) -> LogStamp {
         let state = self.state();
         state.leases.record().map_or(floor, |record| record.reachable(floor))
     }
 
-    /// Deals the members' connections out anew among `all` instances.
+    /// Distributes the connections of each member among `all` instances and applies the own share.
     pub(crate) fn set_shares(
         &self,
         connections_max: u32,
@@ -242,7 +246,7 @@
     }
 }
 
-/// Closes the connections to members that are no longer used.
+/// Closes the connections to removed members.
 fn close_removed(known: &[Arc<GroupMember>], kept: &[Arc<GroupMember>]) {
     for member in known {
         if !kept.iter().any(|kept| Arc::ptr_eq(kept, member)) {
--- a/crates/rudder-engine/src/group/tests/link_session.rs
+++ b/crates/rudder-engine/src/group/tests/link_session.rs
@@ -1,4 +1,4 @@
-//! What a shared connection must be told before a session's statement.
+//! Tests of the commands that prepare a pooled connection for a session.
 
 use crate::group::link_session::LinkSession;
 use crate::statement::{MemberCommand, SessionValue, StatementEffect, StatementShape};
@@ -27,8 +27,8 @@
 
 #[test]
 fn a_value_of_another_session_is_reset() {
-    // One caller set a tone, the next one never did. With the tone left on the connection, the
-    // second caller's statement runs in a mode that nobody asked for.
+    // One caller sets a value and the next one does not. If it stayed on the connection, the second
+    // caller's statement would run with the first caller's value.
     let session = session_after(&[MemberCommand::SetValue(value("tone", "high"))]);
 
     let commands = session.commands_for(&[value("metre", "slow")], None);
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_changed_value_is_set_without_a_reset() {
-    // Within a transaction the connection cannot be cleared without losing the transaction.
+    // A reset within a transaction would abort the transaction.
     let session = session_after(&[MemberCommand::SetValue(value("tone", "high"))]);
 
     let commands = session.commands_for(&[value("tone", "low")], None);
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_connection_with_the_maximum_number_of_shapes_is_reset() {
-    // A caller prepares ever new statements; the members' memory must not grow with them.
+    // A caller that keeps preparing new statements must not make the member's memory grow.
     let many: Vec<_> = (0..64)
         .map(|number| {
             let shape = shape(&format!("q{number}"));
--- a/crates/rudder-engine/src/group/tests/mod.rs
+++ b/crates/rudder-engine/src/group/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of members and connections: who is known, what they hold, how many there are, who gets one.
+//! Tests of the membership of a service, connection pools, and session state on connections.
 
 mod link_session;
 mod pool;
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Who gets a connection, and which connections are kept.
+//! Tests of connection pools: the order of grants, limits, and reuse of connections.
 
 use crate::border::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::group::acquire::{AcquireError, PoolChoice, acquire_any};
@@ -15,15 +15,15 @@
 
 const LONG: Duration = Duration::from_secs(30);
 
-/// A member that answers everything, or nothing, or refuses connections over a cap.
+/// Simulated member that replies to everything, never replies, or refuses connections over a cap.
 #[derive(Default)]
 struct FakeDialer {
     dialed: AtomicU32,
-    /// The accounts for which connections were opened.
+    /// Accounts that connections were dialed for, in order.
     accounts: Mutex<Vec<Option<AccountName>>>,
     silent: bool,
     cap: Option<u32>,
-    /// How many dials over the cap are refused before all are taken.
+    /// Dial count from which dials over the cap are accepted again; `None` refuses all of them.
     refusals: Option<u32>,
 }
 
@@ -40,7 +40,7 @@
     ) -> Result<Box<dyn MemberLink>, LinkError> {
         self.accounts.lock().expect("no panic").push(account.cloned());
         let dialed = self.dialed.fetch_add(1, Ordering::Relaxed);
-        // The answer takes a while, in which other callers join the line.
+        // The delay lets other callers join the queue meanwhile.
         tokio::time::sleep(Duration::from_millis(1)).await;
         let over = self.cap.is_some_and(|cap| dialed >= cap);
         if over && self.refusals.is_none_or(|refusals| dialed < refusals) {
@@ -99,8 +99,8 @@
 
 #[tokio::test]
 async fn a_lower_rank_is_served_before_earlier_requests() {
-    // Catalogue readers queue up for the only connection, then an order comes. Behind the readers
-    // it would be late.
+    // Reads wait for the only connection when a write with a lower rank arrives. Served in order of
+    // arrival it would miss its deadline.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
     let held = pool.acquire(&request(1), LONG).await.expect("a connection");
@@ -126,8 +126,8 @@
 
 #[tokio::test]
 async fn a_connection_whose_response_timed_out_is_not_reused() {
-    // Something between the two ends has lost track of the connection. The answer may still come,
-    // and must not reach the next caller.
+    // A device on the path has dropped the connection's state. The response may still arrive and
+    // must not reach the next caller.
     let dialer = Arc::new(FakeDialer { silent: true, ..FakeDialer::default() });
     let pool = pool(&dialer, 1);
     let mut link = pool.acquire(&request(1), LONG).await.expect("a connection");
@@ -142,8 +142,8 @@
 
 #[tokio::test]
 async fn a_caller_that_stops_waiting_does_not_leak_a_connection() {
-    // Callers leave while they wait; the places that come free meanwhile must not be lost, or the
-    // instance runs out of connections that nobody holds.
+    // Callers stop waiting while connections are released. If their grants were lost, the pool
+    // would run out of connections although none is in use.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     for _ in 0..20 {
@@ -160,7 +160,7 @@
 
 #[tokio::test]
 async fn a_member_at_its_connection_limit_is_not_dialed_repeatedly() {
-    // The others hold more than their shares for a moment. Dialling again at once closes as many
+    // Other instances briefly hold more than their shares. Dialing again at once would close as many
     // connections as it opens.
     let dialer = Arc::new(FakeDialer { cap: Some(1), ..FakeDialer::default() });
     let pool = pool(&dialer, 10);
@@ -191,9 +191,9 @@
 
 #[tokio::test]
 async fn queued_callers_share_the_pause_after_a_refused_dial() {
-    // All instances return from a loss of power, and the members still count their old
-    // connections. Each refusal lets the next caller in line dial: hundreds of dials a second that
-    // are known to be refused, from every instance, while nobody is served.
+    // After a power loss of all instances the members still count their old connections. If each
+    // refusal let the next caller dial, every instance would make hundreds of dials a second that
+    // are known to be refused.
     let dialer = Arc::new(FakeDialer { cap: Some(0), ..FakeDialer::default() });
     let pool = pool(&dialer, 2);
     let began_at = Instant::now();
@@ -207,7 +207,7 @@
     }
     let served = callers.join_all().await;
 
-    // The pause is 50 ms or longer, and two dials may be under way when the first one is refused.
+    // The pause is at least 50 ms, and two dials may be in progress when the first one is refused.
     let pauses = u32::try_from(began_at.elapsed().as_millis() / 50).expect("a short test");
     assert!(served.iter().all(|served| !served));
     assert!(dialer.dialed.load(Ordering::Relaxed) <= 2 + pauses);
@@ -215,8 +215,8 @@
 
 #[tokio::test]
 async fn queued_callers_are_served_once_a_full_member_has_room() {
-    // The old connections of lost machines expire one by one. Callers that wait must be served then,
-    // although nobody new comes to knock.
+    // The connections of failed machines expire one by one. Waiting callers must then be served
+    // even if no new request arrives.
     let dialer = Arc::new(FakeDialer { cap: Some(0), refusals: Some(2), ..FakeDialer::default() });
     let pool = pool(&dialer, 2);
 
@@ -228,8 +228,8 @@
 
 #[tokio::test]
 async fn a_read_takes_the_first_connection_of_any_member() {
-    // All members are full. A read that stands in the line of the nearest is refused when its time
-    // is over, although connections to another one come free meanwhile.
+    // All members are full. A read that waits only for the nearest one would be refused at its
+    // deadline although connections to another one became free.
     let dialer = Arc::new(FakeDialer::default());
     let pools = [pool(&dialer, 1), pool(&dialer, 1)];
     let _near = pools[0].acquire(&request(1), LONG).await.expect("a connection");
@@ -247,8 +247,8 @@
 
 #[tokio::test]
 async fn reads_leave_the_last_connection_to_the_primary_to_writes() {
-    // Reads that a replica may serve as well hold all of an instance's connections to the primary;
-    // an order that only the primary can take is refused.
+    // If reads that replicas can serve held all connections of an instance to the primary, a write,
+    // which only the primary can run, would be refused.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     let read = [PoolChoice { pool: Arc::clone(&pool), kept_free: 1 }];
@@ -264,8 +264,8 @@
 
 #[tokio::test]
 async fn the_only_connection_to_a_member_also_serves_reads() {
-    // Where an instance may hold one connection only, keeping it for writes would leave its reads
-    // unserved for ever while no replica is fresh enough.
+    // If an instance may hold only one connection, reserving it for writes would block its reads
+    // for as long as no replica is fresh enough.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 1);
     let read = [PoolChoice { pool, kept_free: 1 }];
@@ -277,8 +277,8 @@
 
 #[tokio::test]
 async fn idle_connections_are_closed_after_the_idle_timeout() {
-    // All instances lose power. The members count their connections for seconds, idle ones too, and
-    // refuse the instances when they are back: callers are turned away for want of a connection.
+    // After a power loss of all instances the members count their old connections for seconds, idle
+    // ones included, and refuse new ones: callers would be rejected for lack of a connection.
     let dialer = Arc::new(FakeDialer::default());
     let pool = pool(&dialer, 2);
     drop(pool.acquire(&request(1), LONG).await.expect("a connection"));
@@ -294,7 +294,7 @@
     LinkRequest { user: LinkUser::Caller(Some(account.parse().expect("a name"))), rank: 1 }
 }
 
-/// Guards against work of an account on a connection that was opened for another one.
+/// Statements of one account must not run on a connection that was opened for another one.
 #[tokio::test]
 async fn a_connection_serves_only_the_account_it_was_opened_for() {
     let dialer = Arc::new(FakeDialer::default());
@@ -308,7 +308,7 @@
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 2);
 }
 
-/// Guards against callers that wait for ever while all connections are idle for other accounts.
+/// Callers would otherwise wait forever while all connections are idle for other accounts.
 #[tokio::test]
 async fn the_longest_idle_connection_is_replaced_for_another_account() {
     let dialer = Arc::new(FakeDialer::default());
@@ -327,7 +327,8 @@
     drop((third, bands));
 }
 
-/// Guards against a change of primary that waits for a connection of its own, although any will do.
+/// A change of primary must not wait for a separate connection, as a connection of any account
+/// works.
 #[tokio::test]
 async fn control_commands_take_a_connection_of_any_account() {
     let dialer = Arc::new(FakeDialer::default());
@@ -341,7 +342,8 @@
     drop(link);
 }
 
-/// Guards against callers that are refused behind one transaction, although the member has room.
+/// Callers would otherwise be refused while one transaction holds the only connection, although the
+/// member accepts more.
 #[tokio::test]
 async fn an_instance_may_exceed_its_share_where_shares_are_scarce() {
     let dialer = Arc::new(FakeDialer::default());
@@ -355,7 +357,7 @@
     drop(transaction);
 }
 
-/// Guards against instances that take from each other what a full member does not have.
+/// At a full member, connections beyond the share are taken from other instances.
 #[tokio::test]
 async fn headroom_is_withdrawn_after_a_refused_connection() {
     let dialer = Arc::new(FakeDialer { cap: Some(1), ..FakeDialer::default() });
--- a/crates/rudder-engine/src/group/tests/service.rs
+++ b/crates/rudder-engine/src/group/tests/service.rs
@@ -1,4 +1,4 @@
-//! Which members are known.
+//! Tests of the membership of a service.
 
 use crate::border::MemberDialer;
 use crate::fixtures::{NobodyDialer, member_entry};
@@ -27,8 +27,8 @@
 
 #[test]
 fn an_unregistered_primary_is_used_until_it_is_replaced() {
-    // A primary loses its link to the store, and its entry expires. Crews who could reach it were
-    // refused from that moment on, seconds before another member led.
+    // A primary loses its connection to the store and its registration expires. Callers that can
+    // reach it would be refused for seconds until another member is promoted.
     let (group, dialer) = group("a");
 
     group.set_members(&[member_entry("b")], &dialer);
