--- a/crates/rudder-engine/src/session/caller.rs
+++ b/crates/rudder-engine/src/session/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's session.
+//! The session of one caller: dispatches its statements and tracks its transaction.
 
 use super::job::{StatementJob, retry_text, retry_text_after};
 use super::state::{SessionState, StateFull};
@@ -14,21 +14,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Of this many statements that are served one is logged, which keeps the log's volume and cost
-/// small beside the work itself.
+/// One of this many served statements is logged, which keeps the volume and cost of the log small
+/// compared with the statements themselves.
 const SERVED_SAMPLE: u64 = 64;
 
-/// The session's transaction.
+/// State of the session's transaction.
 enum SessionPhase {
     Idle,
     Open(Box<OpenTransaction>),
-    /// The transaction failed, and its connection is gone. `reported` says whether the caller knows.
+    /// The transaction failed and its connection was released. `reported` is set once the caller
+    /// has received the error.
     Failed {
         reported: bool,
     },
 }
 
-/// One caller's session: its values, names, transaction, and what it must see.
+/// One caller's session: its session values, prepared statements, transaction, and the log
+/// positions of its own commits.
 pub struct CallerSession {
     engine: Arc<ProxyEngine>,
     database: DatabaseName,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The state of the session between statements.
+    /// Returns the transaction state of the session between statements.
     #[must_use]
     pub fn state(&self) -> TransactionState {
         match self.phase {
@@ -60,14 +62,14 @@
         }
     }
 
-    /// How long the caller may now be silent; none outside of transactions.
+    /// Idle timeout of the open transaction; `None` outside of transactions.
     #[must_use]
     pub fn idle_limit(&self) -> Option<Duration> {
         matches!(self.phase, SessionPhase::Open(_)).then(|| self.engine.transaction_idle())
     }
 
-    /// Drops the transaction of a caller that has been silent for too long, or that must end
-    /// because this instance stops; the caller learns of it with its next statement.
+    /// Rolls back the open transaction after the idle timeout or because this instance shuts down.
+    /// The caller receives the error with its next statement.
     pub fn expire_transaction(&mut self) {
         if let SessionPhase::Open(open) = std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             open.abandon();
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Runs one statement.
+    /// Runs one statement and records its outcome.
     pub async fn run(&mut self, id: RequestId, statement: CallerStatement) -> StatementReply {
         let started_at = Instant::now();
         let reply = self.dispatch(id.clone(), statement).await;
@@ -169,7 +171,7 @@
         StatementReply::local(TransactionState::Open)
     }
 
-    /// What the settings in force allow to this caller.
+    /// Returns the route and account that the current settings grant to this caller.
     fn access(&self) -> Result<RouteAccess, StatementReply> {
         self.engine.access(&self.database, &self.key).map_err(|error| {
             log::info!(database:% = self.database, reason:% = error; "a session's right has ended");
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Answers what changed the session's state and needed no member.
+    /// Returns the reply to a statement that only changed session state and used no member.
     fn reply_local(&self, changed: Result<(), StateFull>) -> StatementReply {
         match changed {
             Ok(()) => StatementReply::local(self.state()),
@@ -209,7 +211,8 @@
         self.fail(StatementError::UnknownName, "there is no such prepared name")
     }
 
-    /// An error of this instance's own, which ends an open transaction like any other error.
+    /// Returns an error raised by this instance. Like any other error it aborts an open
+    /// transaction.
     fn fail(&mut self, error: StatementError, text: &str) -> StatementReply {
         if let SessionPhase::Open(open) = std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             open.abandon();
@@ -291,7 +294,8 @@
         reply
     }
 
-    /// Whether the caller still is who began the transaction. Its route holds until it ends.
+    /// Checks that the caller's key still belongs to the account that began the transaction. Route
+    /// changes do not affect an open transaction.
     fn check_account(&self, open: &OpenTransaction) -> Result<(), StatementError> {
         match self.engine.access(&self.database, &self.key) {
             Ok(access) if access.account != open.access().account => {
@@ -333,7 +337,7 @@
         found.ok().map(|index| self.floors[index].stamp)
     }
 
-    /// Raises what the session must see to a commit of its own.
+    /// Raises the session's floor for a service to the position of its own commit.
     fn raise_floor(&mut self, service: &ServiceName, position: Option<LogStamp>) {
         let Some(stamp) = position else { return };
         match self.floors.binary_search_by(|floor| floor.service.cmp(service)) {
@@ -347,20 +351,20 @@
 
 impl Drop for CallerSession {
     fn drop(&mut self) {
-        // A caller that left in the middle of a transaction asked for no commit.
+        // A caller that disconnects during a transaction has not requested a commit.
         if let SessionPhase::Open(open) = std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             open.abandon();
         }
     }
 }
 
-/// The refusal of an operation that was not claimed.
+/// Text of the refusal when the account's operation limit rejects the operation.
 fn refusal_text(error: &ClaimError) -> String {
     retry_text_after(error.retry_after(), &error.to_string())
 }
 
-/// Counts a statement, and logs one of [`SERVED_SAMPLE`] that were served by a member; every one
-/// that was not has a line of its own where that was decided.
+/// Updates the metrics and logs one of [`SERVED_SAMPLE`] statements served by a member. Statements
+/// that were not served are all logged where the decision is made.
 fn record_statement(
     id: &RequestId,
     database: &DatabaseName,
@@ -377,7 +381,8 @@
         return;
     }
     metrics::histogram!("rudder_statement_seconds").record(elapsed.as_secs_f64());
-    // By a hash of the id, so that all instances log the same requests.
+    // The sample is chosen by a hash of the request id, so that all instances log the same
+    // requests.
     let sampled = xxhash_rust::xxh3::xxh3_64(id.0.as_bytes()).is_multiple_of(SERVED_SAMPLE);
     if outcome == "served" && sampled {
         log::info!(
@@ -389,7 +394,7 @@
     }
 }
 
-/// The greatest age of a route's reads, for routes that may be served by a replica.
+/// Staleness bound of a route's reads; `None` if replicas may not serve them.
 pub(super) fn staleness_bound(route: &RouteRule) -> Option<Duration> {
     match route.kind {
         RouteKind::Strict => None,
--- a/crates/rudder-engine/src/session/job.rs
+++ b/crates/rudder-engine/src/session/job.rs
@@ -1,4 +1,4 @@
-//! One statement on its way to a member.
+//! A single statement with its deadlines, and its execution on a connection to a member.
 
 use crate::clock::boot_time;
 use crate::engine::RouteAccess;
@@ -12,32 +12,33 @@
 use rudder_decisions::WaitingWork;
 use std::time::{Duration, Instant};
 
-/// The part of a request's latency target that it may wait before a member gets it. A request
-/// that waited longer could hardly be answered in time; told now, its caller still can elsewhere.
+/// Fraction of the latency target (one part in this many) that a request may wait before it is sent
+/// to a member. After a longer wait it would hardly complete in time; an early refusal lets the
+/// caller retry elsewhere.
 const WAIT_DIVISOR: u32 = 4;
 
-/// The shortest and the longest time after which a refused caller is asked to come back; spread
-/// so that callers who were refused together do not return together.
+/// Range of the random retry delay that refused callers are given, in milliseconds. The spread
+/// keeps callers that were refused together from retrying at the same time.
 const RETRY_AFTER_RANGE_MS: std::ops::Range<u64> = 100..400;
 
-/// A statement with all that it needs.
+/// A statement with everything needed to run it at a member.
 #[derive(Clone, Debug)]
 pub(crate) struct StatementJob {
     pub(crate) id: RequestId,
     pub(crate) service: ServiceName,
-    /// The client account of the caller, if it has one.
+    /// Client account of the caller, if any.
     pub(crate) account: Option<AccountName>,
     pub(crate) body: StatementBody,
     pub(crate) effect: StatementEffect,
-    /// The prepared shape that the body names, if it does.
+    /// Prepared shape that the body refers to, if any.
     pub(crate) shape: Option<StatementShape>,
-    /// The session's values, sorted.
+    /// Session values, sorted by name.
     pub(crate) values: Vec<SessionValue>,
     pub(crate) priority: u8,
     started_at: Instant,
-    /// Until when a connection and a primary may be waited for.
+    /// Deadline for obtaining a connection and a confirmed primary.
     pub(crate) wait_until: Instant,
-    /// Until when an answer is of use.
+    /// Deadline for the response.
     pub(crate) deadline: Instant,
 }
 
@@ -67,22 +68,23 @@
         }
     }
 
-    /// What this work needs of a connection.
+    /// Returns the connection request for this job.
     pub(crate) fn link_request(&self, work: WaitingWork) -> LinkRequest {
         LinkRequest { user: LinkUser::Caller(self.account.clone()), rank: work.rank(self.priority) }
     }
 
-    /// How long a connection may still be waited for.
+    /// Time left to obtain a connection.
     pub(crate) fn wait_remaining(&self) -> Duration {
         self.wait_until.saturating_duration_since(Instant::now())
     }
 
-    /// How long an answer may still be waited for.
+    /// Time left to receive the response.
     pub(crate) fn time_remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Runs the statement on a connection, with values and names laid on in the same write.
+    /// Runs the statement on a connection. Missing session values and prepared shapes are sent in
+    /// the same write.
     pub(crate) async fn run_on(
         &self,
         link: &mut PooledLink,
@@ -98,7 +100,8 @@
         run_all(link, &commands, timeout).await
     }
 
-    /// Begins a transaction on a connection, values and names laid on before.
+    /// Begins a transaction on a connection. Missing session values and prepared shapes are sent in
+    /// the same write.
     pub(crate) async fn begin_on(
         &self,
         link: &mut PooledLink,
@@ -112,7 +115,7 @@
     }
 }
 
-/// Runs commands of which all but the last prepare the connection; the last one's answer counts.
+/// Runs commands of which all but the last prepare the connection; returns the last one's reply.
 async fn run_all(
     link: &mut PooledLink,
     commands: &[MemberCommand],
@@ -123,8 +126,8 @@
     let setup_error = replies.iter().find_map(StatementReply::error);
     match (last, setup_error) {
         (Some(last), None) => Ok(last),
-        // Guards against an answer that was made with another caller's values: without its
-        // preparation a statement's answer is worth nothing, and may have run.
+        // If the preparation failed, the statement may have run with another caller's values, so
+        // its reply cannot be used.
         (_, error) => {
             let reason = error.map_or_else(|| "no answer".to_owned(), ToString::to_string);
             let reason = crate::border::LinkError::Protocol(reason);
@@ -133,18 +136,18 @@
     }
 }
 
-/// Says when to come back, and why the request was not run.
+/// Returns the text of a refusal with the reason and a random retry delay.
 pub(crate) fn retry_text(reason: &str) -> String {
     let after = rand::rng().random_range(RETRY_AFTER_RANGE_MS);
     retry_text_after(Duration::from_millis(after), reason)
 }
 
-/// The same with a time to come back.
+/// Returns the text of a refusal with the reason and the given retry delay.
 pub(crate) fn retry_text_after(after: Duration, reason: &str) -> String {
     format!("not run, retry after {} ms: {reason}", after.as_millis())
 }
 
-/// The refusal of a request that was not run, with the knowledge that decided it in the log.
+/// Returns the refusal of a request that was not run, and logs the state that led to the decision.
 pub(crate) fn refuse(
     group: &ServiceGroup,
     job: &StatementJob,
--- a/crates/rudder-engine/src/session/mod.rs
+++ b/crates/rudder-engine/src/session/mod.rs
@@ -1,4 +1,5 @@
-//! Callers' sessions: what each must see, its transaction, and its statements' way to a member.
+//! Caller sessions: session state, consistency floors, transactions, and the execution of
+//! statements at members.
 
 mod caller;
 mod job;
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -1,4 +1,4 @@
-//! Reads that a replica may serve.
+//! Reads with a staleness bound, which a replica may serve.
 
 use super::caller::staleness_bound;
 use super::job::{StatementJob, refuse};
@@ -14,23 +14,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The least time that a member gets for its answer before another one is asked. Longer than
-/// almost all reads take (some 10 to 400 ms), so that slow ones are not run twice.
+/// Minimum time that a member gets to respond before the read is sent to another one. Longer than
+/// almost all reads take (some 10 to 400 ms), so that slow reads are not run twice.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The pause before the members are tried anew when none could serve.
+/// Delay before the members are tried again after none of them could serve the read.
 const ROUND_DELAY: Duration = Duration::from_millis(25);
 
-/// How long word of the primary's position is awaited before it is asked for again: the first
-/// question may meet a reader that has just started and knows none either.
+/// Delay before the primary's position is requested again: the first request may reach an instance
+/// that has just started and has no position either.
 const POSITION_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What is to be run at a member that may be a replica.
+/// Command to run at a member that may be a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadStep {
-    /// The statement itself.
+    /// A single statement.
     Statement,
-    /// The beginning of a read-only transaction.
+    /// The `BEGIN` of a read-only transaction.
     Begin,
 }
 
@@ -43,20 +43,19 @@
     }
 }
 
-/// A connection in a read-only transaction.
+/// A connection on which the step was run, and its member.
 pub(super) struct ReadConnection {
     pub(super) link: PooledLink,
     pub(super) member: Arc<GroupMember>,
 }
 
-/// Why no member served a read.
+/// Reason why no member served a read.
 pub(super) enum ReadFailure {
-    /// The caller has this answer.
+    /// The reply to return to the caller.
     Reply(StatementReply),
-    /// Nothing is known of what a replica must hold, but the primary may be read.
-    ///
-    /// Guards against reads that are refused for as long as no instance can watch the primary, as
-    /// when the connections of lost machines fill it: the answer tells its position as well.
+    /// The position that a replica must have applied is unknown, but the primary can serve the
+    /// read. Refusing instead would last for as long as no instance can watch the primary, for
+    /// example while connections of failed machines occupy it. Its reply also carries its position.
     UnknownPosition,
 }
 
@@ -66,18 +65,18 @@
     }
 }
 
-/// The end of one attempt that did not serve.
+/// Outcome of an attempt that did not serve the read.
 enum AttemptFailure {
-    /// Another member may do better.
+    /// The read did not run here; another member may serve it.
     TryNext,
-    /// The read ran and failed here; another member may do better, else this is the answer.
+    /// The read ran and failed here. This reply is returned if no other member serves the read.
     Failed(StatementReply),
-    /// This answer is final.
+    /// The reply is returned without another attempt.
     Final(StatementReply),
 }
 
 impl ProxyEngine {
-    /// Serves a single read.
+    /// Runs a single read at a member within the staleness bound.
     pub(crate) async fn read_bounded(
         &self,
         route: &RouteRule,
@@ -89,14 +88,14 @@
         let read = self.read_at_any_member(route, job, session_floor, step, &mut failed).await;
         match (read, failed) {
             (Ok((reply, _)), _) => reply,
-            // Where it has run, a refusal that says otherwise would not be true.
+            // The read ran, so a refusal that says it was not run would be wrong.
             (Err(_), Some(failed)) => failed,
             (Err(ReadFailure::Reply(reply)), None) => reply,
             (Err(ReadFailure::UnknownPosition), None) => self.run_strict(route, job).await,
         }
     }
 
-    /// Begins a read-only transaction.
+    /// Begins a read-only transaction at a member within the staleness bound.
     pub(super) async fn begin_bounded(
         &self,
         route: &RouteRule,
@@ -109,8 +108,8 @@
         Ok(connection)
     }
 
-    /// Runs a step at the first member that serves it. A read that fails at a member is tried once
-    /// at each other one; `failed` is then the last such answer.
+    /// Runs a step at the first member that serves it. A read that fails at one member is tried
+    /// once at each of the others; `failed` is set to the last such reply.
     async fn read_at_any_member(
         &self,
         route: &RouteRule,
@@ -179,9 +178,9 @@
         }
     }
 
-    /// What a member's log must hold for this read: what the bound asks for and what the session
-    /// wrote. Waits for a sample of the primary's position where there is none; only for a moment
-    /// if the primary may be read instead.
+    /// Returns the position that a member must have applied to serve this read: the later of the
+    /// staleness bound's floor and the session's own commits. Without a sample of the primary's
+    /// position it waits for one, but only [`POSITION_RETRY_DELAY`] if the primary can be read.
     async fn read_floor(
         &self,
         group: &Arc<ServiceGroup>,
@@ -228,7 +227,7 @@
             Ok(reply) => classify_reply(&self.group(&job.service), member, job, reply, link, step),
             Err(error) => {
                 log_attempt(member, job, &error);
-                // The watch tells at once whether a primary is lost.
+                // Triggers the watch of the primary, which detects a failed primary.
                 self.want_position();
                 member.deprioritize();
                 Err(AttemptFailure::TryNext)
@@ -254,7 +253,7 @@
         outcome = "next_member"; "a member did not serve a read"
     );
     match error {
-        // What its log lacks now says nothing of reads that need less: they may still go there.
+        // The member lags for this floor only; reads with a lower floor may still be sent to it.
         StatementError::Lagging => Err(AttemptFailure::TryNext),
         StatementError::Busy | StatementError::ReadOnly => {
             member.deprioritize();
--- a/crates/rudder-engine/src/session/state.rs
+++ b/crates/rudder-engine/src/session/state.rs
@@ -1,13 +1,14 @@
-//! What a session keeps between statements: its values, and the names of its prepared statements.
+//! Session state kept between statements: session values and prepared statements.
 
 use crate::group::put_value;
 use crate::statement::{SessionValue, StatementShape};
 use displaydoc::Display;
 
-/// Values and names that one session may hold; callers beyond it would fill the memory.
+/// Maximum number of session values, and of prepared statements, per session. Bounds the memory
+/// that one caller can use.
 const NAMES_MAX: usize = 1024;
 
-/// Why a session takes no more.
+/// Reason why a session accepts no further value or prepared statement.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(super) enum StateFull {
@@ -17,14 +18,14 @@
     Names,
 }
 
-/// A name that the session gave to a statement.
+/// A prepared statement and its name in the session.
 #[derive(Clone, Debug)]
 struct PreparedName {
     name: String,
     shape: StatementShape,
 }
 
-/// Values and prepared names, both sorted by name.
+/// Session values and prepared statements, both sorted by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SessionState {
     values: Vec<SessionValue>,
@@ -54,7 +55,7 @@
         Ok(())
     }
 
-    /// Forgets a name; returns whether it was known.
+    /// Removes a prepared statement; returns whether it existed.
     pub(super) fn remove_prepared(&mut self, name: &str) -> bool {
         let found = self.position(name);
         if let Ok(index) = found {
@@ -63,7 +64,7 @@
         found.is_ok()
     }
 
-    /// What a name stands for.
+    /// Returns the shape of a prepared statement.
     pub(super) fn shape(&self, name: &str) -> Option<&StatementShape> {
         let found = self.position(name);
         found.ok().map(|index| &self.names[index].shape)
--- a/crates/rudder-engine/src/session/strict.rs
+++ b/crates/rudder-engine/src/session/strict.rs
@@ -1,4 +1,4 @@
-//! Writes and strict reads: only at the primary, and only under a lease.
+//! Writes and strict reads, which run only at the primary and only under a valid lease.
 
 use super::job::{StatementJob, refuse};
 use crate::clock::boot_time;
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause before the primary is tried again after it said that it ran nothing.
+/// Delay before a statement is retried at the primary.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection to the primary, and the permission to answer for it.
+/// A connection to the primary with the lease that covers its replies.
 pub(super) struct PrimaryConnection {
     pub(super) link: PooledLink,
     pub(super) member: Arc<GroupMember>,
@@ -22,7 +22,7 @@
     pub(super) guard: InFlightGuard,
 }
 
-/// Counts a statement under way, so that a change of primary waits for its answer.
+/// Counts a statement as in flight until dropped, so that a change of primary waits for its reply.
 pub(crate) struct InFlightGuard {
     group: Arc<ServiceGroup>,
 }
@@ -40,23 +40,23 @@
     }
 }
 
-/// What one attempt at the primary came to.
+/// Outcome of one attempt at the primary.
 enum StrictOutcome {
     Reply(StatementReply),
-    /// Nothing ran, or it was a read: it may be sent again.
+    /// Nothing ran, or the statement is a read: it can be retried. Holds the reason.
     Retry(&'static str),
-    /// A read ran and failed.
+    /// A read ran and failed; it is retried once.
     ReadFailed(StatementReply),
 }
 
 impl ProxyEngine {
-    /// Serves a single write or strict read.
+    /// Runs a single write or strict read at the primary.
     pub(crate) async fn run_strict(&self, route: &RouteRule, job: &StatementJob) -> StatementReply {
         let group = self.group(&route.service);
         let mut failed: Option<StatementReply> = None;
         loop {
             let reject = |failed: Option<StatementReply>, reason| {
-                // Where it has run, a refusal that says otherwise would not be true.
+                // The read ran, so a refusal that says it was not run would be wrong.
                 failed.unwrap_or_else(|| refuse(&group, job, reason, TransactionState::Idle))
             };
             let connection =
@@ -88,7 +88,8 @@
     ) -> StrictOutcome {
         let PrimaryConnection { mut link, member, lease, guard } = connection;
         let sent_at = boot_time();
-        // Guards against a primary that restarted with an empty log: it lacks what was seen there.
+        // With this floor a primary that restarted with an empty log refuses reads: it lacks
+        // positions that were observed there before.
         let floor = match job.effect {
             StatementEffect::Read => group.newest_position(),
             StatementEffect::Write => None,
@@ -97,7 +98,8 @@
         let outcome = match result {
             Ok(reply) => classify_reply(group, job, &lease, sent_at, reply, link),
             Err(error) => {
-                // The watch tells at once whether it is the connection or the primary.
+                // Triggers the watch of the primary, which distinguishes a failed connection from a
+                // failed primary.
                 self.want_position();
                 classify_failure(group, job, &member, &lease, &error)
             }
@@ -106,7 +108,8 @@
         outcome
     }
 
-    /// Waits for a primary with a lease, and for a connection to it.
+    /// Waits for a primary with a valid lease and for a connection to it. Fails with the reason
+    /// when the job's wait deadline passes.
     pub(super) async fn acquire_primary(
         &self,
         group: &Arc<ServiceGroup>,
@@ -134,7 +137,7 @@
                     continue;
                 }
             };
-            // Looked at again: the primary may have changed while the connection was waited for.
+            // The primary may have changed while this request waited for the connection.
             match self.leader(group) {
                 Some((now_member, lease)) if Arc::ptr_eq(&now_member, &member) => {
                     let guard = InFlightGuard::new(group);
@@ -183,8 +186,8 @@
     sent_at: Duration,
     reply: StatementReply,
 ) -> StrictOutcome {
-    // Guards against an answer by a superseded primary: the lease may have expired while the
-    // statement ran, and another member may have been promoted since.
+    // Replies of a superseded primary are withheld: the lease may have expired while the statement
+    // ran, and another member may have been promoted since.
     if !group.holds(lease) {
         log::warn!(
             request:% = job.id, service:% = group.service(), member:% = lease.primary,
@@ -226,7 +229,7 @@
     }
 }
 
-/// The answer to a change that may have been kept.
+/// Returns the reply to a write that may or may not have been committed.
 pub(super) fn in_doubt(text: &str) -> StatementReply {
     StatementReply::refusal(StatementError::InDoubt, text, TransactionState::Idle)
 }
--- a/crates/rudder-engine/src/session/tests/failing_member.rs
+++ b/crates/rudder-engine/src/session/tests/failing_member.rs
@@ -1,4 +1,4 @@
-//! A member that fails statements although it is well by all other signs.
+//! Statements that fail at a member which is otherwise healthy.
 
 use crate::border::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::clock::boot_time;
@@ -17,12 +17,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Members of which some fail statements.
+/// Simulated members, some of which fail statements.
 #[derive(Default)]
 struct FailingMembers {
-    /// Those that fail, each with how many statements it fails.
+    /// Failing members with the number of statements that each still fails.
     failing: Mutex<Vec<(MemberName, u32)>>,
-    /// Who was asked, in this order.
+    /// Members that received a statement, in order.
     contacted: Mutex<Vec<MemberName>>,
 }
 
@@ -95,7 +95,7 @@
     LogStamp::new(1, 7)
 }
 
-/// An instance before the primary `a` and the replicas `b` and `c`, all alike near.
+/// An instance with the primary `a` and the replicas `b` and `c`, all at the same distance.
 fn engine(members: &Arc<FailingMembers>) -> Arc<ProxyEngine> {
     let borders = crate::identity::EngineBorders {
         dialer: Arc::new(FailingDialer(Arc::clone(members))),
@@ -134,7 +134,7 @@
     StatementJob::new(id, body, effect, None, &[], access)
 }
 
-/// Guards against reads that fail for as long as the nearest member fails them.
+/// Without a retry elsewhere, reads fail for as long as the nearest member fails them.
 #[tokio::test]
 async fn a_read_that_fails_at_one_member_is_served_by_another() {
     let members = FailingMembers::new(&[("a", 9)]);
@@ -148,7 +148,7 @@
     assert_eq!(members.contacted(), ["a", "b"]);
 }
 
-/// Guards against a read that all members fail, and that is said not to have run.
+/// A read that every member failed must not be reported as not run.
 #[tokio::test]
 async fn a_read_that_fails_everywhere_is_tried_once_at_each_member_and_reported_as_failed() {
     let members = FailingMembers::new(&[("a", 9), ("b", 9), ("c", 9)]);
@@ -162,7 +162,7 @@
     assert_eq!(members.contacted(), ["a", "b", "c"]);
 }
 
-/// Guards against strict reads that fail with each mishap of the primary.
+/// Without a retry, a single failure at the primary fails the strict read.
 #[tokio::test]
 async fn a_failed_strict_read_is_retried_once() {
     let members = FailingMembers::new(&[("a", 1)]);
@@ -175,7 +175,7 @@
     assert_eq!(members.contacted(), ["a", "a"]);
 }
 
-/// Guards against a primary that fails all reads and gets each of them without end.
+/// Without a bound on retries, a primary that fails all reads receives each of them endlessly.
 #[tokio::test]
 async fn a_strict_read_that_fails_twice_is_reported_as_failed() {
     let members = FailingMembers::new(&[("a", 9)]);
@@ -188,7 +188,7 @@
     assert_eq!(members.contacted(), ["a", "a"]);
 }
 
-/// Guards against a write that runs twice.
+/// A retry could run the write twice.
 #[tokio::test]
 async fn a_failed_write_is_not_retried() {
     let members = FailingMembers::new(&[("a", 1)]);
--- a/crates/rudder-engine/src/session/tests/mod.rs
+++ b/crates/rudder-engine/src/session/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of statements' way to a member.
+//! Tests of the execution of statements at members.
 
 mod failing_member;
--- a/crates/rudder-engine/src/session/transaction.rs
+++ b/crates/rudder-engine/src/session/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction: pinned to one connection from its first statement to its end.
+//! Transactions, which are pinned to one connection from the first statement to the end.
 
 use super::caller::staleness_bound;
 use super::job::{StatementJob, refuse, retry_text};
@@ -17,33 +17,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the end of an abandoned transaction is waited for before its connection is closed.
+/// Timeout for the rollback of an abandoned transaction; after it the connection is closed.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The pause before a statement is sent again that the member was too busy to run.
+/// Delay before a statement is retried that the member was too busy to run.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A transaction of a caller. It reaches a member with its first statement.
+/// A caller's transaction. It begins at a member with its first statement.
 pub(super) struct OpenTransaction {
     read_only: bool,
     access: RouteAccess,
     pinned: Option<PinnedLink>,
     wrote: bool,
-    /// Whether its account has been asked for it.
+    /// Whether the transaction was claimed against the account's operation limit.
     claimed: bool,
 }
 
-/// The connection that a transaction holds.
+/// Connection that a transaction is pinned to.
 struct PinnedLink {
     link: PooledLink,
     member: Arc<GroupMember>,
     group: Arc<ServiceGroup>,
-    /// Permission to answer for the primary; none where a replica serves.
+    /// Lease that covers replies of the primary; `None` where a replica serves.
     lease: Option<LeaderLease>,
 }
 
 impl PinnedLink {
-    /// Whether answers may go out.
+    /// Whether replies may be returned to the caller: at the primary only under a valid lease.
     fn may_reply(&self) -> bool {
         self.lease.as_ref().is_none_or(|lease| self.group.holds(lease))
     }
@@ -62,7 +62,7 @@
         &self.access
     }
 
-    /// Claims it for the account of its caller, once.
+    /// Claims the transaction against the account's operation limit. Later calls do nothing.
     pub(super) async fn claim(
         &mut self,
         engine: &ProxyEngine,
@@ -74,19 +74,19 @@
         engine.claim_operation(&self.access, id).await
     }
 
-    /// Whether a write was sent.
+    /// Whether the transaction has sent a write.
     pub(super) fn wrote(&self) -> bool {
         self.wrote
     }
 
-    /// Rolls back without being waited for.
+    /// Rolls back in a background task.
     pub(super) fn abandon(self) {
         let Some(mut pinned) = self.pinned else { return };
         tokio::spawn(async move {
             if pinned.link.state() == TransactionState::Idle {
                 return;
             }
-            // A failed exchange closes the connection, which rolls back as well.
+            // A failed exchange closes the connection, which also rolls back the transaction.
             if let Err(error) =
                 pinned.link.exchange(&[MemberCommand::Rollback], ROLLBACK_TIMEOUT).await
             {
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Runs one statement; the answer's state says whether the transaction goes on.
+    /// Runs one statement; the state of the reply says whether the transaction stays open.
     pub(super) async fn run(
         &mut self,
         engine: &ProxyEngine,
@@ -124,18 +124,18 @@
                     reason:% = error.reason, outcome = "rolled_back";
                     "a transaction lost its connection"
                 );
-                // No commit was sent, and the member rolls back what loses its connection.
+                // No commit was sent, and the member rolls back when the connection closes.
                 return aborted(job, "the connection to the member was lost");
             }
         };
-        // Guards against a read of a superseded primary in the middle of a transaction.
+        // A superseded primary must not serve a read within a transaction.
         if !pinned.may_reply() {
             return aborted(job, "the primary was changed");
         }
         match reply.error() {
             None => reply,
-            // An error ends the transaction whatever the member makes of it: a caller that went
-            // on would commit without the statement that it believes to be part of it.
+            // Any error aborts the transaction, even if the member keeps it open: otherwise the
+            // caller could commit without a statement that it expects to be part of it.
             Some(error) => {
                 log::info!(
                     request:% = job.id, service:% = job.service, member:% = pinned.member.name(), reason:% = error,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Ends the transaction.
+    /// Commits the transaction.
     pub(super) async fn commit(
         mut self,
         engine: &ProxyEngine,
@@ -166,7 +166,7 @@
         StatementReply { state: TransactionState::Idle, ..reply }
     }
 
-    /// Begins at a member, if that has not been done.
+    /// Pins the transaction to a connection and begins it there, unless it is already pinned.
     async fn pin(
         &mut self,
         engine: &ProxyEngine,
@@ -194,7 +194,7 @@
     }
 }
 
-/// Begins at the primary.
+/// Begins the transaction at the primary, with retries until the job's wait deadline.
 async fn begin_strict(
     engine: &ProxyEngine,
     group: &Arc<ServiceGroup>,
@@ -236,7 +236,7 @@
     }
 }
 
-/// Runs a statement on the pinned connection; again while the member is too busy to run it.
+/// Runs a statement on the pinned connection and retries it while the member is too busy.
 async fn run_pinned(
     pinned: &mut PinnedLink,
     job: &StatementJob,
@@ -285,7 +285,7 @@
             _ => reply,
         };
     }
-    // Guards against a commit of a superseded primary that is acknowledged.
+    // A commit at a superseded primary must not be acknowledged.
     if wrote && !pinned.may_reply() {
         log::warn!(
             request:% = job.id, service:% = job.service, member:% = pinned.member.name(), outcome = "in_doubt";
