--- a/crates/rudder-engine/src/settings/accounts.rs
+++ b/crates/rudder-engine/src/settings/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: who a caller is by its key, and how much an account may ask for.
+//! Client accounts: identification of callers by key, and operation limits.
 
 use displaydoc::Display;
 use rudder_core::{AccountName, plain_data};
@@ -7,13 +7,14 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The SHA-256 of a caller's key. The key itself is not kept, so that no log line, message between
-/// instances or memory image shows it, and comparing digests tells nothing about its characters.
+/// SHA-256 digest of a caller's key. The key itself is not stored, so that it cannot appear in
+/// logs, messages between instances or memory dumps. Comparing digests reveals nothing about the
+/// key's characters.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     ///
     /// ```
     /// use rudder_engine::KeyDigest;
@@ -34,12 +35,12 @@
 }
 
 plain_data! {
-    /// How many operations an account may run, over all instances.
+    /// Rate limit for the operations of an account, across all instances.
     #[derive(Copy, Serialize, Deserialize)]
     pub struct AccountLimit {
-        /// Operations a second, in thousandths.
+        /// Operations per second, in thousandths.
         pub milli_per_second: u64,
-        /// Operations at once beyond the rate.
+        /// Burst: number of operations allowed at once beyond the rate.
         pub burst: u32,
     }
 }
@@ -51,19 +52,19 @@
 }
 
 plain_data! {
-    /// One client account.
+    /// A client account.
     #[derive(Serialize, Deserialize)]
     pub struct AccountRule {
-        /// Its name, which members are told.
+        /// Name of the account, which is sent to members.
         pub name: AccountName,
-        /// The digests of its keys.
+        /// Digests of the account's keys.
         pub keys: Vec<KeyDigest>,
-        /// How much it may ask for; none if that is not limited.
+        /// Rate limit of the account; `None` if unlimited.
         pub limit: Option<AccountLimit>,
     }
 }
 
-/// Why a list of accounts cannot be used.
+/// Reason why a list of accounts is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum AccountError {
@@ -80,7 +81,7 @@
     #[derive(Serialize, Deserialize)]
     struct KeyHolder {
         key: KeyDigest,
-        /// The account's place in the list.
+        /// Index of the account in the sorted list.
         account: u32,
     }
 }
@@ -97,11 +98,11 @@
 }
 
 impl AccountTable {
-    /// Puts accounts in order.
+    /// Creates a table from accounts in any order.
     ///
     /// # Errors
     ///
-    /// [`AccountError`] if a name or a key stands for two accounts.
+    /// [`AccountError`] if two accounts share a name or a key.
     ///
     /// ```
     /// use rudder_engine::{AccountRule, AccountTable, KeyDigest};
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The account that holds a key.
+    /// Returns the account that holds a key.
     ///
     /// See the example of [`AccountTable::sorted`].
     #[must_use]
@@ -143,13 +144,13 @@
         Some(self.rule_of(&self.holders[found]))
     }
 
-    /// The limit of an account; none if the account is not known or not limited.
+    /// Returns the limit of an account; `None` if the account is unknown or unlimited.
     pub(crate) fn limit(&self, account: &AccountName) -> Option<AccountLimit> {
         let found = self.accounts.binary_search_by(|rule| rule.name.cmp(account)).ok()?;
         self.accounts[found].limit
     }
 
-    /// How many accounts there are.
+    /// Number of accounts.
     pub(crate) fn len(&self) -> usize {
         self.accounts.len()
     }
--- a/crates/rudder-engine/src/settings/mod.rs
+++ b/crates/rudder-engine/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! What the operators declare: databases, how fresh their reads are, client accounts, and time
-//! bounds.
+//! Settings declared by the operators: databases with the consistency of their reads, services,
+//! client accounts, and timeouts.
 
 mod accounts;
 mod table;
--- a/crates/rudder-engine/src/settings/table.rs
+++ b/crates/rudder-engine/src/settings/table.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' settings, as the engine uses it.
+//! A version of the operators' settings in the form that the engine uses.
 
 use super::accounts::AccountTable;
 use rudder_core::{ServiceName, plain_data};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The name of a database, as callers give it.
+/// Name of a database, as sent by callers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DatabaseName(pub String);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The number of a version of the settings; a greater one replaces a lesser one.
+/// Version number of the settings; a higher version replaces a lower one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,32 +38,32 @@
     }
 }
 
-/// What the reads of a database must see.
+/// Consistency guarantee for the reads of a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Every acknowledged commit.
+    /// Reads see every acknowledged commit.
     Strict,
-    /// Every commit acknowledged longer ago than the bound.
+    /// Reads see every commit that was acknowledged longer ago than the bound.
     Bounded(Duration),
-    /// The same, and every commit of the session.
+    /// Reads see the same as with [`RouteKind::Bounded`], and every commit of their own session.
     OwnWrites(Duration),
 }
 
 plain_data! {
-    /// One database.
+    /// Routing rule of a database.
     #[derive(Serialize, Deserialize)]
     pub struct RouteRule {
-        /// The database.
+        /// Name of the database.
         pub database: DatabaseName,
-        /// The service that holds it.
+        /// Service that holds the database.
         pub service: ServiceName,
-        /// What its reads must see.
+        /// Consistency guarantee for its reads.
         pub kind: RouteKind,
-        /// The most time for one statement.
+        /// Timeout of a statement.
         pub statement_timeout: Duration,
-        /// The time within which a whole operation is meant to be answered.
+        /// Target latency of a whole operation.
         pub latency_target: Duration,
-        /// 0 is served first.
+        /// Priority of requests; 0 is served first.
         pub priority: u8,
         /// Whether callers need no key.
         pub is_public: bool,
@@ -71,41 +71,41 @@
 }
 
 plain_data! {
-    /// One service.
+    /// Settings of a service.
     #[derive(Serialize, Deserialize)]
     pub struct ServiceRule {
-        /// The service.
+        /// Name of the service.
         pub service: ServiceName,
-        /// Connections that one member takes from all instances together.
+        /// Maximum number of connections to one member from all instances together.
         pub connections_max: u32,
     }
 }
 
 plain_data! {
-    /// One version of all settings; routes and services are sorted by name.
+    /// A version of all settings, with routes and services sorted by name.
     #[derive(Serialize, Deserialize)]
     pub struct FleetSettings {
-        /// The version.
+        /// Version of the settings.
         pub version: SettingsVersion,
-        /// The databases.
+        /// Rules of the databases.
         pub routes: Vec<Arc<RouteRule>>,
-        /// The services.
+        /// Settings of the services.
         pub services: Vec<ServiceRule>,
-        /// How long a transaction may stay idle.
+        /// Idle timeout of transactions.
         pub transaction_idle: Duration,
-        /// The client accounts; none if the deployment has none, and every caller is served.
+        /// Client accounts; `None` if the deployment has none and serves every caller.
         pub accounts: Option<AccountTable>,
     }
 }
 
 impl FleetSettings {
-    /// The rule of a database.
+    /// Returns the rule of a database.
     pub(crate) fn route(&self, database: &DatabaseName) -> Option<&Arc<RouteRule>> {
         let found = self.routes.binary_search_by(|route| route.database.cmp(database));
         found.ok().map(|index| &self.routes[index])
     }
 
-    /// Puts routes and services in order.
+    /// Creates settings without accounts from routes and services in any order.
     ///
     /// ```
     /// use rudder_engine::{FleetSettings, SettingsVersion};
@@ -127,7 +127,7 @@
         Self { version, routes, services, transaction_idle, accounts: None }
     }
 
-    /// The same with client accounts.
+    /// Returns the settings with the given client accounts.
     ///
     /// ```
     /// use rudder_engine::{AccountTable, FleetSettings, SettingsVersion};
