--- a/crates/rudder-engine/src/group/acquire.rs
+++ b/crates/rudder-engine/src/group/acquire.rs
@@ -91,9 +91,9 @@
     request: &LinkRequest,
     wait: Duration,
 ) -> Result<(usize, PooledLink), AcquireError> {
-    let give_up = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     let mut reason = LinkError::Unreachable("tried a moment ago".to_owned());
-    let mut open: Vec<QueuedChoice> = choices
+    let mut queued: Vec<QueuedChoice> = choices
         .iter()
         .enumerate()
         .filter(|(_, choice)| !choice.pool.is_unavailable())
@@ -104,22 +104,22 @@
             entry: None,
         })
         .collect();
-    while !open.is_empty() {
-        let left = give_up.saturating_duration_since(Instant::now());
+    while !queued.is_empty() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let Ok((position, grant)) =
-            tokio::time::timeout(left, first_grant(&mut open, request)).await
+            tokio::time::timeout(remaining, first_grant(&mut queued, request)).await
         else {
             return Err(AcquireError::WaitOver);
         };
         let slot = match grant {
-            ConnectionGrant::Link(link) => return Ok((open[position].index, link)),
+            ConnectionGrant::Link(link) => return Ok((queued[position].index, link)),
             ConnectionGrant::Dial(slot) => slot,
         };
-        match dial_at(&mut open, position, slot, request).await {
-            Ok(link) => return Ok((open[position].index, link)),
+        match dial_at(&mut queued, position, slot, request).await {
+            Ok(link) => return Ok((queued[position].index, link)),
             Err(LinkError::Refused(StatementError::ConnectionLimit)) => {}
             Err(error) => {
-                open.remove(position);
+                queued.remove(position);
                 reason = error;
             }
         }
@@ -130,20 +130,23 @@
 /// Opens a connection. Meanwhile the entries in the other queues are dropped, as connections
 /// granted there would be idle; their sequence numbers are kept for the next attempt.
 async fn dial_at(
-    open: &mut [QueuedChoice],
+    queued: &mut [QueuedChoice],
     position: usize,
     slot: ConnectionSlot,
     request: &LinkRequest,
 ) -> Result<PooledLink, LinkError> {
-    for choice in open.iter_mut() {
+    for choice in queued.iter_mut() {
         choice.entry = None;
     }
-    open[position].choice.pool.dial(slot, request.user.account()).await
+    queued[position].choice.pool.dial(slot, request.user.account()).await
 }
 
 /// Joins the queues in order until a connection is granted, then waits in all of them.
-async fn first_grant(open: &mut [QueuedChoice], request: &LinkRequest) -> (usize, ConnectionGrant) {
-    for (position, choice) in open.iter_mut().enumerate() {
+async fn first_grant(
+    queued: &mut [QueuedChoice],
+    request: &LinkRequest,
+) -> (usize, ConnectionGrant) {
+    for (position, choice) in queued.iter_mut().enumerate() {
         if choice.entry.is_none() {
             choice.join(request);
         }
@@ -152,7 +155,7 @@
         }
     }
     poll_fn(|context| {
-        for (position, choice) in open.iter_mut().enumerate() {
+        for (position, choice) in queued.iter_mut().enumerate() {
             if let Poll::Ready(grant) = choice.poll_grant(context) {
                 return Poll::Ready((position, grant));
             }
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -64,13 +64,13 @@
     /// When the member was first missing from the membership.
     unlisted_since: Option<Duration>,
     /// When the member was first reported as draining.
-    leaving_since: Option<Duration>,
+    draining_since: Option<Duration>,
 }
 
 impl GroupMember {
     pub(super) fn new(entry: MemberEntry, dialer: &Arc<dyn MemberDialer>) -> Arc<Self> {
         let pool = MemberPool::new(entry.target.clone(), Arc::clone(dialer), 1);
-        let leaving_since = (entry.state == MemberState::Draining).then(boot_time);
+        let draining_since = (entry.state == MemberState::Draining).then(boot_time);
         Arc::new(Self {
             name: entry.target.member.clone(),
             domain: entry.domain.clone(),
@@ -78,7 +78,7 @@
             entry: Mutex::new(entry),
             pool,
             observations: Mutex::new(MemberObservations {
-                leaving_since,
+                draining_since,
                 ..MemberObservations::default()
             }),
         })
@@ -107,7 +107,7 @@
 
     /// Whether the member has been draining for at least `limit`.
     pub(crate) fn has_left(&self, limit: Duration) -> bool {
-        let since = lock(&self.observations).leaving_since;
+        let since = lock(&self.observations).draining_since;
         since.is_some_and(|since| boot_time() >= since + limit)
     }
 
@@ -161,14 +161,14 @@
     });
     let Some(member) = same else { return GroupMember::new(entry.clone(), dialer) };
     *lock(&member.entry) = entry.clone();
-    let leaving = entry.state == MemberState::Draining;
+    let is_draining = entry.state == MemberState::Draining;
     {
         let mut observations = lock(&member.observations);
         observations.unlisted_since = None;
-        let since = observations.leaving_since.unwrap_or_else(boot_time);
-        observations.leaving_since = leaving.then_some(since);
+        let since = observations.draining_since.unwrap_or_else(boot_time);
+        observations.draining_since = is_draining.then_some(since);
     }
-    if leaving {
+    if is_draining {
         member.pool.close_idle();
     }
     Arc::clone(member)
--- a/crates/rudder-engine/src/group/placement.rs
+++ b/crates/rudder-engine/src/group/placement.rs
@@ -50,8 +50,8 @@
 ) -> Vec<PoolChoice> {
     let primary =
         group.with_leases(|leases| leases.record().and_then(|record| record.primary().cloned()));
-    let sound = members.iter().take_while(|member| standing(member, context).is_sound()).count();
-    let usable = if sound == 0 { members.len() } else { sound };
+    let expected = members.iter().take_while(|member| standing(member, context).is_sound()).count();
+    let usable = if expected == 0 { members.len() } else { expected };
     let choice = |member: &Arc<GroupMember>| PoolChoice {
         pool: Arc::clone(member.pool()),
         kept_free: u32::from(usable > 1 && primary.as_ref() == Some(member.name())),
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -83,7 +83,7 @@
 
 impl LinkUser {
     /// Whether the user can use a connection that was opened for `account`.
-    fn takes(&self, account: Option<&AccountName>) -> bool {
+    fn accepts(&self, account: Option<&AccountName>) -> bool {
         match self {
             Self::Caller(own) => own.as_ref() == account,
             Self::Control => true,
@@ -263,7 +263,7 @@
         let max_kept_free = state.max_open(now).saturating_sub(1);
         let may_dial = state.gate.may_begin(now);
         let PoolState { idle, waiters, .. } = &mut *state;
-        let position = |user: &LinkUser| idle.iter().rposition(|link| user.takes(link.account()));
+        let position = |user: &LinkUser| idle.iter().rposition(|link| user.accepts(link.account()));
         let caller = waiters.next_where(|caller| {
             let enough_free = caller.kept_free.min(max_kept_free) < free;
             enough_free && (may_dial || position(&caller.user).is_some())
@@ -300,13 +300,13 @@
                 Ok(link)
             }
             Err(reason) => {
-                self.note_failure(&reason);
+                self.record_dial_failure(&reason);
                 Err(reason)
             }
         }
     }
 
-    fn note_failure(self: &Arc<Self>, reason: &LinkError) {
+    fn record_dial_failure(self: &Arc<Self>, reason: &LinkError) {
         let (failure, code) = match reason {
             LinkError::Refused(StatementError::ConnectionLimit) => {
                 (DialFailure::ConnectionLimit, "connection_limit")
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -196,7 +196,7 @@
     // are known to be refused.
     let dialer = Arc::new(FakeDialer { cap: Some(0), ..FakeDialer::default() });
     let pool = pool(&dialer, 2);
-    let began_at = Instant::now();
+    let started_at = Instant::now();
 
     let mut callers = tokio::task::JoinSet::new();
     for _ in 0..200 {
@@ -208,7 +208,7 @@
     let served = callers.join_all().await;
 
     // The pause is at least 50 ms, and two dials may be in progress when the first one is refused.
-    let pauses = u32::try_from(began_at.elapsed().as_millis() / 50).expect("a short test");
+    let pauses = u32::try_from(started_at.elapsed().as_millis() / 50).expect("a short test");
     assert!(served.iter().all(|served| !served));
     assert!(dialer.dialed.load(Ordering::Relaxed) <= 2 + pauses);
 }
