--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -145,7 +145,7 @@
                 tried.clear();
                 continue;
             }
-            let last = members.len() == 1;
+            let is_last = members.len() == 1;
             let choices = read_choices(&group, &members, &context);
             let request = job.link_request(step.work());
             reason = "no member could serve the read in time";
@@ -161,7 +161,7 @@
                     continue;
                 }
             };
-            match self.try_member(member, link, job, floor, step, last).await {
+            match self.try_member(member, link, job, floor, step, is_last).await {
                 Ok((reply, link)) => {
                     return Ok((reply, ReadConnection { link, member: Arc::clone(member) }));
                 }
@@ -189,14 +189,14 @@
         session_floor: Option<LogStamp>,
     ) -> Option<LogStamp> {
         let bound = staleness_bound(route).unwrap_or_default();
-        let position_until = Instant::now() + POSITION_RETRY_DELAY;
+        let position_deadline = Instant::now() + POSITION_RETRY_DELAY;
         loop {
             if let Some(floor) = group.bounded_floor(bound) {
                 let own = session_floor.map(|floor| group.reachable(floor));
                 return Some(own.map_or(floor, |own| own.max(floor)));
             }
             let remaining = job.wait_remaining();
-            let readable = Instant::now() >= position_until && self.leader(group).is_some();
+            let readable = Instant::now() >= position_deadline && self.leader(group).is_some();
             if remaining.is_zero() || readable {
                 return None;
             }
@@ -213,12 +213,12 @@
         job: &StatementJob,
         floor: LogStamp,
         step: ReadStep,
-        last: bool,
+        is_last: bool,
     ) -> Result<(StatementReply, PooledLink), AttemptFailure> {
         member.record_attempt(floor);
         let remaining = job.time_remaining();
         let timeout =
-            if last { remaining } else { remaining.min(MIN_ATTEMPT_TIMEOUT.max(remaining / 2)) };
+            if is_last { remaining } else { remaining.min(MIN_ATTEMPT_TIMEOUT.max(remaining / 2)) };
         let result = match step {
             ReadStep::Statement => job.run_on(&mut link, Some(floor), timeout).await,
             ReadStep::Begin => job.begin_on(&mut link, true, Some(floor), timeout).await,
