--- a/crates/rudder-engine/src/group/acquire.rs
+++ b/crates/rudder-engine/src/group/acquire.rs
@@ -92,7 +92,7 @@
     wait: Duration,
 ) -> Result<(usize, PooledLink), AcquireError> {
     let deadline = Instant::now() + wait;
-    let mut reason = LinkError::Unreachable("tried a moment ago".to_owned());
+    let mut reason = LinkError::Unreachable("dialing is paused after a recent failure".to_owned());
     let mut queued: Vec<QueuedChoice> = choices
         .iter()
         .enumerate()
--- a/crates/rudder-engine/src/group/link.rs
+++ b/crates/rudder-engine/src/group/link.rs
@@ -115,7 +115,7 @@
         commands: &[MemberCommand],
         sent: &mut bool,
     ) -> Result<Vec<StatementReply>, LinkError> {
-        let link = link.ok_or_else(|| LinkError::Broken("closed before".to_owned()))?;
+        let link = link.ok_or_else(|| LinkError::Broken("connection already closed".to_owned()))?;
         *sent = true;
         link.send(commands).await?;
         let mut replies = Vec::with_capacity(commands.len());
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -242,7 +242,7 @@
     let (index, _link) = read.await.expect("no panic").expect("a connection");
 
     assert_eq!(index, 1);
-    assert_eq!(pools[0].spare_connections(), 0, "the other line is left");
+    assert_eq!(pools[0].spare_connections(), 0, "the read left the other queue");
 }
 
 #[tokio::test]
@@ -323,7 +323,7 @@
     let fourth = pool.acquire(&request_for("choirs"), Duration::from_millis(20)).await;
 
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 3);
-    assert!(fourth.is_err(), "no more connections are open than may be");
+    assert!(fourth.is_err(), "the number of open connections stays within the limit");
     drop((third, bands));
 }
 
