--- a/crates/rudder-engine/src/session/transaction.rs
+++ b/crates/rudder-engine/src/session/transaction.rs
@@ -92,7 +92,7 @@
             {
                 log::debug!(
                     member:% = pinned.member.name(), reason:% = error.reason;
-                    "a connection was closed in place of a rollback"
+                    "a rollback failed and the connection was closed"
                 );
             }
         });
