--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -10,13 +10,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a member is ordered last after it failed a read. Members are slow or busy for about as
-/// long.
+/// Time for which a member is ordered last after it failed a read. Members are slow or busy for
+/// about as long.
 const FAILED_READ_PENALTY: Duration = Duration::from_millis(250);
 
-/// How long a primary that is missing from the membership is still used. Longer than the time until
-/// an absent primary is replaced (2.6 s and one cycle of 0.3 s), and half of the time for which
-/// deployments allow work to be sent to removed members (7 s and more).
+/// Time for which a primary that is missing from the membership is still used. Longer than the time
+/// until an absent primary is replaced (2.6 s and one cycle of 0.3 s), and half of the time for
+/// which deployments allow work to be sent to removed members (7 s and more).
 const UNLISTED_PRIMARY_GRACE: Duration = Duration::from_millis(3500);
 
 /// Whether a member accepts new work.
@@ -61,9 +61,9 @@
 struct MemberObservations {
     progress: ReplicaProgress,
     deprioritized_until: Duration,
-    /// When the member was first missing from the membership.
+    /// Time at which the member was first missing from the membership.
     unlisted_since: Option<Duration>,
-    /// When the member was first reported as draining.
+    /// Time at which the member was first reported as draining.
     draining_since: Option<Duration>,
 }
 
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -133,7 +133,7 @@
     pub(super) sequence: Option<u64>,
 }
 
-/// A caller's entry in the queue, which it leaves when the entry is dropped.
+/// A caller's entry in the queue. Dropping it removes the caller from the queue.
 pub(super) struct QueueEntry {
     pub(super) sequence: u64,
     pub(super) granted: oneshot::Receiver<ConnectionGrant>,
@@ -192,8 +192,8 @@
 
     /// Closes idle connections that were not used since `cutoff`.
     ///
-    /// When one connection times out, a device on the path may have dropped its state, and that of
-    /// other connections that were idle as long.
+    /// A connection that times out may have lost its state in a device on the path, and so may
+    /// others that were idle as long.
     pub(crate) fn close_unused_since(&self, cutoff: Instant) {
         let stale: Vec<PooledLink> = {
             let mut state = self.state();
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -160,8 +160,8 @@
 
 #[tokio::test]
 async fn a_member_at_its_connection_limit_is_not_dialed_repeatedly() {
-    // Other instances briefly hold more than their shares. Dialing again at once would close as many
-    // connections as it opens.
+    // Other instances briefly hold more than their shares. Dialing again at once would close as
+    // many connections as it opens.
     let dialer = Arc::new(FakeDialer { cap: Some(1), ..FakeDialer::default() });
     let pool = pool(&dialer, 10);
     let held = pool.acquire(&request(1), LONG).await.expect("a connection");
@@ -308,7 +308,7 @@
     assert_eq!(dialer.dialed.load(Ordering::Relaxed), 2);
 }
 
-/// Callers would otherwise wait forever while all connections are idle for other accounts.
+/// Without the replacement, callers wait forever while all connections are idle for other accounts.
 #[tokio::test]
 async fn the_longest_idle_connection_is_replaced_for_another_account() {
     let dialer = Arc::new(FakeDialer::default());
@@ -342,8 +342,8 @@
     drop(link);
 }
 
-/// Callers would otherwise be refused while one transaction holds the only connection, although the
-/// member accepts more.
+/// Without headroom, callers are refused while one transaction holds the only connection, although
+/// the member accepts more.
 #[tokio::test]
 async fn an_instance_may_exceed_its_share_where_shares_are_scarce() {
     let dialer = Arc::new(FakeDialer::default());
