--- a/crates/rudder-engine/src/session/strict.rs
+++ b/crates/rudder-engine/src/session/strict.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Delay before a statement is retried at the primary.
+/// Delay before a statement is retried at the primary after an attempt that had no effect.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A connection to the primary with the lease that covers its replies.
