--- a/crates/rudder-engine/src/lead/expiry.rs
+++ b/crates/rudder-engine/src/lead/expiry.rs
@@ -37,10 +37,10 @@
 impl StopProgress {
     /// When the last lease for the old primary will have expired.
     pub(crate) fn expires_at(&self) -> Duration {
-        let without_most = self.changing_since + QUORUM_REACH;
+        let without_quorum = self.changing_since + QUORUM_REACH;
         let renewed_until = match self.most_since {
-            Some(most_since) => without_most.min(most_since.max(self.written_by)),
-            None => without_most,
+            Some(most_since) => without_quorum.min(most_since.max(self.written_by)),
+            None => without_quorum,
         };
         renewed_until.max(self.changing_since) + LEASE_TIME + EXPIRY_MARGIN
     }
--- a/crates/rudder-engine/src/lead/suspicion.rs
+++ b/crates/rudder-engine/src/lead/suspicion.rs
@@ -7,18 +7,18 @@
 
 /// How long an unfinished change of another instance is left alone. Longer than that one may still
 /// order a promotion (2.6 s) and the order may take, so that two never work at once.
-const CHANGE_PATIENCE: Duration = Duration::from_millis(3500);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// How long the primary must be gone from the list before that alone is a reason. Entries that
 /// expired in an outage of the store are back within two seconds of its return.
-const ABSENT_PATIENCE: Duration = Duration::from_millis(2600);
+const ABSENT_TIMEOUT: Duration = Duration::from_millis(2600);
 
 /// How long two members must contradict the record in what they say of their own roles.
-const ROLE_PATIENCE: Duration = Duration::from_millis(1500);
+const ROLE_CONFLICT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long the own watch must have failed. Above a dropped packet's resend (0.2 s), so that one
 /// lost packet raises no doubt.
-const SILENT_PATIENCE: Duration = Duration::from_millis(250);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The pause before the next in line acts: several round trips and a write to the store.
 const RANK_DELAY: Duration = Duration::from_millis(300);
@@ -63,7 +63,7 @@
     /// It is gone from the list.
     Absent,
     /// Another member says that it leads.
-    Usurped,
+    RoleConflict,
     /// Another instance's change was not finished.
     Unfinished,
 }
@@ -75,7 +75,7 @@
             Self::Leaving => "leaving",
             Self::Unreachable => "unreachable",
             Self::Absent => "absent",
-            Self::Usurped => "usurped",
+            Self::RoleConflict => "usurped",
             Self::Unfinished => "unfinished",
         }
     }
@@ -103,8 +103,8 @@
     let record = leases.record()?;
     if let LeadPhase::Changing { .. } = record.phase {
         // A process that ended orders no promotion any more.
-        let patience = if signs.holder_ended { Duration::ZERO } else { CHANGE_PATIENCE };
-        let due_at = leases.seen_at() + patience;
+        let timeout = if signs.holder_ended { Duration::ZERO } else { CHANGE_TIMEOUT };
+        let due_at = leases.seen_at() + timeout;
         return (now >= due_at).then_some((ChangeCause::Unfinished, due_at));
     }
     if !signs.replaceable {
@@ -113,18 +113,18 @@
     if signs.draining {
         return Some((ChangeCause::Leaving, leases.seen_at()));
     }
-    let over = |since: Option<Duration>, patience: Duration| {
-        since.map(|since| since + patience).filter(|due_at| now >= *due_at)
+    let due_after = |since: Option<Duration>, timeout: Duration| {
+        since.map(|since| since + timeout).filter(|due_at| now >= *due_at)
     };
-    if let Some(due_at) = over(signs.silent_since, SILENT_PATIENCE)
-        && suspected_by_most(votes)
+    if let Some(due_at) = due_after(signs.silent_since, UNREACHABLE_TIMEOUT)
+        && suspected_by_majority(votes)
     {
         return Some((ChangeCause::Unreachable, due_at));
     }
-    if let Some(due_at) = over(signs.usurped_since, ROLE_PATIENCE) {
-        return Some((ChangeCause::Usurped, due_at));
+    if let Some(due_at) = due_after(signs.usurped_since, ROLE_CONFLICT_TIMEOUT) {
+        return Some((ChangeCause::RoleConflict, due_at));
     }
-    over(signs.absent_since, ABSENT_PATIENCE).map(|due_at| (ChangeCause::Absent, due_at))
+    due_after(signs.absent_since, ABSENT_TIMEOUT).map(|due_at| (ChangeCause::Absent, due_at))
 }
 
 /// Whether more than half of the live instances cannot reach the primary, from two failure
@@ -132,7 +132,7 @@
 ///
 /// Guards against a primary that is replaced because one instance's, or one domain's, link to it
 /// is cut: all others still serve with it.
-fn suspected_by_most(votes: &[PeerVote]) -> bool {
+fn suspected_by_majority(votes: &[PeerVote]) -> bool {
     let count = votes.iter().filter(|vote| vote.suspects).count();
     let domains_all = domains_of(votes.iter());
     let domains_suspecting = domains_of(votes.iter().filter(|vote| vote.suspects));
@@ -154,17 +154,17 @@
     votes: &[PeerVote],
     cause: ChangeCause,
 ) -> u32 {
-    let score = |name: &InstanceName| rank_score(name.as_str(), epoch);
-    let own = score(instance);
+    let hash = |name: &InstanceName| rank_hash(name.as_str(), epoch);
+    let own = hash(instance);
     let ahead = votes.iter().filter(|vote| {
         let acts = cause != ChangeCause::Unreachable || vote.suspects;
-        acts && score(&vote.instance) < own
+        acts && hash(&vote.instance) < own
     });
     u32::try_from(ahead.count()).unwrap_or(u32::MAX)
 }
 
 /// The same on every instance, so that all agree on the order without a word.
-fn rank_score(name: &str, epoch: LeaderEpoch) -> u64 {
+fn rank_hash(name: &str, epoch: LeaderEpoch) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), epoch.0)
 }
 
--- a/crates/rudder-engine/src/lead/tests/history.rs
+++ b/crates/rudder-engine/src/lead/tests/history.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn late_and_close_samples_do_not_lower_or_crowd_the_history() {
+fn late_and_close_samples_are_not_recorded() {
     let history = history(&[(100, 10), (110, 12), (50, 8), (200, 9), (300, 14)]);
 
     assert_eq!(history.floor(ms(1000), ms(1050)), Some(LogStamp::new(1, 10)));
--- a/crates/rudder-engine/src/lead/tests/lease_table.rs
+++ b/crates/rudder-engine/src/lead/tests/lease_table.rs
@@ -5,7 +5,7 @@
 use rudder_core::LogStamp;
 
 #[test]
-fn a_lease_counts_from_when_the_question_was_sent() {
+fn a_lease_starts_when_the_request_was_sent() {
     // A store that is slow answers after a second. The record may have changed right after it was
     // read there, so the answer's arrival says nothing.
     let mut leases = LeaseTable::default();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_older_version_changes_nothing() {
+fn an_older_version_is_ignored() {
     // An answer that was long on its way arrives after the primary was changed. Taking it for the
     // present would give a lease for the old primary.
     let mut leases = LeaseTable::default();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn no_lease_is_given_during_a_change_but_work_under_way_may_end() {
+fn no_lease_is_granted_during_a_change_but_running_statements_may_finish() {
     // A commit is on its way as another instance begins a planned change. It would be reported as
     // unknown although the change waits for it.
     let mut leases = LeaseTable::default();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn work_under_way_ends_with_the_lease_at_the_latest() {
+fn running_statements_end_with_their_lease_at_the_latest() {
     let mut leases = LeaseTable::default();
     leases.observe(&settled(1, "a", 1, None), ms(0), ms(0));
     let lease = leases.lease(ms(10)).expect("a lease");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_floor_that_was_cut_off_comes_down_to_the_cut() {
+fn a_floor_beyond_the_promoted_log_is_lowered_to_its_end() {
     // A session's commit at 1:90 was lost: the member that was promoted had received 80. No log
     // will ever reach 1:90, so a session that waits for it would never read again.
     let record = settled(3, "b", 2, Some(LogStamp::new(1, 80)));
--- a/crates/rudder-engine/src/lead/tests/message.rs
+++ b/crates/rudder-engine/src/lead/tests/message.rs
@@ -12,21 +12,21 @@
         process: u64,
         record: LeadRecord,
         confirmed_at: Duration,
-        own: bool,
+        from_store: bool,
     },
-    Ask {
+    Request {
         to: usize,
         from: usize,
         process: u64,
-        asked_at: Duration,
-        question: u64,
+        request_sent_at: Duration,
+        request_id: u64,
     },
     Confirm {
         to: usize,
         from: usize,
         process: u64,
-        asked_at: Duration,
-        question: u64,
+        request_sent_at: Duration,
+        request_id: u64,
         epoch: LeaderEpoch,
     },
     Announce {
@@ -40,7 +40,7 @@
         epoch: u64,
     },
     /// The store's answer to the process that wrote its entry.
-    Entered {
+    Registered {
         to: usize,
         process: u64,
         written_at: Duration,
@@ -52,26 +52,26 @@
     pub(super) fn receiver(&self) -> usize {
         match self {
             Self::Record { to, .. }
-            | Self::Ask { to, .. }
+            | Self::Request { to, .. }
             | Self::Confirm { to, .. }
             | Self::Announce { to, .. }
             | Self::Stopped { to, .. }
-            | Self::Entered { to, .. } => *to,
+            | Self::Registered { to, .. } => *to,
         }
     }
 
     /// The process that asked for it, if it is an answer.
-    pub(super) fn asker(&self) -> Option<u64> {
+    pub(super) fn requester(&self) -> Option<u64> {
         match self {
             Self::Record { process, .. }
             | Self::Confirm { process, .. }
-            | Self::Entered { process, .. } => Some(*process),
-            Self::Ask { .. } | Self::Announce { .. } | Self::Stopped { .. } => None,
+            | Self::Registered { process, .. } => Some(*process),
+            Self::Request { .. } | Self::Announce { .. } | Self::Stopped { .. } => None,
         }
     }
 
     /// Whether an instance sent it, not the store.
     pub(super) fn is_between_peers(&self) -> bool {
-        !matches!(self, Self::Record { own: true, .. } | Self::Entered { .. })
+        !matches!(self, Self::Record { from_store: true, .. } | Self::Registered { .. })
     }
 }
--- a/crates/rudder-engine/src/lead/tests/model.rs
+++ b/crates/rudder-engine/src/lead/tests/model.rs
@@ -17,29 +17,29 @@
 const INSTANCES: usize = 5;
 
 /// Where a split divides the instances.
-const SPLIT_AT: usize = 2;
+const PARTITION_AT: usize = 2;
 
 /// Instances that may be out of the list at once.
 const UNLISTED_MAX: usize = 2;
 
 /// A guard that can be taken out, to see that the schedules need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TakenOut {
+pub(super) enum DisabledCheck {
     Nothing,
     /// Answers go out without another look at the lease.
-    LookAtAnswer,
+    LeaseAtResponse,
     /// The promotion does not wait for instances that are silent.
     WaitForExpiry,
     /// An instance says that it stopped, and goes on.
-    StopBeforeWord,
+    StopBeforeNotice,
     /// A read of the store counts from its arrival.
-    AgeOfRead,
+    AgeOfStoreRead,
     /// A peer's word counts from its arrival.
-    AgeOfPeerWord,
+    AgeOfPeerResponse,
     /// What was said before the own entry stood in the list counts as well.
-    EntryBeforeWord,
+    EntryBeforeConfirmation,
     /// A peer's later answer to the same question counts from its arrival.
-    AgeOfLaterAnswer,
+    AgeOfRepeatedResponse,
 }
 
 /// What happens to the list of instances during a schedule.
@@ -53,7 +53,7 @@
 
 /// Whether questions between instances are answered more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LaterAnswers {
+pub(super) enum RepeatedResponses {
     Never,
     WhenRenewed,
 }
@@ -61,7 +61,7 @@
 struct Instance {
     leases: LeaseTable,
     frozen_until: Duration,
-    under_way: Vec<LeaderLease>,
+    used_leases: Vec<LeaderLease>,
     change: Option<Change>,
     /// Whether it has read the store since it started.
     has_read: bool,
@@ -71,8 +71,8 @@
     /// Whose questions it answers again when it knows more.
     subscribers: Vec<Subscriber>,
     /// Its last question to all, and who confirmed.
-    question: u64,
-    confirmers: Vec<usize>,
+    request_id: u64,
+    confirmed_by: Vec<usize>,
 }
 
 /// One run of the model.
@@ -87,32 +87,32 @@
     /// Until when the store answers nobody but the first instance.
     outage_until: Duration,
     /// Until when the first two instances and the others do not hear each other.
-    split_until: Duration,
-    questions: u64,
+    partitioned_until: Duration,
+    last_request_id: u64,
     list_changes: ListChanges,
-    later_answers: LaterAnswers,
+    repeated_responses: RepeatedResponses,
     /// Which instances the store lists.
     listed: [bool; INSTANCES],
-    out: TakenOut,
-    pub(super) answers: u32,
+    disabled_check: DisabledCheck,
+    pub(super) acknowledgments: u32,
     pub(super) promotions: u32,
 }
 
 impl Model {
-    pub(super) fn new(out: TakenOut, list_changes: ListChanges) -> Self {
+    pub(super) fn new(disabled_check: DisabledCheck, list_changes: ListChanges) -> Self {
         let mut entry = OwnEntry::default();
         entry.show(Duration::ZERO, Duration::ZERO);
         let instance = || Instance {
             leases: LeaseTable::default(),
             frozen_until: Duration::ZERO,
-            under_way: Vec::new(),
+            used_leases: Vec::new(),
             change: None,
             has_read: false,
             process: 0,
             entry,
             subscribers: Vec::new(),
-            question: 0,
-            confirmers: Vec::new(),
+            request_id: 0,
+            confirmed_by: Vec::new(),
         };
         Self {
             now: ms(10_000),
@@ -121,20 +121,20 @@
             messages: Vec::new(),
             promoted: 0,
             outage_until: Duration::ZERO,
-            split_until: Duration::ZERO,
-            questions: 0,
+            partitioned_until: Duration::ZERO,
+            last_request_id: 0,
             list_changes,
-            later_answers: LaterAnswers::Never,
+            repeated_responses: RepeatedResponses::Never,
             listed: [true; INSTANCES],
-            out,
-            answers: 0,
+            disabled_check,
+            acknowledgments: 0,
             promotions: 0,
         }
     }
 
     /// The same with questions that are answered again whenever there is newer knowledge.
-    pub(super) fn with_later_answers(mut self) -> Self {
-        self.later_answers = LaterAnswers::WhenRenewed;
+    pub(super) fn with_repeated_responses(mut self) -> Self {
+        self.repeated_responses = RepeatedResponses::WhenRenewed;
         self
     }
 
@@ -147,18 +147,18 @@
             return Ok(());
         }
         if self.list_changes == ListChanges::Replaced {
-            self.change_list(index, rng);
+            self.replace_instances(index, rng);
         }
         match rng.random_range(0..1000) {
             0..150 => self.read_store(index, rng),
-            150..230 => self.ask_all(index, rng),
-            230..310 => self.ask_peer(index, rng),
-            310..560 => self.begin_work(index),
-            560..810 => self.end_work(index)?,
+            150..230 => self.request_from_all(index, rng),
+            230..310 => self.request_from_peer(index, rng),
+            310..560 => self.begin_statement(index),
+            560..810 => self.end_statement(index)?,
             810..816 => self.freeze(index, rng),
             816..819 => self.restart(index),
             819..822 => self.outage_until = self.now + ms(rng.random_range(500..12_000)),
-            822..825 => self.split_until = self.now + ms(rng.random_range(500..20_000)),
+            822..825 => self.partitioned_until = self.now + ms(rng.random_range(500..20_000)),
             825..840 => self.begin_change(index, rng),
             _ => self.advance_change(index, rng)?,
         }
@@ -167,7 +167,7 @@
 
     /// Mostly fast, at times slow, at times never.
     fn send(&mut self, from: usize, message: Message, rng: &mut StdRng) {
-        if self.now < self.split_until && crosses_split(from, &message) {
+        if self.now < self.partitioned_until && crosses_partition(from, &message) {
             return;
         }
         let delay = match rng.random_range(0..20) {
@@ -188,11 +188,11 @@
             due.into_iter().map(|(_, message)| message).collect()
         };
         for message in due {
-            self.take(message, rng);
+            self.handle(message, rng);
         }
     }
 
-    fn take(&mut self, message: Message, rng: &mut StdRng) {
+    fn handle(&mut self, message: Message, rng: &mut StdRng) {
         let to = message.receiver();
         let now = self.now;
         if now < self.instances[to].frozen_until {
@@ -200,59 +200,60 @@
             self.messages.push((self.instances[to].frozen_until, message));
             return;
         }
-        if !self.reaches_its_process(&message) {
+        if !self.is_for_current_process(&message) {
             return;
         }
         match message {
-            Message::Record { to, record, confirmed_at, own, .. } => {
+            Message::Record { to, record, confirmed_at, from_store, .. } => {
                 let instance = &mut self.instances[to];
-                instance.has_read |= own;
-                let may_lead =
-                    instance.has_read && may_lead_by(self.out, instance, confirmed_at, now);
+                instance.has_read |= from_store;
+                let may_lead = instance.has_read
+                    && may_grant_lease(self.disabled_check, instance, confirmed_at, now);
                 let confirmed_at = if may_lead { confirmed_at } else { Duration::ZERO };
                 let before = instance.leases.confirmed_at();
                 instance.leases.observe(&record, confirmed_at, now);
-                if self.later_answers == LaterAnswers::WhenRenewed
+                if self.repeated_responses == RepeatedResponses::WhenRenewed
                     && self.instances[to].leases.confirmed_at() > before
                 {
-                    self.tell_subscribers(to, rng);
+                    self.notify_subscribers(to, rng);
                 }
             }
-            Message::Entered { to, written_at, .. } => {
+            Message::Registered { to, written_at, .. } => {
                 self.instances[to].entry.show(written_at, now);
             }
-            Message::Confirm { to, from, asked_at, question, epoch, .. } => {
-                self.take_confirmation(to, from, asked_at, question, epoch);
+            Message::Confirm { to, from, request_sent_at, request_id, epoch, .. } => {
+                self.handle_confirmation(to, from, request_sent_at, request_id, epoch);
             }
-            Message::Ask { to, from, process, asked_at, question } => {
+            Message::Request { to, from, process, request_sent_at, request_id } => {
                 let confirms = self.instances[to].has_read;
                 let epoch = self.instances[to].leases.epoch();
-                if question > 0 && confirms {
+                if request_id > 0 && confirms {
                     let (to, from) = (from, to);
                     let confirmation =
-                        Message::Confirm { to, from, process, asked_at, question, epoch };
+                        Message::Confirm { to, from, process, request_sent_at, request_id, epoch };
                     self.send(from, confirmation, rng);
                 }
-                let subscriber = Subscriber { from, process, asked_at, received_at: now };
+                let subscriber = Subscriber { from, process, request_sent_at, received_at: now };
                 let subscribers = &mut self.instances[to].subscribers;
                 subscribers.retain(|known| known.from != from);
                 subscribers.push(subscriber);
                 let leases = &self.instances[to].leases;
                 let Some(record) = leases.record().cloned() else { return };
                 let age = now.saturating_sub(leases.confirmed_at());
-                let confirmed_at = match self.out {
-                    TakenOut::AgeOfPeerWord => now,
-                    _ => asked_at.saturating_sub(age),
+                let confirmed_at = match self.disabled_check {
+                    DisabledCheck::AgeOfPeerResponse => now,
+                    _ => request_sent_at.saturating_sub(age),
                 };
-                let own = false;
-                let answer = Message::Record { to: from, process, record, confirmed_at, own };
-                self.send(to, answer, rng);
+                let from_store = false;
+                let response =
+                    Message::Record { to: from, process, record, confirmed_at, from_store };
+                self.send(to, response, rng);
             }
             Message::Announce { to, from, record } => {
                 self.instances[to].leases.observe(&record, Duration::ZERO, now);
                 let force = rng.random_range(0..3) == 0;
-                let kept = self.out == TakenOut::StopBeforeWord;
-                if kept || self.instances[to].leases.stop(force) {
+                let skips_stop = self.disabled_check == DisabledCheck::StopBeforeNotice;
+                if skips_stop || self.instances[to].leases.stop(force) {
                     let epoch = self.instances[to].leases.epoch().0;
                     self.send(to, Message::Stopped { to: from, from: to, epoch }, rng);
                 }
@@ -270,47 +271,50 @@
     ///
     /// An answer of the store comes on a connection, which ends with its process; a peer's answer
     /// names a question, and a new process takes none to questions that it did not ask.
-    fn reaches_its_process(&self, message: &Message) -> bool {
+    fn is_for_current_process(&self, message: &Message) -> bool {
         let process = self.instances[message.receiver()].process;
-        message.asker().is_none_or(|asker| asker == process)
+        message.requester().is_none_or(|requester| requester == process)
     }
 
-    /// Takes in that `from` knew of no later version than `epoch` after `asked_at`.
-    fn take_confirmation(
+    /// Takes in that `from` knew of no later version than `epoch` after `request_sent_at`.
+    fn handle_confirmation(
         &mut self,
         to: usize,
         from: usize,
-        asked_at: Duration,
-        question: u64,
+        request_sent_at: Duration,
+        request_id: u64,
         epoch: LeaderEpoch,
     ) {
         let instance = &mut self.instances[to];
-        if !instance.has_read || instance.question != question || instance.leases.epoch() != epoch {
+        if !instance.has_read
+            || instance.request_id != request_id
+            || instance.leases.epoch() != epoch
+        {
             return;
         }
-        instance.confirmers.push(from);
-        instance.confirmers.sort_unstable();
-        instance.confirmers.dedup();
-        let count = instance.confirmers.len() + 1;
-        let may_lead = may_lead_by(self.out, instance, asked_at, self.now);
+        instance.confirmed_by.push(from);
+        instance.confirmed_by.sort_unstable();
+        instance.confirmed_by.dedup();
+        let count = instance.confirmed_by.len() + 1;
+        let may_lead = may_grant_lease(self.disabled_check, instance, request_sent_at, self.now);
         if may_lead && is_quorum(count, INSTANCES) {
-            instance.leases.confirm_by_majority(epoch, asked_at);
+            instance.leases.confirm_by_majority(epoch, request_sent_at);
         }
     }
 
-    fn ask_all(&mut self, index: usize, rng: &mut StdRng) {
-        self.questions += 1;
-        let question = self.questions;
-        self.instances[index].question = question;
-        self.instances[index].confirmers.clear();
+    fn request_from_all(&mut self, index: usize, rng: &mut StdRng) {
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
+        self.instances[index].request_id = request_id;
+        self.instances[index].confirmed_by.clear();
         for to in (0..INSTANCES).filter(|to| *to != index) {
-            self.ask(index, to, question, rng);
+            self.send_request(index, to, request_id, rng);
         }
     }
 
-    fn ask(&mut self, from: usize, to: usize, question: u64, rng: &mut StdRng) {
-        let (process, asked_at) = (self.instances[from].process, self.now);
-        self.send(from, Message::Ask { to, from, process, asked_at, question }, rng);
+    fn send_request(&mut self, from: usize, to: usize, request_id: u64, rng: &mut StdRng) {
+        let (process, request_sent_at) = (self.instances[from].process, self.now);
+        self.send(from, Message::Request { to, from, process, request_sent_at, request_id }, rng);
     }
 
     /// A process is killed and starts again; it knows nothing of before.
@@ -318,15 +322,15 @@
         let instance = &mut self.instances[index];
         instance.process += 1;
         instance.leases = LeaseTable::default();
-        instance.under_way.clear();
+        instance.used_leases.clear();
         instance.change = None;
         instance.has_read = false;
         instance.subscribers.clear();
-        instance.confirmers.clear();
+        instance.confirmed_by.clear();
     }
 
     /// An instance is replaced by one that is not in the list, or such a one enters it.
-    fn change_list(&mut self, index: usize, rng: &mut StdRng) {
+    fn replace_instances(&mut self, index: usize, rng: &mut StdRng) {
         let unlisted = self.listed.iter().filter(|listed| !**listed).count();
         match rng.random_range(0..400) {
             0..2 if unlisted < UNLISTED_MAX => {
@@ -334,64 +338,67 @@
                 self.restart(index);
                 self.instances[index].entry = OwnEntry::default();
             }
-            2..20 if self.instances[index].entry == OwnEntry::default() => self.enter(index, rng),
+            2..20 if self.instances[index].entry == OwnEntry::default() => self.join(index, rng),
             _ => {}
         }
     }
 
-    fn enter(&mut self, index: usize, rng: &mut StdRng) {
-        if self.is_cut_off(index) {
+    fn join(&mut self, index: usize, rng: &mut StdRng) {
+        if self.is_cut_off_from_store(index) {
             return;
         }
         self.listed[index] = true;
         let (process, written_at) = (self.instances[index].process, self.now);
-        self.send(index, Message::Entered { to: index, process, written_at }, rng);
+        self.send(index, Message::Registered { to: index, process, written_at }, rng);
     }
 
-    fn is_cut_off(&self, index: usize) -> bool {
+    fn is_cut_off_from_store(&self, index: usize) -> bool {
         index > 0 && self.now < self.outage_until
     }
 
     fn read_store(&mut self, index: usize, rng: &mut StdRng) {
-        if self.is_cut_off(index) {
+        if self.is_cut_off_from_store(index) {
             return;
         }
-        let confirmed_at = match self.out {
-            TakenOut::AgeOfRead => self.now + ms(3000),
+        let confirmed_at = match self.disabled_check {
+            DisabledCheck::AgeOfStoreRead => self.now + ms(3000),
             _ => self.now,
         };
         let record = self.record.clone();
         let process = self.instances[index].process;
-        let answer = Message::Record { to: index, process, record, confirmed_at, own: true };
-        self.send(index, answer, rng);
+        let response =
+            Message::Record { to: index, process, record, confirmed_at, from_store: true };
+        self.send(index, response, rng);
     }
 
-    fn ask_peer(&mut self, index: usize, rng: &mut StdRng) {
+    fn request_from_peer(&mut self, index: usize, rng: &mut StdRng) {
         let to = (index + rng.random_range(1..INSTANCES)) % INSTANCES;
-        self.ask(index, to, 0, rng);
+        self.send_request(index, to, 0, rng);
     }
 
-    fn begin_work(&mut self, index: usize) {
+    fn begin_statement(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         if let Some(lease) = instance.leases.lease(self.now) {
             instance.leases.enter();
-            instance.under_way.push(lease);
+            instance.used_leases.push(lease);
         }
     }
 
     /// An answer came from the member; it goes out if the lease still holds.
-    fn end_work(&mut self, index: usize) -> Result<(), String> {
+    fn end_statement(&mut self, index: usize) -> Result<(), String> {
         let now = self.now;
         let instance = &mut self.instances[index];
-        if instance.under_way.is_empty() {
+        if instance.used_leases.is_empty() {
             return Ok(());
         }
-        let lease = instance.under_way.remove(0);
+        let lease = instance.used_leases.remove(0);
         instance.leases.leave();
-        if self.out != TakenOut::LookAtAnswer && !instance.leases.holds(&lease, now) {
+        if self.disabled_check != DisabledCheck::LeaseAtResponse
+            && !instance.leases.holds(&lease, now)
+        {
             return Ok(());
         }
-        self.answers += 1;
+        self.acknowledgments += 1;
         if lease.epoch.0 < self.promoted {
             return Err(format!(
                 "instance {index} answered for epoch {} at {now:?} after the promotion of epoch {}",
@@ -406,15 +413,20 @@
     }
 }
 
-/// Whether what was said of the record at `said_at` may give an instance a lease.
-fn may_lead_by(out: TakenOut, instance: &Instance, said_at: Duration, now: Duration) -> bool {
-    match out {
-        TakenOut::EntryBeforeWord => instance.entry.may_lead_by(now, now),
-        _ => instance.entry.may_lead_by(said_at, now),
+/// Whether what was said of the record at `confirmed_at` may give an instance a lease.
+fn may_grant_lease(
+    disabled_check: DisabledCheck,
+    instance: &Instance,
+    confirmed_at: Duration,
+    now: Duration,
+) -> bool {
+    match disabled_check {
+        DisabledCheck::EntryBeforeConfirmation => instance.entry.may_lead_by(now, now),
+        _ => instance.entry.may_lead_by(confirmed_at, now),
     }
 }
 
 /// Whether a message is between instances that a split divides.
-fn crosses_split(from: usize, message: &Message) -> bool {
-    message.is_between_peers() && (from < SPLIT_AT) != (message.receiver() < SPLIT_AT)
+fn crosses_partition(from: usize, message: &Message) -> bool {
+    message.is_between_peers() && (from < PARTITION_AT) != (message.receiver() < PARTITION_AT)
 }
--- a/crates/rudder-engine/src/lead/tests/model/change.rs
+++ b/crates/rudder-engine/src/lead/tests/model/change.rs
@@ -2,7 +2,7 @@
 
 use super::super::message::Message;
 use super::super::{changing, ms, settled};
-use super::{INSTANCES, Model, TakenOut};
+use super::{DisabledCheck, INSTANCES, Model};
 use crate::lead::{StopProgress, is_quorum};
 use rand::RngExt;
 use rand::rngs::StdRng;
@@ -29,7 +29,7 @@
         let known = self.instances[index].leases.epoch();
         let busy = self.instances[index].change.is_some();
         // The condition of the write: nobody wrote since.
-        if busy || known != self.record.epoch || known.0 == 0 || self.is_cut_off(index) {
+        if busy || known != self.record.epoch || known.0 == 0 || self.is_cut_off_from_store(index) {
             return;
         }
         let epoch = known.0 + 1;
@@ -37,8 +37,8 @@
         let now = self.now;
         let written_by = now + ms(rng.random_range(1..50));
         let listed = rng.random_range(0..5) > 0;
-        let stands = |other: &usize| !listed || self.listed[*other] || *other == index;
-        let entries = (0..INSTANCES).filter(stands).collect();
+        let is_listed = |other: &usize| !listed || self.listed[*other] || *other == index;
+        let entries = (0..INSTANCES).filter(is_listed).collect();
         let instance = &mut self.instances[index];
         instance.leases.observe(&self.record, now, now);
         instance.leases.stop(true);
@@ -54,10 +54,10 @@
             self.instances[index].change = None;
         }
         let Some(change) = self.instances[index].change.as_mut() else { return Ok(()) };
-        let silent = |other: &&usize| !change.stopped.contains(*other);
-        let unheard: Vec<usize> = change.entries.iter().filter(silent).copied().collect();
-        let most = is_quorum(change.entries.len() - unheard.len(), change.entries.len());
-        if most && change.listed {
+        let has_not_stopped = |other: &&usize| !change.stopped.contains(*other);
+        let unheard: Vec<usize> = change.entries.iter().filter(has_not_stopped).copied().collect();
+        let has_quorum = is_quorum(change.entries.len() - unheard.len(), change.entries.len());
+        if has_quorum && change.listed {
             change.most_since.get_or_insert(now);
         }
         let change = change.clone();
@@ -68,7 +68,8 @@
             unheard: unheard.len(),
             most_since: change.most_since,
         };
-        let over = progress.is_over(self.now) || self.out == TakenOut::WaitForExpiry;
+        let over =
+            progress.is_over(self.now) || self.disabled_check == DisabledCheck::WaitForExpiry;
         if !over || self.now < change.written_by {
             let record = self.record.clone();
             if record.epoch.0 == change.epoch {
@@ -80,7 +81,7 @@
             return Ok(());
         }
         self.instances[index].change = None;
-        if self.record.epoch.0 != change.epoch || self.is_cut_off(index) {
+        if self.record.epoch.0 != change.epoch || self.is_cut_off_from_store(index) {
             return Ok(());
         }
         if change.epoch <= self.promoted {
--- a/crates/rudder-engine/src/lead/tests/model/subscriber.rs
+++ b/crates/rudder-engine/src/lead/tests/model/subscriber.rs
@@ -1,6 +1,6 @@
 //! Questions that are answered again whenever there is newer knowledge.
 
-use super::{Model, TakenOut};
+use super::{DisabledCheck, Model};
 use crate::lead::tests::message::Message;
 use crate::lead::tests::ms;
 use crate::peers::QuestionOffset;
@@ -12,27 +12,27 @@
 pub(super) struct Subscriber {
     pub(super) from: usize,
     pub(super) process: u64,
-    pub(super) asked_at: Duration,
+    pub(super) request_sent_at: Duration,
     pub(super) received_at: Duration,
 }
 
 impl Model {
     /// Answers earlier questions again, in moments counted from when each question came.
-    pub(super) fn tell_subscribers(&mut self, index: usize, rng: &mut StdRng) {
+    pub(super) fn notify_subscribers(&mut self, index: usize, rng: &mut StdRng) {
         let leases = &self.instances[index].leases;
         let Some(record) = leases.record().cloned() else { return };
         let known_at = leases.confirmed_at();
         for subscriber in self.instances[index].subscribers.clone() {
-            let Subscriber { from, process, asked_at, received_at } = subscriber;
+            let Subscriber { from, process, request_sent_at, received_at } = subscriber;
             let offset = QuestionOffset::of(known_at, received_at);
-            let confirmed_at = match self.out {
+            let confirmed_at = match self.disabled_check {
                 // The age is taken off the moment of arrival, which is at most this much later.
-                TakenOut::AgeOfLaterAnswer => known_at + ms(3000),
-                _ => offset.map_or(Duration::ZERO, |offset| offset.since(asked_at)),
+                DisabledCheck::AgeOfRepeatedResponse => known_at + ms(3000),
+                _ => offset.map_or(Duration::ZERO, |offset| offset.since(request_sent_at)),
             };
-            let (record, own) = (record.clone(), false);
-            let answer = Message::Record { to: from, process, record, confirmed_at, own };
-            self.send(index, answer, rng);
+            let (record, from_store) = (record.clone(), false);
+            let response = Message::Record { to: from, process, record, confirmed_at, from_store };
+            self.send(index, response, rng);
         }
     }
 }
--- a/crates/rudder-engine/src/lead/tests/suspicion.rs
+++ b/crates/rudder-engine/src/lead/tests/suspicion.rs
@@ -36,69 +36,69 @@
 }
 
 /// What the first in line would do, long after the signs were first seen.
-fn verdict(leases: &LeaseTable, signs: &GroupSigns, votes: &[PeerVote]) -> Option<ChangeCause> {
+fn decision(leases: &LeaseTable, signs: &GroupSigns, votes: &[PeerVote]) -> Option<ChangeCause> {
     let judge = |vote: &PeerVote| judge_change(leases, signs, &vote.instance, votes, ms(9000));
     votes.iter().find_map(judge)
 }
 
 #[test]
-fn a_cut_link_of_one_instance_moves_no_primary() {
+fn one_instance_with_a_cut_link_replaces_no_primary() {
     // One instance's link to the primary is cut. All others serve with it; changing it would stop
     // every write for a second, and lose what the successor has not received.
     let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("Abc")), None);
+    assert_eq!(decision(&led_by_a(), &signs, &votes("Abc")), None);
 }
 
 #[test]
-fn a_domain_that_is_cut_off_moves_no_primary() {
+fn an_isolated_domain_replaces_no_primary() {
     let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("AAAbc")), None);
+    assert_eq!(decision(&led_by_a(), &signs, &votes("AAAbc")), None);
 }
 
 #[test]
-fn an_instance_that_hears_nobody_moves_no_primary() {
+fn an_isolated_instance_replaces_no_primary() {
     let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("A")), None);
+    assert_eq!(decision(&led_by_a(), &signs, &votes("A")), None);
 }
 
 #[test]
-fn a_primary_that_most_cannot_reach_is_replaced() {
+fn a_primary_that_a_majority_cannot_reach_is_replaced() {
     let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("ABc")), Some(ChangeCause::Unreachable));
+    assert_eq!(decision(&led_by_a(), &signs, &votes("ABc")), Some(ChangeCause::Unreachable));
 }
 
 #[test]
-fn a_moment_of_silence_is_no_reason() {
+fn a_short_interruption_replaces_no_primary() {
     // A dropped packet is sent again after 0.2 s.
     let signs = GroupSigns { silent_since: Some(ms(8800)), ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("ABC")), None);
+    assert_eq!(decision(&led_by_a(), &signs, &votes("ABC")), None);
 }
 
 #[test]
-fn a_primary_stays_while_nobody_can_take_over() {
+fn a_primary_without_a_candidate_is_not_replaced() {
     let signs = GroupSigns { draining: true, replaceable: false, ..healthy() };
 
-    assert_eq!(verdict(&led_by_a(), &signs, &votes("abc")), None);
+    assert_eq!(decision(&led_by_a(), &signs, &votes("abc")), None);
 }
 
 #[test]
-fn an_unfinished_change_is_left_alone_for_a_while() {
+fn an_unfinished_change_is_taken_over_after_its_timeout_or_its_holder_ended() {
     // The holder may only be slow. Two at work at once would promote two members in turn.
     let mut leases = led_by_a();
     leases.observe(&changing(2, "x", "a"), ms(6000), ms(6000));
     let ended = GroupSigns { holder_ended: true, ..healthy() };
 
-    assert_eq!(verdict(&leases, &healthy(), &votes("abc")), None);
-    assert_eq!(verdict(&leases, &ended, &votes("abc")), Some(ChangeCause::Unfinished));
+    assert_eq!(decision(&leases, &healthy(), &votes("abc")), None);
+    assert_eq!(decision(&leases, &ended, &votes("abc")), Some(ChangeCause::Unfinished));
 }
 
 #[test]
-fn instances_take_turns() {
+fn instances_act_in_the_order_of_their_ranks() {
     // All see the same signs at the same moment; only the first in line acts at once.
     let leases = led_by_a();
     let signs = GroupSigns { silent_since: Some(ms(0)), ..healthy() };
