--- a/crates/rudder-engine/src/own_entry.rs
+++ b/crates/rudder-engine/src/own_entry.rs
@@ -12,24 +12,24 @@
     /// The latest moment at which the list showed the entry without a mark; none while it does not.
     listed_at: Option<Duration>,
     /// By when the entry stood; it has not been missing since.
-    entered_by: Duration,
+    registered_by: Duration,
     /// Whether this process is leaving the list, for good.
-    left: bool,
+    has_left: bool,
 }
 
 impl OwnEntry {
     /// Takes in that the list showed the entry at `listed_at`, which is known at `now`; returns
     /// whether it was not known to stand before.
     pub(crate) fn show(&mut self, listed_at: Duration, now: Duration) -> bool {
-        if self.left {
+        if self.has_left {
             return false;
         }
-        let entered = self.listed_at.is_none();
-        if entered {
-            self.entered_by = now;
+        let registered = self.listed_at.is_none();
+        if registered {
+            self.registered_by = now;
         }
         self.listed_at = self.listed_at.max(Some(listed_at));
-        entered
+        registered
     }
 
     /// Takes in that the list lacks the entry.
@@ -43,7 +43,7 @@
     /// entry, and by it this instance would lead while changes wait for it no more.
     pub(crate) fn leave(&mut self) {
         self.hide();
-        self.left = true;
+        self.has_left = true;
     }
 
     /// Takes in that the list still showed the entry at `listed_at`.
@@ -56,27 +56,27 @@
     ///
     /// Guards against an instance that leads on an entry which is gone, as nobody shows it the list.
     pub(crate) fn miss(&mut self, read_at: Duration) -> bool {
-        let gone = self.listed_at.is_some() && read_at > self.entered_by;
-        if gone {
+        let removed = self.listed_at.is_some() && read_at > self.registered_by;
+        if removed {
             self.hide();
         }
-        gone
+        removed
     }
 
     /// Whether the list was last known to show the entry longer than `time` ago, or not at all.
     pub(crate) fn is_unconfirmed_for(&self, time: Duration, now: Duration) -> bool {
-        !self.left && self.listed_at.is_none_or(|at| now >= at + time)
+        !self.has_left && self.listed_at.is_none_or(|at| now >= at + time)
     }
 
-    /// Whether what was said of a record at `said_at` may give leases.
+    /// Whether what was said of a record at `confirmed_at` may give leases.
     ///
     /// Guards against a lease of an instance that is just entering the list: the record was read,
     /// then a change of primary began and read the list, and only then the entry was there. The
     /// change does not wait for this instance, so what was read before the entry stood counts for
     /// nothing.
-    pub(crate) fn may_lead_by(&self, said_at: Duration, now: Duration) -> bool {
+    pub(crate) fn may_lead_by(&self, confirmed_at: Duration, now: Duration) -> bool {
         let stands = self.listed_at.is_some_and(|at| now < at + LISTED_LIFE);
-        stands && said_at >= self.entered_by
+        stands && confirmed_at >= self.registered_by
     }
 }
 
--- a/crates/rudder-engine/src/own_entry/tests.rs
+++ b/crates/rudder-engine/src/own_entry/tests.rs
@@ -14,39 +14,39 @@
     // what it had read.
     let mut entry = OwnEntry::default();
 
-    let entered = entry.show(ms(100), ms(140));
+    let registered = entry.show(ms(100), ms(140));
 
-    assert!(entered);
+    assert!(registered);
     assert!(!entry.may_lead_by(ms(139), ms(150)));
     assert!(entry.may_lead_by(ms(140), ms(150)));
 }
 
 #[test]
-fn an_entry_that_was_seen_again_counts_from_its_first_time() {
+fn an_entry_read_again_counts_from_its_registration() {
     let mut entry = OwnEntry::default();
     entry.show(ms(100), ms(140));
 
-    let entered = entry.show(ms(4000), ms(4040));
+    let registered = entry.show(ms(4000), ms(4040));
 
-    assert!(!entered);
+    assert!(!registered);
     assert!(entry.may_lead_by(ms(3900), ms(4050)));
 }
 
 #[test]
-fn an_entry_that_was_missing_counts_anew() {
+fn an_entry_that_was_missing_counts_from_its_reappearance() {
     let mut entry = OwnEntry::default();
     entry.show(ms(100), ms(140));
     entry.hide();
     let hidden = entry.may_lead_by(ms(5000), ms(5000));
 
-    let entered = entry.show(ms(6000), ms(6040));
+    let registered = entry.show(ms(6000), ms(6040));
 
-    assert!(!hidden && entered);
+    assert!(!hidden && registered);
     assert!(!entry.may_lead_by(ms(6010), ms(6050)));
 }
 
 #[test]
-fn an_entry_that_was_not_seen_for_long_gives_no_lease() {
+fn an_entry_without_a_recent_read_gives_no_lease() {
     let mut entry = OwnEntry::default();
     entry.show(ms(100), ms(140));
     let late = ms(100) + LISTED_LIFE;
@@ -67,9 +67,9 @@
     entry.show(ms(100), ms(140));
     entry.leave();
 
-    let entered = entry.show(ms(4990), ms(5030));
+    let registered = entry.show(ms(4990), ms(5030));
 
-    assert!(!entered);
+    assert!(!registered);
     assert!(!entry.may_lead_by(ms(5040), ms(5050)));
 }
 
