--- a/crates/rudder-engine/src/limits/claim.rs
+++ b/crates/rudder-engine/src/limits/claim.rs
@@ -1,6 +1,6 @@
 //! Claims of operations that callers ask this instance for.
 
-use super::state::HeardAnswer;
+use super::state::ReceivedResponse;
 use crate::clock::boot_time;
 use crate::engine::{ProxyEngine, RouteAccess};
 use crate::peers::{ClaimOutcome, LimitOwner, OperationClaim, PeerMessage};
@@ -15,20 +15,20 @@
 
 /// How long an owner's answer is awaited before it, or the next one, is asked: a round trip between
 /// regions and a slow machine's turn.
-const ANSWER_WAIT: Duration = Duration::from_millis(60);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// How long an operation waits for its claim in all. After it nobody is known to count.
-const CLAIM_WAIT: Duration = Duration::from_millis(600);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The pause before the next owner is asked after one said that it does not count.
-const NEXT_PAUSE: Duration = Duration::from_millis(10);
+const NEXT_OWNER_PAUSE: Duration = Duration::from_millis(10);
 
 /// The time over which callers that were refused for a limit are spread, beyond the time until an
 /// operation is free.
-const SPREAD_MS: std::ops::Range<u64> = 0..200;
+const RETRY_JITTER_MS: std::ops::Range<u64> = 0..200;
 
 /// The time to come back where no owner answered.
-const UNANSWERED_MS: std::ops::Range<u64> = 100..400;
+const UNANSWERED_RETRY_MS: std::ops::Range<u64> = 100..400;
 
 /// Why an operation may not run now. The texts are parts of the refusal that callers see.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
@@ -54,14 +54,14 @@
     }
 
     fn spent(after: Duration) -> Self {
-        Self::Spent { after: after.saturating_add(spread(SPREAD_MS)) }
+        Self::Spent { after: after.saturating_add(random_delay(RETRY_JITTER_MS)) }
     }
 
     fn unanswered() -> Self {
-        Self::Unanswered { after: spread(UNANSWERED_MS) }
+        Self::Unanswered { after: random_delay(UNANSWERED_RETRY_MS) }
     }
 
-    fn word(&self) -> &'static str {
+    fn reason_code(&self) -> &'static str {
         match self {
             Self::Spent { .. } => "spent",
             Self::Unanswered { .. } => "unanswered",
@@ -69,7 +69,7 @@
     }
 }
 
-fn spread(range: std::ops::Range<u64>) -> Duration {
+fn random_delay(range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(rand::rng().random_range(range))
 }
 
@@ -85,10 +85,11 @@
             return Ok(());
         }
         let began_at = Instant::now();
-        let until = began_at + CLAIM_WAIT;
-        let ended = self.claim_until(account, until).await;
-        if let Err(error) = &ended {
-            metrics::counter!("rudder_claims_refused_total", "reason" => error.word()).increment(1);
+        let deadline = began_at + CLAIM_TIMEOUT;
+        let result = self.claim_before(account, deadline).await;
+        if let Err(error) = &result {
+            metrics::counter!("rudder_claims_refused_total", "reason" => error.reason_code())
+                .increment(1);
             let owners = self.limit_owners(account);
             let owner = owners.first().map_or("none", |owner| owner.instance.as_str());
             log::info!(
@@ -99,60 +100,64 @@
                 "an operation was refused"
             );
         }
-        ended
+        result
     }
 
-    async fn claim_until(&self, account: &AccountName, until: Instant) -> Result<(), ClaimError> {
+    async fn claim_before(
+        &self,
+        account: &AccountName,
+        deadline: Instant,
+    ) -> Result<(), ClaimError> {
         // Guards against callers that wait for what the one before them has just waited for in vain.
         if self.limits().state().unanswered.contains(account, boot_time()) {
             return Err(ClaimError::unanswered());
         }
-        let owners = self.await_owners(account, until).await;
-        let (question, answers) = self.limits().state().begin_claim();
-        let claim = OperationClaim { question, account: account.clone(), counts: true };
-        let ended = self.ask_owners(&owners, &claim, answers, until).await;
+        let owners = self.await_owners(account, deadline).await;
+        let (request_id, responses) = self.limits().state().begin_claim();
+        let claim = OperationClaim { request_id, account: account.clone(), counts: true };
+        let result = self.claim_at_owners(&owners, &claim, responses, deadline).await;
         let mut state = self.limits().state();
-        state.end_claim(question);
-        match &ended {
+        state.end_claim(request_id);
+        match &result {
             Err(ClaimError::Unanswered { .. }) => state.unanswered.note(account, boot_time()),
             Ok(()) | Err(ClaimError::Spent { .. }) => state.unanswered.forget(account),
         }
-        ended
+        result
     }
 
     /// The instances that may count for an account; waits for them while this instance starts.
-    async fn await_owners(&self, account: &AccountName, until: Instant) -> Vec<LimitOwner> {
+    async fn await_owners(&self, account: &AccountName, deadline: Instant) -> Vec<LimitOwner> {
         loop {
             let owners = self.limit_owners(account);
-            if !owners.is_empty() || Instant::now() >= until {
+            if !owners.is_empty() || Instant::now() >= deadline {
                 return owners;
             }
-            tokio::time::sleep(NEXT_PAUSE).await;
+            tokio::time::sleep(NEXT_OWNER_PAUSE).await;
         }
     }
 
-    async fn ask_owners(
+    async fn claim_at_owners(
         &self,
         owners: &[LimitOwner],
         claim: &OperationClaim,
-        mut answers: mpsc::UnboundedReceiver<HeardAnswer>,
-        until: Instant,
+        mut responses: mpsc::UnboundedReceiver<ReceivedResponse>,
+        deadline: Instant,
     ) -> Result<(), ClaimError> {
-        let silent: Vec<bool> = {
+        let silent_owners: Vec<bool> = {
             let (now, state) = (boot_time(), self.limits().state());
-            owners.iter().map(|owner| state.silent.contains(&owner.instance, now)).collect()
+            owners.iter().map(|owner| state.silent_owners.contains(&owner.instance, now)).collect()
         };
-        let mut unheard: Vec<&InstanceName> = Vec::new();
+        let mut unresponsive: Vec<&InstanceName> = Vec::new();
         let mut declined = None;
-        for index in ClaimPlan::new(&silent) {
-            if Instant::now() >= until {
+        for index in ClaimPlan::new(&silent_owners) {
+            if Instant::now() >= deadline {
                 break;
             }
             if declined.take() == Some(index) && owners.len() > 1 {
                 continue;
             }
             let owner = &owners[index];
-            let step_until = until.min(Instant::now() + ANSWER_WAIT);
+            let owner_deadline = deadline.min(Instant::now() + OWNER_TIMEOUT);
             let outcome = match owner.address {
                 None => match self.judge_claim(&claim.account, true).await {
                     ClaimVerdict::Granted => return Ok(()),
@@ -162,11 +167,18 @@
                 Some(address) => {
                     let Some(exchange) = self.exchange() else { break };
                     exchange.send(&PeerMessage::Claim(claim.clone()), address).await;
-                    if unheard.contains(&&owner.instance) {
-                        self.limits().state().silent.note(&owner.instance, boot_time());
+                    if unresponsive.contains(&&owner.instance) {
+                        self.limits().state().silent_owners.note(&owner.instance, boot_time());
                     }
-                    unheard.push(&owner.instance);
-                    self.await_answer(owners, owner, &mut answers, &mut unheard, step_until).await
+                    unresponsive.push(&owner.instance);
+                    self.await_response(
+                        owners,
+                        owner,
+                        &mut responses,
+                        &mut unresponsive,
+                        owner_deadline,
+                    )
+                    .await
                 }
             };
             match outcome {
@@ -176,7 +188,7 @@
                 }
                 Some(ClaimOutcome::NotOwner) => {
                     declined = Some(index);
-                    tokio::time::sleep(NEXT_PAUSE).await;
+                    tokio::time::sleep(NEXT_OWNER_PAUSE).await;
                 }
                 None => {}
             }
@@ -184,24 +196,24 @@
         Err(ClaimError::unanswered())
     }
 
-    /// The next answer that decides, or that `asked` does not count; none if the time is over.
-    async fn await_answer(
+    /// The next answer that decides, or that `awaited` does not count; none if the time is over.
+    async fn await_response(
         &self,
         owners: &[LimitOwner],
-        asked: &LimitOwner,
-        answers: &mut mpsc::UnboundedReceiver<HeardAnswer>,
-        unheard: &mut Vec<&InstanceName>,
-        until: Instant,
+        awaited: &LimitOwner,
+        responses: &mut mpsc::UnboundedReceiver<ReceivedResponse>,
+        unresponsive: &mut Vec<&InstanceName>,
+        deadline: Instant,
     ) -> Option<ClaimOutcome> {
-        while let Ok(Some(heard)) = tokio::time::timeout_at(until, answers.recv()).await {
-            let from = owners.iter().find(|owner| owner.address == Some(heard.from));
+        while let Ok(Some(received)) = tokio::time::timeout_at(deadline, responses.recv()).await {
+            let from = owners.iter().find(|owner| owner.address == Some(received.from));
             if let Some(from) = from {
-                self.limits().state().silent.forget(&from.instance);
-                unheard.retain(|instance| **instance != from.instance);
+                self.limits().state().silent_owners.forget(&from.instance);
+                unresponsive.retain(|instance| **instance != from.instance);
             }
-            let outcome = heard.answer.outcome;
-            let of_asked = from.is_some_and(|from| from.instance == asked.instance);
-            if outcome != ClaimOutcome::NotOwner || of_asked {
+            let outcome = received.response.outcome;
+            let is_awaited = from.is_some_and(|from| from.instance == awaited.instance);
+            if outcome != ClaimOutcome::NotOwner || is_awaited {
                 return Some(outcome);
             }
         }
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -1,6 +1,6 @@
 //! The part of an instance that counts for accounts.
 
-use super::state::HeardAnswer;
+use super::state::ReceivedResponse;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::identity::DrainPhase;
@@ -31,21 +31,21 @@
     fn fleet_contact(&self) -> FleetContact {
         let groups = self.groups().into_iter();
         let confirmed_at = groups.map(|group| group.with_leases(|leases| leases.anchor())).max();
-        let joined_at = confirmed_at.max(self.membership().store_answered_at());
-        let joined_until = joined_at.unwrap_or_default() + LimitBounds::joined_life();
+        let confirmed_at = confirmed_at.max(self.membership().store_answered_at());
+        let joined_until = confirmed_at.unwrap_or_default() + LimitBounds::joined_life();
         let now = boot_time();
         let mut state = self.limits().state();
         if now >= joined_until {
             state.lost_at = Some(now);
             return FleetContact::Lost;
         }
-        let settled_at = state.lost_at.get_or_insert(now).saturating_add(self.settled_after());
+        let settled_at = state.lost_at.get_or_insert(now).saturating_add(self.settling_time());
         if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
     }
 
     /// After how long with a sign of the fleet an instance knows that no other one counted for the
     /// accounts that it is the first owner of.
-    fn settled_after(&self) -> Duration {
+    fn settling_time(&self) -> Duration {
         self.identity().limit_bounds.window
     }
 
@@ -94,15 +94,15 @@
             let mut state = self.limits().state();
             for owner in &owners[..place] {
                 if state.watch.probe_is_due(account, &owner.instance, now) {
-                    let question = state.begin_probe(account, &owner.instance);
-                    probes.extend(owner.address.map(|address| (question, address)));
+                    let request_id = state.begin_probe(account, &owner.instance);
+                    probes.extend(owner.address.map(|address| (request_id, address)));
                 }
                 standings.push(state.watch.standing(account, &owner.instance, now));
             }
         }
         if let Some(exchange) = self.exchange() {
-            for (question, address) in probes {
-                let claim = OperationClaim { question, account: account.clone(), counts: false };
+            for (request_id, address) in probes {
+                let claim = OperationClaim { request_id, account: account.clone(), counts: false };
                 exchange.send(&PeerMessage::Claim(claim), address).await;
             }
         }
@@ -110,14 +110,14 @@
     }
 
     /// Takes in the answer to a claim or to a question of this instance.
-    pub(crate) fn take_claim_answer(&self, answer: ClaimAnswer, from: SocketAddr) {
+    pub(crate) fn take_claim_answer(&self, response: ClaimAnswer, from: SocketAddr) {
         let mut state = self.limits().state();
-        match state.end_probe(answer.question) {
+        match state.end_probe(response.request_id) {
             Some((account, owner)) => {
-                let grants = answer.outcome != ClaimOutcome::NotOwner;
+                let grants = response.outcome != ClaimOutcome::NotOwner;
                 state.watch.note_answer(&account, &owner, grants, boot_time());
             }
-            None => state.deliver(HeardAnswer { from, answer }),
+            None => state.deliver(ReceivedResponse { from, response }),
         }
     }
 }
@@ -131,14 +131,14 @@
 ) {
     let outcome = match engine.judge_claim(&claim.account, claim.counts).await {
         ClaimVerdict::Granted => ClaimOutcome::Granted,
-        ClaimVerdict::Spent(after) => ClaimOutcome::Spent { after_ms: whole_ms(after) },
+        ClaimVerdict::Spent(after) => ClaimOutcome::Spent { after_ms: to_ms_rounded_up(after) },
         ClaimVerdict::NotOwner => ClaimOutcome::NotOwner,
     };
-    let answer = ClaimAnswer { question: claim.question, outcome };
-    exchange.send(&PeerMessage::ClaimAnswer(answer), from).await;
+    let response = ClaimAnswer { request_id: claim.request_id, outcome };
+    exchange.send(&PeerMessage::ClaimAnswer(response), from).await;
 }
 
 /// Milliseconds, rounded up.
-fn whole_ms(time: Duration) -> u32 {
+fn to_ms_rounded_up(time: Duration) -> u32 {
     u32::try_from(time.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/rudder-engine/src/limits/state.rs
+++ b/crates/rudder-engine/src/limits/state.rs
@@ -11,20 +11,20 @@
 
 /// An answer to a claim, and who gave it.
 #[derive(Debug)]
-pub(super) struct HeardAnswer {
+pub(super) struct ReceivedResponse {
     pub(super) from: SocketAddr,
-    pub(super) answer: ClaimAnswer,
+    pub(super) response: ClaimAnswer,
 }
 
 /// Who waits for the answers to a question.
 struct PendingClaim {
-    question: u64,
-    heard: mpsc::UnboundedSender<HeardAnswer>,
+    request_id: u64,
+    sender: mpsc::UnboundedSender<ReceivedResponse>,
 }
 
 /// An owner that was asked whether it counts for an account.
 struct PendingProbe {
-    question: u64,
+    request_id: u64,
     account: AccountName,
     owner: InstanceName,
 }
@@ -39,7 +39,7 @@
     pub(super) ledger: LimitLedger,
     pub(super) watch: OwnerWatch,
     /// Owners that did not answer.
-    pub(super) silent: RecentNotes<InstanceName>,
+    pub(super) silent_owners: RecentNotes<InstanceName>,
     /// Accounts whose claims nobody answered.
     pub(super) unanswered: RecentNotes<AccountName>,
     /// Since when this instance has had a sign of the fleet all the time.
@@ -48,7 +48,7 @@
     claims: Vec<PendingClaim>,
     /// Sorted by question.
     probes: Vec<PendingProbe>,
-    last_question: u64,
+    last_request_id: u64,
 }
 
 impl Default for LimitState {
@@ -56,18 +56,18 @@
         Self {
             ledger: LimitLedger::default(),
             watch: OwnerWatch::default(),
-            silent: RecentNotes::new(SILENT_TIME),
+            silent_owners: RecentNotes::new(SILENT_OWNER_TIME),
             unanswered: RecentNotes::new(UNANSWERED_TIME),
             lost_at: None,
             claims: Vec::new(),
             probes: Vec::new(),
-            last_question: 0,
+            last_request_id: 0,
         }
     }
 }
 
 /// How long an owner that did not answer is passed over.
-const SILENT_TIME: Duration = Duration::from_millis(1000);
+const SILENT_OWNER_TIME: Duration = Duration::from_millis(1000);
 
 /// How long an account whose claim nobody answered is refused at once.
 const UNANSWERED_TIME: Duration = Duration::from_millis(300);
@@ -89,50 +89,54 @@
 }
 
 impl LimitState {
-    fn next_question(&mut self) -> u64 {
-        self.last_question += 1;
-        self.last_question
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
     /// Registers a claim; its answers come by the receiver.
-    pub(super) fn begin_claim(&mut self) -> (u64, mpsc::UnboundedReceiver<HeardAnswer>) {
-        let question = self.next_question();
+    pub(super) fn begin_claim(&mut self) -> (u64, mpsc::UnboundedReceiver<ReceivedResponse>) {
+        let request_id = self.next_request_id();
         // A claim whose caller is gone ends without a word.
-        self.claims.retain(|claim| !claim.heard.is_closed());
-        let (heard, answers) = mpsc::unbounded_channel();
-        self.claims.push(PendingClaim { question, heard });
-        (question, answers)
+        self.claims.retain(|claim| !claim.sender.is_closed());
+        let (sender, responses) = mpsc::unbounded_channel();
+        self.claims.push(PendingClaim { request_id, sender });
+        (request_id, responses)
     }
 
-    pub(super) fn end_claim(&mut self, question: u64) {
-        if let Ok(index) = self.claims.binary_search_by_key(&question, |claim| claim.question) {
+    pub(super) fn end_claim(&mut self, request_id: u64) {
+        if let Ok(index) = self.claims.binary_search_by_key(&request_id, |claim| claim.request_id) {
             self.claims.remove(index);
         }
     }
 
     /// Registers a question to an earlier owner.
     pub(super) fn begin_probe(&mut self, account: &AccountName, owner: &InstanceName) -> u64 {
-        let question = self.next_question();
+        let request_id = self.next_request_id();
         if self.probes.len() >= PROBES_MAX {
             self.probes.remove(0);
         }
-        self.probes.push(PendingProbe { question, account: account.clone(), owner: owner.clone() });
-        question
+        self.probes.push(PendingProbe {
+            request_id,
+            account: account.clone(),
+            owner: owner.clone(),
+        });
+        request_id
     }
 
     /// Takes out the question to an earlier owner that an answer is to.
-    pub(super) fn end_probe(&mut self, question: u64) -> Option<(AccountName, InstanceName)> {
-        let found = self.probes.binary_search_by_key(&question, |probe| probe.question).ok()?;
+    pub(super) fn end_probe(&mut self, request_id: u64) -> Option<(AccountName, InstanceName)> {
+        let found = self.probes.binary_search_by_key(&request_id, |probe| probe.request_id).ok()?;
         let probe = self.probes.remove(found);
         Some((probe.account, probe.owner))
     }
 
     /// Hands an answer to the claim that waits for it, if it still does.
-    pub(super) fn deliver(&self, heard: HeardAnswer) {
-        let question = heard.answer.question;
-        if let Ok(index) = self.claims.binary_search_by_key(&question, |claim| claim.question) {
+    pub(super) fn deliver(&self, received: ReceivedResponse) {
+        let request_id = received.response.request_id;
+        if let Ok(index) = self.claims.binary_search_by_key(&request_id, |claim| claim.request_id) {
             // One that was granted meanwhile listens no more.
-            let _ = self.claims[index].heard.send(heard);
+            let _ = self.claims[index].sender.send(received);
         }
     }
 }
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Longer than an account is refused at once after nobody answered.
-const REFUSED_AT_ONCE: Duration = Duration::from_millis(400);
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(400);
 
 fn account() -> AccountName {
     "choirs".parse().expect("a name")
@@ -68,7 +68,7 @@
     }
 }
 
-fn list(engine: &ProxyEngine, names: &[&str]) {
+fn set_instance_list(engine: &ProxyEngine, names: &[&str]) {
     let entries = names.iter().map(|name| entry(name)).collect();
     engine.membership().set_entries(entries, boot_time());
 }
@@ -89,7 +89,7 @@
     RouteAccess { route: Arc::new(route()), account: Some(account()) }
 }
 
-async fn claims(engine: &ProxyEngine, count: usize) -> usize {
+async fn granted_claims(engine: &ProxyEngine, count: usize) -> usize {
     let mut granted = 0;
     for _ in 0..count {
         let id = RequestId("r1".to_owned());
@@ -103,72 +103,76 @@
 async fn an_instance_that_knows_no_list_counts_for_nobody() {
     let engine = engine();
 
-    assert_eq!(claims(&engine, 1).await, 0);
-    list(&engine, &["own"]);
-    tokio::time::sleep(REFUSED_AT_ONCE).await;
-    assert_eq!(claims(&engine, 9).await, 3);
+    assert_eq!(granted_claims(&engine, 1).await, 0);
+    set_instance_list(&engine, &["own"]);
+    tokio::time::sleep(UNANSWERED_BACKOFF).await;
+    assert_eq!(granted_claims(&engine, 9).await, 3);
 }
 
 /// Guards against accounts that are refused for the second that the first list takes after a loss of
 /// power of all.
 #[tokio::test]
-async fn an_instance_that_starts_counts_by_the_list_of_before() {
+async fn a_starting_instance_counts_by_the_previous_list() {
     let engine = engine();
 
     engine.membership().set_contacts(vec![entry("own")]);
-    assert_eq!(claims(&engine, 1).await, 0, "it may be the only one that has registered yet");
-    tokio::time::sleep(REFUSED_AT_ONCE).await;
+    assert_eq!(
+        granted_claims(&engine, 1).await,
+        0,
+        "it may be the only one that has registered yet"
+    );
+    tokio::time::sleep(UNANSWERED_BACKOFF).await;
     let owners = ["own", "other"].map(entry);
     engine.membership().set_contacts(owners.into());
     let first = engine.membership().limit_owners(&account(), 1);
 
-    let granted = claims(&engine, 1).await;
+    let granted = granted_claims(&engine, 1).await;
     assert_eq!(granted == 1, first[0].instance == engine.identity().name);
 }
 
 /// Guards against callers that each wait in vain for what the one before them waited for.
 #[tokio::test]
-async fn an_account_nobody_answers_for_is_refused_at_once_for_a_moment() {
+async fn an_account_without_a_responding_owner_is_refused_at_once_for_a_while() {
     let engine = engine();
-    assert_eq!(claims(&engine, 1).await, 0);
+    assert_eq!(granted_claims(&engine, 1).await, 0);
     let began_at = std::time::Instant::now();
 
-    assert_eq!(claims(&engine, 5).await, 0);
+    assert_eq!(granted_claims(&engine, 5).await, 0);
 
     assert!(began_at.elapsed() < Duration::from_millis(200), "{:?}", began_at.elapsed());
 }
 
 /// Guards against an account that gets a new burst with each version of the settings.
 #[tokio::test]
-async fn a_new_version_of_the_settings_gives_no_new_operations() {
+async fn a_new_version_of_the_settings_refills_no_bucket() {
     let engine = engine();
-    list(&engine, &["own"]);
-    let first = claims(&engine, 9).await;
+    set_instance_list(&engine, &["own"]);
+    let first = granted_claims(&engine, 9).await;
 
     for version in 2..50 {
         engine.apply_settings(settings(version, 3));
     }
 
-    assert_eq!((first, claims(&engine, 9).await), (3, 0));
+    assert_eq!((first, granted_claims(&engine, 9).await), (3, 0));
 }
 
 /// Guards against an instance that counts on although it may be cut off from all others.
 #[tokio::test(start_paused = true)]
-async fn an_instance_without_a_sign_of_the_fleet_counts_for_nobody() {
+async fn an_instance_without_contact_to_the_fleet_counts_for_no_account() {
     let engine = engine();
-    list(&engine, &["own"]);
+    set_instance_list(&engine, &["own"]);
 
     engine.group(&"records".parse().expect("a name")).with_leases(|leases| {
         *leases = crate::lead::LeaseTable::default();
     });
 
-    assert_eq!(claims(&engine, 1).await, 0);
+    assert_eq!(granted_claims(&engine, 1).await, 0);
 }
 
 /// Guards against keys that were taken away and go on at an instance that has not heard of it, where
 /// the deployment wants such instances to refuse; and against refusals where it does not.
 #[tokio::test]
-async fn keys_are_trusted_without_news_only_where_the_deployment_says_so() {
+async fn keys_are_trusted_without_a_confirmation_only_if_configured() {
     let (database, key) = (DatabaseName("db".to_owned()), KeyDigest::of("key-one"));
     let open = engine_trusting(None);
     let closed = engine_trusting(Some(Duration::from_millis(50)));
--- a/crates/rudder-engine/src/peers/entries.rs
+++ b/crates/rudder-engine/src/peers/entries.rs
@@ -7,7 +7,7 @@
 //!
 //! An instance that is taken out holds no lease, because it loses it first: it leads only while a
 //! read of its own has shown its entry without a mark less than [`LISTED_LIFE`] ago, and a marked
-//! entry is removed only once the mark has stood for longer, [`MARK_LIFE`]. One that lives sees the
+//! entry is removed only once the mark has stood for longer, [`MARK_TIMEOUT`]. One that lives sees the
 //! mark with its next read, and takes it away.
 
 use rudder_core::InstanceName;
@@ -15,13 +15,13 @@
 
 /// How long an instance of the own failure domain must not have been heard before it is marked: a
 /// minute of lost heartbeats is no bad link, and a restart takes a second or two.
-const UNHEARD_TIME: Duration = Duration::from_secs(60);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long a mark stands before the entry is removed.
-const MARK_LIFE: Duration = Duration::from_secs(60);
+const MARK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long an entry that was read lets its instance lead. Longer than the pause between two reads
-/// of the list (30 s) and some that fail; shorter than [`MARK_LIFE`] by far more than two machines'
+/// of the list (30 s) and some that fail; shorter than [`MARK_TIMEOUT`] by far more than two machines'
 /// clocks drift apart in that time.
 pub(crate) const LISTED_LIFE: Duration = Duration::from_secs(45);
 
@@ -63,7 +63,7 @@
         now: Duration,
     ) -> EntryVerdict {
         let index = self.watches.binary_search_by(|watch| watch.instance.cmp(instance));
-        let fresh = EntryWatch {
+        let new_watch = EntryWatch {
             instance: instance.clone(),
             version: version.to_owned(),
             marked,
@@ -72,23 +72,23 @@
         let index = match index {
             // Another version is another word of its instance, or another mark.
             Ok(index) if self.watches[index].version != version => {
-                self.watches[index] = fresh;
+                self.watches[index] = new_watch;
                 index
             }
             Ok(index) => index,
             Err(index) => {
-                self.watches.insert(index, fresh);
+                self.watches.insert(index, new_watch);
                 index
             }
         };
         let since = self.watches[index].since;
         if marked {
-            let over = now >= since + MARK_LIFE;
-            return if over { EntryVerdict::Remove } else { EntryVerdict::Keep };
+            let expired = now >= since + MARK_TIMEOUT;
+            return if expired { EntryVerdict::Remove } else { EntryVerdict::Keep };
         }
         let silent_since = heard_at.map_or(since, |heard_at| heard_at.max(since));
-        let over = now >= silent_since + UNHEARD_TIME;
-        if over { EntryVerdict::Mark } else { EntryVerdict::Keep }
+        let expired = now >= silent_since + SILENCE_TIMEOUT;
+        if expired { EntryVerdict::Mark } else { EntryVerdict::Keep }
     }
 
     /// Forgets the entries that are not in the list any more.
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -8,7 +8,7 @@
 use super::exchange::PeerExchange;
 use super::list_change::{CopiedList, ListDigest};
 use super::membership_state::PeerEntry;
-use super::message::{CopyAnswer, CopyQuestion, PeerMessage};
+use super::message::{CopyQuery, CopyResponse, PeerMessage};
 use super::offset::QuestionOffset;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
@@ -31,19 +31,19 @@
 
 /// How long the next part of a copy may take: a busy peer's turn, a packet lost between regions. The
 /// time of a whole copy grows with its size and with how many ask for it at once.
-const PART_LIMIT: Duration = Duration::from_millis(1500);
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The most time for a copy.
-const COPY_LIMIT: Duration = Duration::from_secs(15);
+const COPY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The longest copy that goes in a datagram, so that it is not split on its way.
 const DATAGRAM_BYTES_MAX: usize = 1200;
 
 /// How long a copy by datagram is awaited: a round trip between regions and a slow machine's turn.
-const DATAGRAM_WAIT: Duration = Duration::from_millis(150);
+const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The most that is read or written at a time.
-const PART_BYTES: usize = 16_384;
+const CHUNK_BYTES: usize = 16_384;
 
 /// The longest copy that is read; the store holds values of up to a megabyte.
 const COPY_BYTES_MAX: u64 = 4 << 20;
@@ -108,13 +108,13 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!(reason:% = error; "a peer's connection was not accepted");
-                tokio::time::sleep(COPY_LIMIT / 10).await;
+                tokio::time::sleep(COPY_TIMEOUT / 10).await;
                 continue;
             }
         };
         let engine = Arc::clone(&engine);
         tokio::spawn(async move {
-            match tokio::time::timeout(COPY_LIMIT, serve_copy(&engine, stream)).await {
+            match tokio::time::timeout(COPY_TIMEOUT, serve_copy(&engine, stream)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => log::info!(peer:% = peer, reason:% = error; "a peer had no copy"),
                 Err(_) => log::info!(peer:% = peer, reason = "timeout"; "a peer had no copy"),
@@ -130,8 +130,8 @@
     stream.read_exact(&mut bytes).await?;
     let request: CopyRequest = postcard::from_bytes(&bytes).map_err(std::io::Error::other)?;
     let copy = engine.fleet_copy(request, received_at);
-    for part in encode_copy(&copy)?.chunks(PART_BYTES) {
-        part_limited(stream.write_all(part)).await?;
+    for chunk in encode_copy(&copy)?.chunks(CHUNK_BYTES) {
+        with_chunk_timeout(stream.write_all(chunk)).await?;
     }
     Ok(())
 }
@@ -151,9 +151,11 @@
     postcard::from_bytes(&plain).map_err(std::io::Error::other)
 }
 
-async fn part_limited<T>(part: impl Future<Output = std::io::Result<T>>) -> std::io::Result<T> {
+async fn with_chunk_timeout<T>(
+    operation: impl Future<Output = std::io::Result<T>>,
+) -> std::io::Result<T> {
     let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-    tokio::time::timeout(PART_LIMIT, part).await.map_err(timed_out)?
+    tokio::time::timeout(CHUNK_TIMEOUT, operation).await.map_err(timed_out)?
 }
 
 /// The copy that this instance awaits by datagram.
@@ -164,28 +166,28 @@
 
 #[derive(Default)]
 struct PendingState {
-    question: u64,
-    answered: Option<oneshot::Sender<Option<Vec<u8>>>>,
+    request_id: u64,
+    sender: Option<oneshot::Sender<Option<Vec<u8>>>>,
 }
 
 impl PendingCopy {
     /// Begins to await a copy, in place of any one awaited before.
     fn begin(&self) -> (u64, oneshot::Receiver<Option<Vec<u8>>>) {
-        let (answered, answer) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut state = lock(&self.state);
-        state.question += 1;
-        state.answered = Some(answered);
-        (state.question, answer)
+        state.request_id += 1;
+        state.sender = Some(sender);
+        (state.request_id, receiver)
     }
 
     /// Takes in an answer, if it is the awaited one.
-    pub(crate) fn take(&self, answer: CopyAnswer) {
+    pub(crate) fn take(&self, response: CopyResponse) {
         let mut state = lock(&self.state);
-        if answer.question == state.question
-            && let Some(answered) = state.answered.take()
+        if response.request_id == state.request_id
+            && let Some(sender) = state.sender.take()
         {
             // Whoever asked may have turned to a connection meanwhile.
-            let _ = answered.send(answer.copy);
+            let _ = sender.send(response.copy);
         }
     }
 }
@@ -194,18 +196,18 @@
 pub(crate) async fn answer_copy(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
-    question: CopyQuestion,
+    query: CopyQuery,
     from: SocketAddr,
 ) {
-    let copy = match encode_copy(&engine.fleet_copy(question.request, boot_time())) {
+    let copy = match encode_copy(&engine.fleet_copy(query.request, boot_time())) {
         Ok(bytes) => (bytes.len() <= DATAGRAM_BYTES_MAX).then_some(bytes),
         Err(error) => {
             log::error!(reason:% = error; "a copy cannot be written");
             None
         }
     };
-    let answer = CopyAnswer { question: question.question, copy };
-    exchange.send(&PeerMessage::Copy(answer), from).await;
+    let response = CopyResponse { request_id: query.request_id, copy };
+    exchange.send(&PeerMessage::Copy(response), from).await;
 }
 
 /// Asks an instance for what it knows beyond `request`: by datagram, and by a connection where the
@@ -215,7 +217,7 @@
     peer: SocketAddr,
     request: CopyRequest,
 ) -> Option<FleetCopy> {
-    if let Some(bytes) = ask_copy(engine, peer, request).await {
+    if let Some(bytes) = request_by_datagram(engine, peer, request).await {
         match decode_copy(&bytes) {
             Ok(copy) => return Some(copy),
             Err(error) => log::warn!(peer:% = peer, reason:% = error; "a copy is unreadable"),
@@ -224,16 +226,20 @@
     fetch_by_connection(peer, request).await
 }
 
-async fn ask_copy(engine: &ProxyEngine, peer: SocketAddr, request: CopyRequest) -> Option<Vec<u8>> {
-    let (question, answer) = engine.pending_copy().begin();
-    let message = PeerMessage::AskCopy(CopyQuestion { question, request });
+async fn request_by_datagram(
+    engine: &ProxyEngine,
+    peer: SocketAddr,
+    request: CopyRequest,
+) -> Option<Vec<u8>> {
+    let (request_id, response) = engine.pending_copy().begin();
+    let message = PeerMessage::AskCopy(CopyQuery { request_id, request });
     engine.exchange()?.send(&message, peer).await;
     // Without an answer a connection tells whether the peer lives.
-    tokio::time::timeout(DATAGRAM_WAIT, answer).await.ok()?.ok()?
+    tokio::time::timeout(DATAGRAM_TIMEOUT, response).await.ok()?.ok()?
 }
 
 async fn fetch_by_connection(peer: SocketAddr, request: CopyRequest) -> Option<FleetCopy> {
-    match tokio::time::timeout(COPY_LIMIT, exchange_copy(peer, request)).await {
+    match tokio::time::timeout(COPY_TIMEOUT, request_by_connection(peer, request)).await {
         Ok(Ok(copy)) => return Some(copy),
         Ok(Err(error)) => {
             log::info!(peer:% = peer, reason:% = error; "a peer's copy was not had");
@@ -243,18 +249,21 @@
     None
 }
 
-async fn exchange_copy(peer: SocketAddr, request: CopyRequest) -> std::io::Result<FleetCopy> {
-    let mut stream = part_limited(TcpStream::connect(peer)).await?;
-    let bytes = postcard::to_stdvec(&request).map_err(std::io::Error::other)?;
-    let length = u16::try_from(bytes.len()).map_err(std::io::Error::other)?;
-    let framed = [length.to_be_bytes().as_slice(), &bytes].concat();
+async fn request_by_connection(
+    peer: SocketAddr,
+    request: CopyRequest,
+) -> std::io::Result<FleetCopy> {
+    let mut stream = with_chunk_timeout(TcpStream::connect(peer)).await?;
+    let request = postcard::to_stdvec(&request).map_err(std::io::Error::other)?;
+    let length = u16::try_from(request.len()).map_err(std::io::Error::other)?;
+    let framed = [length.to_be_bytes().as_slice(), &request].concat();
     stream.write_all(&framed).await?;
-    let mut answer = Vec::new();
+    let mut bytes = Vec::new();
     let mut stream = stream.take(COPY_BYTES_MAX);
     loop {
-        answer.reserve(PART_BYTES);
-        if part_limited(stream.read_buf(&mut answer)).await? == 0 {
-            return decode_copy(&answer);
+        bytes.reserve(CHUNK_BYTES);
+        if with_chunk_timeout(stream.read_buf(&mut bytes)).await? == 0 {
+            return decode_copy(&bytes);
         }
     }
 }
--- a/crates/rudder-engine/src/peers/list_change.rs
+++ b/crates/rudder-engine/src/peers/list_change.rs
@@ -109,7 +109,7 @@
 
 impl<T: ListItem> ListHistory<T> {
     /// Takes in the list as it is now.
-    pub(crate) fn note(&mut self, items: &[T]) {
+    pub(crate) fn record(&mut self, items: &[T]) {
         let digest = ListDigest::of(items);
         if digest == self.digest() {
             return;
@@ -135,10 +135,10 @@
             let found = known.binary_search_by(|other| other.key().cmp(item.key()));
             !found.is_ok_and(|index| known[index] == **item)
         };
-        let is_gone =
+        let is_removed =
             |item: &&T| newest.binary_search_by(|other| other.key().cmp(item.key())).is_err();
         let put: Vec<T> = newest.iter().filter(differs).cloned().collect();
-        let removed = known.iter().filter(is_gone).map(|item| item.key().clone()).collect();
+        let removed = known.iter().filter(is_removed).map(|item| item.key().clone()).collect();
         CopiedList::Change { base, put, removed }
     }
 }
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -2,10 +2,10 @@
 
 use super::fleet_copy::CopyVersion;
 use super::list_change::{CopiedList, ListDigest};
-use super::membership_state::{HeardHeartbeat, LimitOwner, MembershipState, PeerEntry};
+use super::membership_state::{LimitOwner, MembershipState, PeerEntry, ReceivedHeartbeat};
 use super::message::{PeerHeartbeat, StopNotice};
-use super::questions::QuestionLog;
-use super::readers::{ReaderCandidate, choose_readers, first_of_domain, first_reader};
+use super::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, first_reader};
+use super::requests::RequestLog;
 use super::subscribers::SubscriberList;
 use crate::clock::boot_time;
 use crate::identity::InstanceIdentity;
@@ -25,9 +25,9 @@
     /// Failure domains of the whole deployment.
     domain_count: usize,
     state: Mutex<MembershipState>,
-    questions: Mutex<QuestionLog>,
+    requests: Mutex<RequestLog>,
     subscribers: Mutex<SubscriberList>,
-    stop_heard: Notify,
+    stop_received: Notify,
 }
 
 impl MembershipView {
@@ -37,9 +37,9 @@
             own_domain: identity.domain.clone(),
             domain_count: identity.regions.len(),
             state: Mutex::default(),
-            questions: Mutex::default(),
+            requests: Mutex::default(),
             subscribers: Mutex::default(),
-            stop_heard: Notify::new(),
+            stop_received: Notify::new(),
         }
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// This instance's own questions, and who answered them.
-    pub(crate) fn questions(&self) -> MutexGuard<'_, QuestionLog> {
-        lock(&self.questions)
+    pub(crate) fn questions(&self) -> MutexGuard<'_, RequestLog> {
+        lock(&self.requests)
     }
 
     /// Replaces the list of instances by what the store had at `read_at`, unless a later one is known.
@@ -60,7 +60,7 @@
             if entries.iter().any(|entry| entry.instance == self.own) {
                 state.contacts.clear();
             }
-            state.history.note(&entries);
+            state.history.record(&entries);
             state.entries = entries;
             state.entries_at = read_at;
         }
@@ -71,7 +71,7 @@
         contacts.sort_by(|left, right| left.instance.cmp(&right.instance));
         let mut state = self.state();
         state.contacts = contacts;
-        state.answered_at = Some(boot_time());
+        state.store_responded_at = Some(boot_time());
     }
 
     /// The list of instances, and when the store had it so.
@@ -131,16 +131,16 @@
         let now = boot_time();
         let state = self.state();
         let live: Vec<ReaderCandidate> = state.candidates(&self.own, &self.own_domain, now);
-        let first = first_of_domain(live, &self.own_domain);
+        let first = choose_domain_hubs(live, &self.own_domain);
         if !first.iter().any(|candidate| candidate.instance == self.own) {
-            return distinct(first.into_iter().filter_map(|candidate| candidate.address));
+            return deduplicate(first.into_iter().filter_map(|candidate| candidate.address));
         }
-        let near = |heard: &&HeardHeartbeat| {
-            heard.is_live(now) && heard.heartbeat.domain == self.own_domain
+        let is_near = |received: &&ReceivedHeartbeat| {
+            received.is_live(now) && received.heartbeat.domain == self.own_domain
         };
         let listed = state.reachable(&self.own).filter(|entry| entry.domain == self.own_domain);
-        let heard = state.heard.iter().filter(near).map(|heard| heard.from);
-        distinct(listed.map(|entry| entry.address).chain(heard))
+        let received = state.received.iter().filter(is_near).map(|received| received.from);
+        deduplicate(listed.map(|entry| entry.address).chain(received))
     }
 
     /// Where a reader's heartbeats go elsewhere: to the readers of the other domains, or to all of
@@ -159,14 +159,14 @@
             entry.domain != self.own_domain && !covered
         });
         let known = readers.iter().filter_map(|reader| reader.address);
-        distinct(uncovered.map(|entry| entry.address).chain(known))
+        deduplicate(uncovered.map(|entry| entry.address).chain(known))
     }
 
     /// When an instance was last heard.
     pub(crate) fn heard_at(&self, instance: &InstanceName) -> Option<Duration> {
         let state = self.state();
-        let found = state.heard.iter().find(|heard| heard.heartbeat.instance == *instance);
-        found.map(|heard| heard.at)
+        let found = state.received.iter().find(|received| received.heartbeat.instance == *instance);
+        found.map(|received| received.at)
     }
 
     /// How many others the store lists.
@@ -185,8 +185,8 @@
         let state = self.state();
         let now = boot_time();
         let listed = state.reachable(&self.own).map(|entry| entry.address);
-        let heard = state.heard.iter().filter(|heard| heard.is_live(now));
-        distinct(listed.chain(heard.map(|heard| heard.from)))
+        let received = state.received.iter().filter(|received| received.is_live(now));
+        deduplicate(listed.chain(received.map(|received| received.from)))
     }
 
     /// Whom to ask for records, the best first: a reader asks the first reader, as that one asks the
@@ -218,15 +218,15 @@
     /// Takes in whether the store answered this instance.
     pub(crate) fn note_store_answer(&self, answered: bool, now: Duration) {
         let mut state = self.state();
-        state.refused_at = (!answered).then_some(now);
+        state.store_failed_at = (!answered).then_some(now);
         if answered {
-            state.answered_at = Some(now);
+            state.store_responded_at = Some(now);
         }
     }
 
     /// Whether the store did not answer this instance a moment ago.
     pub(crate) fn is_turned_away(&self) -> bool {
-        self.state().is_turned_away(boot_time())
+        self.state().is_store_unreachable(boot_time())
     }
 
     /// Who is told of the records by this instance.
@@ -247,42 +247,44 @@
         if heartbeat.instance == self.own {
             return;
         }
-        let heard = HeardHeartbeat { heartbeat, from, at: boot_time() };
+        let received = ReceivedHeartbeat { heartbeat, from, at: boot_time() };
         let mut state = self.state();
         let found = state
-            .heard
-            .binary_search_by(|known| known.heartbeat.instance.cmp(&heard.heartbeat.instance));
+            .received
+            .binary_search_by(|known| known.heartbeat.instance.cmp(&received.heartbeat.instance));
         match found {
-            Ok(index) => state.heard[index] = heard,
-            Err(index) => state.heard.insert(index, heard),
+            Ok(index) => state.received[index] = received,
+            Err(index) => state.received.insert(index, received),
         }
     }
 
     /// Takes in that an instance has stopped.
-    pub(crate) fn note_stopped(&self, word: StopNotice) {
+    pub(crate) fn note_stopped(&self, notice: StopNotice) {
         let mut state = self.state();
         state.stopped.retain(|known| {
-            (&known.instance, &known.service) != (&word.instance, &word.service)
-                || known.epoch > word.epoch
+            (&known.instance, &known.service) != (&notice.instance, &notice.service)
+                || known.epoch > notice.epoch
         });
-        state.stopped.push(word);
+        state.stopped.push(notice);
         drop(state);
-        self.stop_heard.notify_waiters();
+        self.stop_received.notify_waiters();
     }
 
     /// Waits for the next word of an instance that has stopped, at most until `limit` is over.
-    pub(crate) async fn wait_stopped(&self, limit: Duration) {
-        let heard = self.stop_heard.notified();
+    pub(crate) async fn wait_stopped(&self, timeout: Duration) {
+        let stopped = self.stop_received.notified();
         // Over means that nobody answered; the caller asks again in either case.
-        let _ = tokio::time::timeout(limit, heard).await;
+        let _ = tokio::time::timeout(timeout, stopped).await;
     }
 
     /// The listed instances that have not said that they stopped.
     pub(crate) fn not_stopped(&self, service: &ServiceName, epoch: LeaderEpoch) -> Vec<PeerEntry> {
         let state = self.state();
         let has_stopped = |entry: &PeerEntry| {
-            state.stopped.iter().any(|word| {
-                word.instance == entry.instance && word.service == *service && word.epoch >= epoch
+            state.stopped.iter().any(|notice| {
+                notice.instance == entry.instance
+                    && notice.service == *service
+                    && notice.epoch >= epoch
             })
         };
         let others = state.entries.iter().filter(|entry| entry.instance != self.own);
@@ -299,9 +301,10 @@
         let readers = self.readers();
         let state = self.state();
         let suspects = |instance: &InstanceName| {
-            let found = state.heard.iter().find(|heard| heard.heartbeat.instance == *instance);
-            found.is_some_and(|heard| {
-                let doubts = &heard.heartbeat.doubts;
+            let found =
+                state.received.iter().find(|received| received.heartbeat.instance == *instance);
+            found.is_some_and(|received| {
+                let doubts = &received.heartbeat.doubts;
                 doubts.iter().any(|doubt| doubt.service == *service && doubt.epoch == epoch)
             })
         };
@@ -325,8 +328,8 @@
         since: Duration,
     ) -> bool {
         let state = self.state();
-        let found = state.heard.iter().find(|heard| heard.heartbeat.instance == *instance);
-        found.is_some_and(|heard| heard.at > since && heard.heartbeat.process != process)
+        let found = state.received.iter().find(|received| received.heartbeat.instance == *instance);
+        found.is_some_and(|received| received.at > since && received.heartbeat.process != process)
     }
 
     /// All instances that may hold connections, sorted by name: those listed, those heard from, and
@@ -335,9 +338,9 @@
         let now = boot_time();
         let state = self.state();
         let listed = state.reachable(&self.own).map(|entry| entry.instance.clone());
-        let live = state.heard.iter().filter(|heard| heard.is_live(now));
-        let heard = live.map(|heard| heard.heartbeat.instance.clone());
-        let mut known: Vec<InstanceName> = listed.chain(heard).collect();
+        let live = state.received.iter().filter(|received| received.is_live(now));
+        let received = live.map(|received| received.heartbeat.instance.clone());
+        let mut known: Vec<InstanceName> = listed.chain(received).collect();
         known.push(self.own.clone());
         known.sort_unstable();
         known.dedup();
@@ -361,7 +364,7 @@
 
     /// When the store last answered this instance itself.
     pub(crate) fn store_answered_at(&self) -> Option<Duration> {
-        self.state().answered_at
+        self.state().store_responded_at
     }
 
     /// Whether the instances are known among which accounts are divided: by the store's list, or by
@@ -376,19 +379,19 @@
         let now = boot_time();
         let state = self.state();
         let newer = state
-            .heard
+            .received
             .iter()
-            .filter(|heard| heard.is_live(now) && version.lacks(heard.heartbeat.version));
+            .filter(|received| received.is_live(now) && version.lacks(received.heartbeat.version));
         // Among those that know the same any one, so that not all instances ask a single one.
-        let order = |heard: &&HeardHeartbeat| {
-            let known = heard.heartbeat.version;
+        let order = |received: &&ReceivedHeartbeat| {
+            let known = received.heartbeat.version;
             (known.settings, known.members, rand::random::<u32>())
         };
-        newer.max_by_key(order).map(|heard| heard.from)
+        newer.max_by_key(order).map(|received| received.from)
     }
 }
 
-fn distinct(addresses: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
+fn deduplicate(addresses: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
     let mut addresses: Vec<_> = addresses.collect();
     addresses.sort_unstable();
     addresses.dedup();
--- a/crates/rudder-engine/src/peers/membership_state.rs
+++ b/crates/rudder-engine/src/peers/membership_state.rs
@@ -10,10 +10,10 @@
 
 /// How long an instance counts as live after its last word. Two heartbeats, a second apart, may be
 /// lost on the way.
-const LIVE_TIME: Duration = Duration::from_millis(2600);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2600);
 
 /// How long an instance that the store did not answer leaves the store to others.
-const TURNED_AWAY_TIME: Duration = Duration::from_secs(5);
+const STORE_BACKOFF: Duration = Duration::from_secs(5);
 
 plain_data! {
     /// Where an instance is.
@@ -37,15 +37,15 @@
 
 /// The last heartbeat of an instance.
 #[derive(Clone, Debug)]
-pub(super) struct HeardHeartbeat {
+pub(super) struct ReceivedHeartbeat {
     pub(super) heartbeat: PeerHeartbeat,
     pub(super) from: SocketAddr,
     pub(super) at: Duration,
 }
 
-impl HeardHeartbeat {
+impl ReceivedHeartbeat {
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        now < self.at + LIVE_TIME
+        now < self.at + LIVENESS_TIMEOUT
     }
 }
 
@@ -61,12 +61,12 @@
     /// Instances of a list that may be old; good for finding neighbours only.
     pub(super) contacts: Vec<PeerEntry>,
     /// The last word of each, sorted by name.
-    pub(super) heard: Vec<HeardHeartbeat>,
+    pub(super) received: Vec<ReceivedHeartbeat>,
     pub(super) stopped: Vec<StopNotice>,
     /// When the store did not answer this instance, if it has not answered since.
-    pub(super) refused_at: Option<Duration>,
+    pub(super) store_failed_at: Option<Duration>,
     /// When the store last answered this instance itself.
-    pub(super) answered_at: Option<Duration>,
+    pub(super) store_responded_at: Option<Duration>,
 }
 
 impl MembershipState {
@@ -86,26 +86,29 @@
         own_domain: &DomainName,
         now: Duration,
     ) -> Vec<ReaderCandidate> {
-        let live = self.heard.iter().filter(|heard| heard.is_live(now) && !heard.heartbeat.leaving);
+        let live = self
+            .received
+            .iter()
+            .filter(|received| received.is_live(now) && !received.heartbeat.leaving);
         let mut all: Vec<ReaderCandidate> = live
-            .map(|heard| ReaderCandidate {
-                instance: heard.heartbeat.instance.clone(),
-                domain: heard.heartbeat.domain.clone(),
-                address: Some(heard.from),
-                turned_away: heard.heartbeat.turned_away,
+            .map(|received| ReaderCandidate {
+                instance: received.heartbeat.instance.clone(),
+                domain: received.heartbeat.domain.clone(),
+                address: Some(received.from),
+                store_unreachable: received.heartbeat.turned_away,
             })
             .collect();
         all.push(ReaderCandidate {
             instance: own.clone(),
             domain: own_domain.clone(),
             address: None,
-            turned_away: self.is_turned_away(now),
+            store_unreachable: self.is_store_unreachable(now),
         });
         all
     }
 
     /// Whether the store did not answer this instance a moment ago.
-    pub(super) fn is_turned_away(&self, now: Duration) -> bool {
-        self.refused_at.is_some_and(|at| now < at + TURNED_AWAY_TIME)
+    pub(super) fn is_store_unreachable(&self, now: Duration) -> bool {
+        self.store_failed_at.is_some_and(|at| now < at + STORE_BACKOFF)
     }
 }
--- a/crates/rudder-engine/src/peers/message.rs
+++ b/crates/rudder-engine/src/peers/message.rs
@@ -130,7 +130,7 @@
     #[derive(Serialize, Deserialize)]
     pub(crate) struct OperationClaim {
         /// The claim's number, which comes back with the answer.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         pub(crate) account: AccountName,
         /// Whether an operation is counted; else the receiver only says whether it counts.
         pub(crate) counts: bool,
@@ -140,9 +140,9 @@
 plain_data! {
     /// A question for what the receiver knows of the store's word.
     #[derive(Copy, Serialize, Deserialize)]
-    pub(crate) struct CopyQuestion {
+    pub(crate) struct CopyQuery {
         /// The question's number, which comes back with the answer.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         pub(crate) request: CopyRequest,
     }
 }
@@ -150,9 +150,9 @@
 plain_data! {
     /// The answer.
     #[derive(Serialize, Deserialize)]
-    pub(crate) struct CopyAnswer {
+    pub(crate) struct CopyResponse {
         /// The question's number.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         /// The copy; none if it is too long for a datagram and has to be fetched by a connection.
         pub(crate) copy: Option<Vec<u8>>,
     }
@@ -177,7 +177,7 @@
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct ClaimAnswer {
         /// The claim's number.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         pub(crate) outcome: ClaimOutcome,
     }
 }
@@ -200,7 +200,7 @@
     /// The answer.
     ClaimAnswer(ClaimAnswer),
     /// Asks for what the receiver knows of the store's word.
-    AskCopy(CopyQuestion),
+    AskCopy(CopyQuery),
     /// The answer.
-    Copy(CopyAnswer),
+    Copy(CopyResponse),
 }
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -12,8 +12,8 @@
 mod membership_state;
 mod message;
 mod offset;
-mod questions;
 mod readers;
+mod requests;
 mod subscribers;
 
 pub(crate) use digest::RecordsDigest;
--- a/crates/rudder-engine/src/peers/readers.rs
+++ b/crates/rudder-engine/src/peers/readers.rs
@@ -14,7 +14,7 @@
 
 /// Instances of a failure domain that heartbeat to all of it. At least [`READERS_MIN`], as all of those
 /// may stand in one domain; two of them may be lost at once before anybody has to look for more.
-const DOMAIN_HEADS: usize = READERS_MIN;
+const DOMAIN_HUBS_MAX: usize = READERS_MIN;
 
 /// An instance that may be a reader; the address is none for this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     pub(crate) domain: DomainName,
     pub(crate) address: Option<SocketAddr>,
     /// Whether the store does not answer it.
-    pub(crate) turned_away: bool,
+    pub(crate) store_unreachable: bool,
 }
 
 fn rank(candidate: &ReaderCandidate) -> u64 {
@@ -32,18 +32,18 @@
 
 /// The reader that asks the store for all: one that the store answers, the first by a hash.
 pub(crate) fn first_reader(readers: &[ReaderCandidate]) -> Option<&ReaderCandidate> {
-    readers.iter().min_by_key(|reader| (reader.turned_away, rank(reader)))
+    readers.iter().min_by_key(|reader| (reader.store_unreachable, rank(reader)))
 }
 
 /// The first few of a domain, who hear from all of it and tell all of it that they live. One of them
 /// is its reader, and when that one is gone the next is known to all.
-pub(crate) fn first_of_domain(
+pub(crate) fn choose_domain_hubs(
     mut all: Vec<ReaderCandidate>,
     domain: &DomainName,
 ) -> Vec<ReaderCandidate> {
     all.retain(|candidate| candidate.domain == *domain);
     all.sort_by_cached_key(rank);
-    all.truncate(DOMAIN_HEADS);
+    all.truncate(DOMAIN_HUBS_MAX);
     all
 }
 
--- a/crates/rudder-engine/src/peers/tests/entries.rs
+++ b/crates/rudder-engine/src/peers/tests/entries.rs
@@ -1,10 +1,10 @@
-//! Instances that are gone leave the list.
+//! Instances that are lost leave the list.
 
 use crate::peers::entries::{EntryLedger, EntryVerdict, LISTED_LIFE};
 use rudder_core::InstanceName;
 use std::time::Duration;
 
-fn gone() -> InstanceName {
+fn lost() -> InstanceName {
     "gone".parse().expect("a name")
 }
 
@@ -13,38 +13,38 @@
 }
 
 #[test]
-fn an_instance_that_never_comes_back_is_marked_and_then_removed() {
+fn an_instance_that_stays_silent_is_marked_and_then_removed() {
     // After some days of replaced machines a change of primary takes ten seconds in place of two:
-    // most of those listed are gone, and are asked whether they have stopped.
+    // most of those listed are lost, and are asked whether they have stopped.
     let mut ledger = EntryLedger::default();
-    let gone = gone();
+    let lost = lost();
 
-    let verdicts = [
-        ledger.judge(&gone, "7", false, Some(at(100)), at(100)),
-        ledger.judge(&gone, "7", false, Some(at(100)), at(159)),
-        ledger.judge(&gone, "7", false, Some(at(100)), at(160)),
-        ledger.judge(&gone, "8", true, Some(at(100)), at(164)),
-        ledger.judge(&gone, "8", true, Some(at(100)), at(223)),
-        ledger.judge(&gone, "8", true, Some(at(100)), at(224)),
+    let decisions = [
+        ledger.judge(&lost, "7", false, Some(at(100)), at(100)),
+        ledger.judge(&lost, "7", false, Some(at(100)), at(159)),
+        ledger.judge(&lost, "7", false, Some(at(100)), at(160)),
+        ledger.judge(&lost, "8", true, Some(at(100)), at(164)),
+        ledger.judge(&lost, "8", true, Some(at(100)), at(223)),
+        ledger.judge(&lost, "8", true, Some(at(100)), at(224)),
     ];
 
     use EntryVerdict::{Keep, Mark, Remove};
-    assert_eq!(verdicts, [Keep, Keep, Mark, Keep, Keep, Remove]);
+    assert_eq!(decisions, [Keep, Keep, Mark, Keep, Keep, Remove]);
 }
 
 #[test]
-fn an_instance_that_is_only_not_heard_here_stays() {
+fn an_instance_that_rewrites_its_marked_entry_is_kept() {
     // A link between two instances is cut for minutes. The one marks the other, which reads the
     // store, sees the mark, and writes its entry anew; it must not be removed for the old mark.
     let mut ledger = EntryLedger::default();
-    let gone = gone();
-    ledger.judge(&gone, "7", false, None, at(100));
-    ledger.judge(&gone, "8", true, None, at(165));
+    let lost = lost();
+    ledger.judge(&lost, "7", false, None, at(100));
+    ledger.judge(&lost, "8", true, None, at(165));
 
-    let written_anew = ledger.judge(&gone, "9", false, None, at(190));
-    let later = ledger.judge(&gone, "9", false, None, at(249));
+    let rewritten = ledger.judge(&lost, "9", false, None, at(190));
+    let later = ledger.judge(&lost, "9", false, None, at(249));
 
-    assert_eq!((written_anew, later), (EntryVerdict::Keep, EntryVerdict::Keep));
+    assert_eq!((rewritten, later), (EntryVerdict::Keep, EntryVerdict::Keep));
 }
 
 #[test]
@@ -52,15 +52,15 @@
     // An instance that cannot read the list goes on leading on its peers' word. If its entry went
     // first, a change of primary would not wait for it, and both primaries would be answered for.
     let mut ledger = EntryLedger::default();
-    let gone = gone();
-    ledger.judge(&gone, "7", false, None, at(100));
+    let lost = lost();
+    ledger.judge(&lost, "7", false, None, at(100));
     let last_unmarked_read = at(160);
-    let marked = ledger.judge(&gone, "7", false, None, last_unmarked_read);
-    ledger.judge(&gone, "8", true, None, last_unmarked_read);
+    let marked = ledger.judge(&lost, "7", false, None, last_unmarked_read);
+    ledger.judge(&lost, "8", true, None, last_unmarked_read);
 
     let lease_ends = last_unmarked_read + LISTED_LIFE;
-    let then = ledger.judge(&gone, "8", true, None, lease_ends + at(10));
+    let decision = ledger.judge(&lost, "8", true, None, lease_ends + at(10));
 
     assert_eq!(marked, EntryVerdict::Mark);
-    assert_eq!(then, EntryVerdict::Keep);
+    assert_eq!(decision, EntryVerdict::Keep);
 }
--- a/crates/rudder-engine/src/peers/tests/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/tests/fleet_copy.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_copy_reads_back_as_it_was() {
+fn a_copy_round_trips() {
     let copy = copy(100);
 
     let bytes = encode_copy(&copy).expect("it can be written");
@@ -46,7 +46,7 @@
 
 /// Guards against a peer whose bytes fill the memory or end the process.
 #[test]
-fn what_is_no_copy_is_an_error() {
+fn malformed_bytes_are_an_error() {
     for bytes in [&b""[..], b"GET / HTTP/1.1\r\n", &[0xff; 4096]] {
         assert!(decode_copy(bytes).is_err());
     }
--- a/crates/rudder-engine/src/peers/tests/list_change.rs
+++ b/crates/rudder-engine/src/peers/tests/list_change.rs
@@ -25,7 +25,7 @@
 
 /// Guards against copies that differ after items came, changed and went, in any order of fetches.
 #[test]
-fn a_follower_that_fetches_now_and_then_has_the_same_list() {
+fn a_follower_that_fetches_at_random_times_has_the_same_list() {
     for seed in 0..200 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut history = ListHistory::default();
@@ -38,7 +38,7 @@
                 Ok(index) => newest[index] = entry(number, random.random_range(1..9)),
                 Err(index) => newest.insert(index, entry(number, 1)),
             }
-            history.note(&newest);
+            history.record(&newest);
             if random.random_bool(0.2) {
                 let copy = history.copy_for(ListDigest::of(&known));
                 known = copy.resolve(&known).expect("a copy for this list");
@@ -50,10 +50,10 @@
 
 /// Guards against a change that is put on top of another list than it was made for.
 #[test]
-fn a_change_of_another_list_is_not_taken() {
+fn a_change_of_another_list_is_rejected() {
     let mut history = ListHistory::default();
-    history.note(&list(0..5));
-    history.note(&list(0..6));
+    history.record(&list(0..5));
+    history.record(&list(0..6));
 
     let copy = history.copy_for(ListDigest::of(&list(0..5)));
 
@@ -63,10 +63,10 @@
 
 /// Guards against an instance that is far behind, or knows a list that never was, and gets nothing.
 #[test]
-fn a_list_that_is_not_remembered_is_answered_with_the_whole() {
+fn an_unknown_base_list_gets_the_whole_list() {
     let mut history = ListHistory::default();
     for count in 1..100 {
-        history.note(&list(0..count));
+        history.record(&list(0..count));
     }
 
     for known in [list(0..2), list(7..9), Vec::new()] {
@@ -80,8 +80,8 @@
 fn the_copy_of_one_change_does_not_grow_with_the_list() {
     let sizes = [10, 300].map(|count| {
         let mut history = ListHistory::default();
-        history.note(&list(0..count));
-        history.note(&list(0..count + 1));
+        history.record(&list(0..count));
+        history.record(&list(0..count + 1));
         bytes_of(&history.copy_for(ListDigest::of(&list(0..count))))
     });
 
--- a/crates/rudder-engine/src/peers/tests/message.rs
+++ b/crates/rudder-engine/src/peers/tests/message.rs
@@ -16,7 +16,7 @@
 }
 
 /// An answer to an instance that knows the records of so many services.
-fn answer(services: usize) -> PeerMessage {
+fn response(services: usize) -> PeerMessage {
     let sample = SampleCopy { stamp: LogStamp::new(3, 120_000), sent: offset(400) };
     let timing = RecordTiming { confirmed: offset(450), anchor: offset(450), sample: Some(sample) };
     PeerMessage::Records(RecordsAnswer {
@@ -41,16 +41,16 @@
 
 /// Guards against word of the records that fills the links of a large fleet.
 #[test]
-fn an_answer_is_some_hundred_bytes_at_twenty_services() {
-    let bytes = size(&answer(20));
+fn a_response_for_twenty_services_is_short() {
+    let bytes = size(&response(20));
 
     assert!(bytes < 400, "{bytes}");
 }
 
 /// Guards against a fleet that hears nothing of its records, as the datagram is too long.
 #[test]
-fn an_answer_of_all_planned_services_fits_a_datagram() {
-    let bytes = size(&answer(780));
+fn a_response_for_all_planned_services_fits_a_datagram() {
+    let bytes = size(&response(780));
 
     assert!(bytes < DATAGRAM_MAX, "{bytes}");
 }
--- a/crates/rudder-engine/src/peers/tests/offset.rs
+++ b/crates/rudder-engine/src/peers/tests/offset.rs
@@ -1,4 +1,4 @@
-//! Moments told between instances.
+//! Moments received between instances.
 
 use crate::peers::QuestionOffset;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 const RECEIVED_AT: Duration = Duration::from_millis(1_000);
 const ASKED_AT: Duration = Duration::from_millis(500_000);
 
-fn told(moment: Duration) -> Option<Duration> {
+fn received(moment: Duration) -> Option<Duration> {
     QuestionOffset::of(moment, RECEIVED_AT).map(|offset| offset.since(ASKED_AT))
 }
 
 #[test]
-fn a_moment_is_as_far_from_the_question_on_both_sides() {
-    let before = told(Duration::from_millis(700));
-    let after = told(Duration::from_millis(1_900));
+fn a_moment_has_the_same_offset_from_the_request_on_both_sides() {
+    let before = received(Duration::from_millis(700));
+    let after = received(Duration::from_millis(1_900));
 
     assert_eq!(before, Some(Duration::from_millis(499_700)));
     assert_eq!(after, Some(Duration::from_millis(500_900)));
 }
 
 #[test]
-fn parts_of_a_millisecond_make_it_older() {
-    let moment = told(Duration::from_micros(700_900));
+fn fractions_of_a_millisecond_round_to_an_earlier_moment() {
+    let moment = received(Duration::from_micros(700_900));
     let late = QuestionOffset::of(Duration::from_millis(700), Duration::from_micros(1_000_100));
 
     assert_eq!(moment, Some(Duration::from_millis(499_700)));
     assert_eq!(late.map(|offset| offset.since(ASKED_AT)), Some(Duration::from_millis(499_699)));
 }
 
-/// Guards against a lease from a record that no store confirmed, told by a machine that just started.
+/// Guards against a lease from a record that no store confirmed, received by a machine that just started.
 #[test]
-fn what_was_never_confirmed_has_no_moment() {
-    assert_eq!(told(Duration::ZERO), None);
+fn an_unconfirmed_record_has_no_moment() {
+    assert_eq!(received(Duration::ZERO), None);
 }
--- a/crates/rudder-engine/src/peers/tests/readers.rs
+++ b/crates/rudder-engine/src/peers/tests/readers.rs
@@ -1,6 +1,6 @@
 //! Who reads the store for all.
 
-use crate::peers::readers::{ReaderCandidate, choose_readers, first_of_domain, first_reader};
+use crate::peers::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, first_reader};
 
 /// Instances named `DOMAIN-NUMBER`.
 fn entries(names: &[&str]) -> Vec<ReaderCandidate> {
@@ -8,7 +8,7 @@
         instance: name.parse().expect("a name"),
         domain: name.split('-').next().expect("a domain").parse().expect("a name"),
         address: None,
-        turned_away: false,
+        store_unreachable: false,
     };
     names.iter().map(entry).collect()
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_instance_that_hears_its_own_domain_only_makes_the_same_choice() {
+fn an_instance_that_sees_only_its_own_domain_makes_the_same_choice() {
     // Followers hear from no other domain. Taking their own for the only one, two more of them
     // read the store, and the fleet's calls to it double.
     let whole = chosen(&FLEET, 3);
@@ -40,39 +40,39 @@
 }
 
 #[test]
-fn few_domains_have_more_readers_each() {
+fn fewer_domains_have_more_readers_each() {
     // With one reader in all, its own cut link would be the word of everybody.
     assert_eq!(chosen(&FLEET[..3], 1).len(), 3);
     assert_eq!(chosen(&FLEET[..6], 2).len(), 4);
 }
 
 #[test]
-fn the_order_in_which_instances_are_heard_does_not_matter() {
-    let mut turned = FLEET;
-    turned.reverse();
+fn the_choice_does_not_depend_on_the_order_of_candidates() {
+    let mut reversed = FLEET;
+    reversed.reverse();
 
-    assert_eq!(chosen(&turned, 3), chosen(&FLEET, 3));
+    assert_eq!(chosen(&reversed, 3), chosen(&FLEET, 3));
 }
 
 #[test]
-fn one_reader_asks_the_store_for_all() {
+fn all_instances_choose_the_same_first_reader() {
     let readers = choose_readers(entries(&FLEET), 3);
     let first = first_reader(&readers).expect("a reader");
 
-    let mut turned = readers.clone();
-    turned.reverse();
+    let mut reversed = readers.clone();
+    reversed.reverse();
 
-    assert_eq!(first_reader(&turned), Some(first));
+    assert_eq!(first_reader(&reversed), Some(first));
     assert!(readers.contains(first));
 }
 
 /// Guards against a fleet that gets no word of the store because the store turns one instance away.
 #[test]
-fn a_reader_that_the_store_turns_away_is_not_the_one() {
+fn a_reader_without_the_store_is_not_the_first_reader() {
     let mut readers = choose_readers(entries(&FLEET), 3);
     let first = first_reader(&readers).expect("a reader").instance.clone();
     for reader in readers.iter_mut().filter(|reader| reader.instance == first) {
-        reader.turned_away = true;
+        reader.store_unreachable = true;
     }
 
     let next = first_reader(&readers).expect("a reader");
@@ -82,36 +82,36 @@
 
 /// Guards against an outage of the store in which nobody asks whether it is back.
 #[test]
-fn somebody_asks_although_the_store_answers_nobody() {
+fn a_first_reader_exists_while_the_store_responds_to_none() {
     let mut readers = choose_readers(entries(&FLEET), 3);
-    readers.iter_mut().for_each(|reader| reader.turned_away = true);
+    readers.iter_mut().for_each(|reader| reader.store_unreachable = true);
 
     assert!(first_reader(&readers).is_some());
 }
 
 /// Guards against a fleet whose heartbeats fill the links of a large failure domain.
 #[test]
-fn a_few_of_a_domain_hear_from_all_of_it() {
+fn a_large_domain_has_three_hubs() {
     let names: Vec<String> = (0..80).map(|number| format!("n-{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let domain = "n".parse().expect("a name");
 
-    let heads = first_of_domain(entries(&names), &domain);
+    let hubs = choose_domain_hubs(entries(&names), &domain);
     let reader = choose_readers(entries(&names), 6);
 
-    assert_eq!(heads.len(), 3);
-    assert_eq!(heads[0].instance, reader[0].instance);
+    assert_eq!(hubs.len(), 3);
+    assert_eq!(hubs[0].instance, reader[0].instance);
 }
 
 /// Guards against a reader that its followers do not hear, as they take another one for it.
 #[test]
-fn an_instance_that_hears_the_first_ones_only_makes_the_same_choice() {
+fn an_instance_that_sees_only_the_hubs_makes_the_same_choice() {
     let names: Vec<String> = (0..80).map(|number| format!("n-{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let domain = "n".parse().expect("a name");
-    let heads = first_of_domain(entries(&names), &domain);
-    let mut heard = heads.clone();
-    heard.extend(entries(&["n-80"]));
+    let hubs = choose_domain_hubs(entries(&names), &domain);
+    let mut received = hubs.clone();
+    received.extend(entries(&["n-80"]));
 
-    assert_eq!(first_of_domain(heard, &domain)[0], heads[0]);
+    assert_eq!(choose_domain_hubs(received, &domain)[0], hubs[0]);
 }
--- a/crates/rudder-engine/src/peers/tests/subscribers.rs
+++ b/crates/rudder-engine/src/peers/tests/subscribers.rs
@@ -14,27 +14,27 @@
     }
 }
 
-fn questions(list: &mut SubscriberList, now: Duration) -> Vec<u64> {
+fn request_ids(list: &mut SubscriberList, now: Duration) -> Vec<u64> {
     list.live(now).into_iter().map(|subscriber| subscriber.question).collect()
 }
 
 #[test]
-fn the_last_question_of_an_instance_counts() {
+fn the_latest_request_of_an_instance_counts() {
     let mut list = SubscriberList::default();
     list.subscribe(subscriber(2, 20, Duration::from_secs(10)));
     list.subscribe(subscriber(1, 10, Duration::from_secs(10)));
 
     list.subscribe(subscriber(2, 21, Duration::from_secs(11)));
 
-    assert_eq!(questions(&mut list, Duration::from_secs(11)), [10, 21]);
+    assert_eq!(request_ids(&mut list, Duration::from_secs(11)), [10, 21]);
 }
 
 /// Guards against datagrams to instances that are gone.
 #[test]
-fn an_instance_that_asks_no_more_is_told_no_more() {
+fn a_subscription_expires_without_further_requests() {
     let mut list = SubscriberList::default();
     list.subscribe(subscriber(1, 10, Duration::from_secs(10)));
 
-    assert_eq!(questions(&mut list, Duration::from_secs(12)), [10]);
-    assert!(questions(&mut list, Duration::from_secs(13)).is_empty());
+    assert_eq!(request_ids(&mut list, Duration::from_secs(12)), [10]);
+    assert!(request_ids(&mut list, Duration::from_secs(13)).is_empty());
 }
--- a/crates/rudder-engine/src/store_snapshot.rs
+++ b/crates/rudder-engine/src/store_snapshot.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// How long a peer counts as one that answers; longer than the pause between two questions.
-const HEARD_TIME: Duration = Duration::from_millis(1500);
+const PEER_RESPONSE_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Orders lists of members: by the store's revision, then by the changes that this instance's
 /// patience with missing entries made to the list of one revision.
@@ -16,7 +16,7 @@
 )]
 pub(crate) struct MembersVersion {
     revision: u64,
-    turn: u32,
+    local_change: u32,
 }
 
 /// The store's word, as far as this instance has it.
@@ -31,9 +31,9 @@
     /// The same of the settings.
     settings_at: Option<Duration>,
     /// The latest moment of which a peer said that both were current then.
-    told_at: Option<Duration>,
+    confirmed_by_peer_at: Option<Duration>,
     /// When a peer that tells this instance was last heard.
-    heard_at: Option<Duration>,
+    peer_responded_at: Option<Duration>,
 }
 
 impl StoreSnapshot {
@@ -44,9 +44,9 @@
         }
         self.replace_members(members);
         self.version = if revision > self.version.revision {
-            MembersVersion { revision, turn: 0 }
+            MembersVersion { revision, local_change: 0 }
         } else {
-            MembersVersion { turn: self.version.turn + 1, ..self.version }
+            MembersVersion { local_change: self.version.local_change + 1, ..self.version }
         };
         true
     }
@@ -73,7 +73,7 @@
     fn replace_members(&mut self, members: &[MemberEntry]) {
         self.members = members.to_vec();
         self.members.sort_by(|left, right| left.target.member.cmp(&right.target.member));
-        self.history.note(&self.members);
+        self.history.record(&self.members);
     }
 
     /// The list of members for one who knows the list of `base`.
@@ -96,24 +96,30 @@
         self.settings_at = self.settings_at.max(Some(now));
     }
 
-    /// Takes in a peer's word that both were current at `moment`, in the versions known here.
-    pub(crate) fn note_told(&mut self, moment: Duration) {
-        self.confirm_members(moment);
-        self.confirm_settings(moment);
-        self.told_at = self.told_at.max(Some(moment));
+    /// Takes in a peer's word that both were current at `confirmed_at`, in the versions known here.
+    pub(crate) fn note_told(&mut self, confirmed_at: Duration) {
+        self.confirm_members(confirmed_at);
+        self.confirm_settings(confirmed_at);
+        self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(Some(confirmed_at));
     }
 
     /// Takes in that a peer answered, whatever it knows.
     pub(crate) fn note_heard(&mut self, now: Duration) {
-        self.heard_at = Some(now);
+        self.peer_responded_at = Some(now);
     }
 
-    /// Whether peers said less than `patience` ago, or less than `longer` if they still answer, that
+    /// Whether peers said less than `timeout` ago, or less than `extended_timeout` if they still answer, that
     /// both are current.
-    pub(crate) fn is_told(&self, patience: Duration, longer: Duration, now: Duration) -> bool {
-        let heard = self.heard_at.is_some_and(|at| now < at + HEARD_TIME);
-        let patience = if heard { longer } else { patience };
-        self.told_at.is_some_and(|at| now < at + patience)
+    pub(crate) fn is_told(
+        &self,
+        timeout: Duration,
+        extended_timeout: Duration,
+        now: Duration,
+    ) -> bool {
+        let peer_responds =
+            self.peer_responded_at.is_some_and(|at| now < at + PEER_RESPONSE_WINDOW);
+        let timeout = if peer_responds { extended_timeout } else { timeout };
+        self.confirmed_by_peer_at.is_some_and(|at| now < at + timeout)
     }
 
     /// The members, and their version.
--- a/crates/rudder-engine/src/store_snapshot/tests.rs
+++ b/crates/rudder-engine/src/store_snapshot/tests.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 
 #[test]
-fn a_peer_that_is_behind_brings_no_member_back() {
+fn an_outdated_peer_restores_no_removed_member() {
     // A member that is gone gets requests again, and another service answers at its address. An
     // instance knows from the store that the member left; a peer that the store turned away still
     // has the list of before, and hands it on.
     let mut stale = StoreSnapshot::default();
     stale.take_members(&[member_entry("a"), member_entry("b")], 7);
-    let mut word = StoreSnapshot::default();
-    word.take_members(&[member_entry("a")], 9);
+    let mut snapshot = StoreSnapshot::default();
+    snapshot.take_members(&[member_entry("a")], 9);
 
     let (members, version) = stale.members();
-    let changed = word.take_copy(members, version);
+    let changed = snapshot.take_copy(members, version);
 
     assert!(!changed);
-    assert_eq!(word.members().0, [member_entry("a")]);
+    assert_eq!(snapshot.members().0, [member_entry("a")]);
 }
 
 #[test]
@@ -38,59 +38,59 @@
 }
 
 #[test]
-fn the_stores_own_list_counts_whatever_a_peer_said() {
-    let mut word = StoreSnapshot::default();
-    word.take_members(&[member_entry("a"), member_entry("b")], 8);
+fn the_stores_own_list_overrides_that_of_a_peer() {
+    let mut snapshot = StoreSnapshot::default();
+    snapshot.take_members(&[member_entry("a"), member_entry("b")], 8);
 
-    let changed = word.take_members(&[member_entry("a")], 7);
+    let changed = snapshot.take_members(&[member_entry("a")], 7);
 
     assert!(changed);
-    assert_eq!(word.members().0, [member_entry("a")]);
+    assert_eq!(snapshot.members().0, [member_entry("a")]);
 }
 
 #[test]
-fn the_snapshot_is_as_old_as_its_older_half() {
-    let mut word = StoreSnapshot::default();
-    word.confirm_members(Duration::from_secs(9));
-    let before = word.confirmed_at();
+fn the_snapshot_is_as_old_as_its_older_part() {
+    let mut snapshot = StoreSnapshot::default();
+    snapshot.confirm_members(Duration::from_secs(9));
+    let before = snapshot.confirmed_at();
 
-    word.confirm_settings(Duration::from_secs(5));
+    snapshot.confirm_settings(Duration::from_secs(5));
 
     assert_eq!(before, None);
-    assert_eq!(word.confirmed_at(), Some(Duration::from_secs(5)));
+    assert_eq!(snapshot.confirmed_at(), Some(Duration::from_secs(5)));
 }
 
 /// Guards against an outage of the store that is filled with the calls of a whole fleet.
 #[test]
 fn an_instance_whose_peer_answers_waits_longer() {
     let at = Duration::from_millis;
-    let (patience, longer) = (at(2700), at(5000));
+    let (timeout, extended_timeout) = (at(2700), at(5000));
     let mut silent = StoreSnapshot::default();
     silent.note_told(at(10_000));
-    let mut heard = silent.clone();
-    heard.note_heard(at(13_900));
+    let mut responding = silent.clone();
+    responding.note_heard(at(13_900));
 
-    assert!(silent.is_told(patience, longer, at(12_600)));
-    assert!(!silent.is_told(patience, longer, at(14_000)));
-    assert!(heard.is_told(patience, longer, at(14_000)));
-    assert!(!heard.is_told(patience, longer, at(15_000)), "not for ever");
+    assert!(silent.is_told(timeout, extended_timeout, at(12_600)));
+    assert!(!silent.is_told(timeout, extended_timeout, at(14_000)));
+    assert!(responding.is_told(timeout, extended_timeout, at(14_000)));
+    assert!(!responding.is_told(timeout, extended_timeout, at(15_000)), "not for ever");
 }
 
 /// Guards against an instance that never asks the store, as its peers know no more than it does.
 #[test]
-fn an_instance_that_was_never_told_asks_the_store() {
+fn an_instance_without_a_confirmation_by_peers_polls_the_store() {
     let mut snapshot = StoreSnapshot::default();
     snapshot.note_heard(Duration::from_secs(10));
 
-    let told =
+    let confirmed =
         snapshot.is_told(Duration::from_secs(3), Duration::from_secs(5), Duration::from_secs(10));
 
-    assert!(!told);
+    assert!(!confirmed);
 }
 
 /// Guards against members of long ago that stay in place of those which peers have from the store.
 #[test]
-fn what_may_be_old_gives_way_to_any_list_of_the_store() {
+fn an_initial_list_is_replaced_by_any_list_of_the_store() {
     let mut snapshot = StoreSnapshot::default();
     let before = snapshot.is_blank();
     snapshot.take_members(&[member_entry("old")], 0);
