--- a/crates/rudder-engine/src/lead/expiry.rs
+++ b/crates/rudder-engine/src/lead/expiry.rs
@@ -1,41 +1,43 @@
-//! When a change of primary may go on to the promotion.
+//! Conditions under which a change of primary may proceed to the promotion.
 
 use super::lease_table::{LEASE_TIME, QUORUM_REACH};
 use std::time::Duration;
 
-/// What is added to a lease's life before it is taken to have expired: clocks of two machines
-/// that run at slightly different speeds, and an answer on its way to a caller.
+/// Margin added to the lease duration before a lease counts as expired. Covers the clock drift
+/// between two machines and a response in transit to a caller.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
-/// Instances that may have registered since another one last read the list. Both sides count them
-/// against themselves, so that a majority of an older list still meets one of the newer list.
+/// Maximum number of instances that may have registered since another instance last read the
+/// instance list. Each side subtracts them from its own majority, so that a majority of an older
+/// list still intersects a majority of the newer one.
 const UNLISTED_MAX: usize = 2;
 
-/// Whether `count` of `all` listed instances are enough to meet every other such majority, although
-/// the lists may differ by [`UNLISTED_MAX`].
+/// Returns whether `count` of `all` listed instances intersect every other such majority, although
+/// two instance lists may differ by [`UNLISTED_MAX`].
 pub(crate) fn is_quorum(count: usize, all: usize) -> bool {
     count * 2 > all + UNLISTED_MAX || (count == all && all > 1)
 }
 
-/// How far the stopping of all instances has come.
+/// Progress of stopping all instances during a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StopProgress {
-    /// When the store's answer to the intent came, so that it had taken effect by then.
+    /// Time at which the store's response to the write of the intent arrived. The intent had taken
+    /// effect by then.
     pub(crate) written_by: Duration,
-    /// By when the store had the first intent of this change, by whomever; no lease was renewed
-    /// by the store since.
+    /// Time by which the store had the first intent of this change, from any instance. No lease has
+    /// been renewed from the store since.
     pub(crate) changing_since: Duration,
-    /// Whether the list of instances was read after the intent was written. Without it there may
-    /// be instances that nobody waits for.
+    /// Whether the instance list was read after the intent was written. Without that read, the
+    /// change may not wait for every instance.
     pub(crate) listed: bool,
-    /// Listed instances that have not said that they stopped.
+    /// Number of listed instances that have not confirmed their stop.
     pub(crate) unheard: usize,
-    /// Since when most instances have stopped, so that they renew no lease.
+    /// Time since when a majority of instances has stopped, so that they renew no lease.
     pub(crate) most_since: Option<Duration>,
 }
 
 impl StopProgress {
-    /// When the last lease for the old primary will have expired.
+    /// Returns the time at which the last lease for the old primary has expired.
     pub(crate) fn expires_at(&self) -> Duration {
         let without_quorum = self.changing_since + QUORUM_REACH;
         let renewed_until = match self.most_since {
@@ -45,7 +47,7 @@
         renewed_until.max(self.changing_since) + LEASE_TIME + EXPIRY_MARGIN
     }
 
-    /// Whether no instance answers for the old primary any more.
+    /// Returns whether no instance responds for the old primary any more.
     pub(crate) fn is_over(&self, now: Duration) -> bool {
         (self.listed && self.unheard == 0) || now >= self.expires_at()
     }
--- a/crates/rudder-engine/src/lead/history.rs
+++ b/crates/rudder-engine/src/lead/history.rs
@@ -1,13 +1,13 @@
-//! Positions that the primary was seen at, from which the floor of a read with a bound follows.
+//! History of a primary's log positions, which gives the floor of bounded-staleness reads.
 
 use rudder_core::{FreshSample, LogStamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Samples closer together than this are merged; the floor is then older by at most as much.
+/// Samples closer together than this are merged. The floor is then older by at most this gap.
 const SAMPLE_GAP: Duration = Duration::from_millis(40);
 
-/// Samples kept: enough for the greatest bounds in use (some seconds) at [`SAMPLE_GAP`].
+/// Maximum number of samples: covers the largest bounds in use (several seconds) at [`SAMPLE_GAP`].
 const SAMPLES_MAX: usize = 128;
 
 /// Samples of one service under one version of its record, oldest first.
@@ -17,15 +17,15 @@
 }
 
 impl PositionHistory {
-    /// Takes in a position that the primary had applied when it answered a question that was
-    /// sent at `sample.sent_at`. The lease must have covered that moment.
+    /// Records a position that the primary had applied when it responded to a request sent at
+    /// `sample.sent_at`. The lease must have been valid at that time.
     pub(crate) fn note(&mut self, sample: FreshSample) {
         let Some(newest) = self.samples.back() else {
             self.samples.push_back(sample);
             return;
         };
-        // Of two close samples the older one is kept: it says as much about that moment with a
-        // lower position, which more replicas have applied.
+        // Of two close samples the older one is kept: its position is lower, so more replicas have
+        // applied it, and it is valid for nearly the same time.
         if sample.sent_at < newest.sent_at + SAMPLE_GAP || sample.stamp < newest.stamp {
             return;
         }
@@ -35,22 +35,23 @@
         self.samples.push_back(sample);
     }
 
-    /// The least position that holds every commit acknowledged before `now - bound`; none if no
-    /// sample is that recent.
+    /// Returns the lowest position that contains every commit acknowledged before `now - bound`, or
+    /// `None` if no sample is recent enough.
     ///
-    /// The oldest sample within the bound is taken, as more replicas have applied it.
+    /// The oldest sample within the bound is used because more replicas have applied it.
     pub(crate) fn floor(&self, bound: Duration, now: Duration) -> Option<LogStamp> {
         let oldest = now.saturating_sub(bound);
         let index = self.samples.partition_point(|sample| sample.sent_at < oldest);
         self.samples.get(index).map(|sample| sample.stamp)
     }
 
-    /// How long ago the primary was first seen at `stamp` or farther; zero if it never was.
+    /// Returns the time since the primary was first observed at `stamp` or beyond; zero if it never
+    /// was.
     pub(crate) fn age_of(&self, stamp: LogStamp, now: Duration) -> Duration {
         self.age_from(now, |sample| sample.stamp < stamp)
     }
 
-    /// For how long the primary has been seen farther than `stamp`; zero if it is not.
+    /// Returns how long the primary has been observed beyond `stamp`; zero if it has not.
     pub(crate) fn lag_of(&self, stamp: LogStamp, now: Duration) -> Duration {
         self.age_from(now, |sample| sample.stamp <= stamp)
     }
@@ -60,12 +61,12 @@
         first.map_or(Duration::ZERO, |sample| now.saturating_sub(sample.sent_at))
     }
 
-    /// When the newest sample was asked for.
+    /// Returns the newest sample.
     pub(crate) fn newest(&self) -> Option<FreshSample> {
         self.samples.back().copied()
     }
 
-    /// Forgets everything: the log may have been cut back.
+    /// Removes all samples, as the log may have been truncated.
     pub(crate) fn clear(&mut self) {
         self.samples.clear();
     }
--- a/crates/rudder-engine/src/lead/lease_table.rs
+++ b/crates/rudder-engine/src/lead/lease_table.rs
@@ -1,52 +1,57 @@
-//! One instance's knowledge of a service's primary, and its permission to answer for it.
+//! Knowledge of a service's primary in one instance, and the lease that permits the instance to
+//! respond for that primary.
 //!
-//! An instance acknowledges commits and answers strict reads only under a lease: the knowledge
-//! that the record named this primary less than [`LEASE_TIME`] ago. A change of primary starts
-//! with a new version of the record and promotes only once every instance has said that it
-//! stopped, or [`LEASE_TIME`] and a margin have gone by since. So no instance, however isolated
-//! or suspended, answers for the old primary when the new one takes its first commit.
+//! An instance acknowledges commits and serves strict reads only under a lease: the knowledge that
+//! the record named this primary less than [`LEASE_TIME`] ago. A change of primary starts with a
+//! new version of the record and promotes only after every instance has confirmed that it stopped,
+//! or after [`LEASE_TIME`] and a margin have passed. Therefore no instance, even an isolated or
+//! suspended one, responds for the old primary when the new one accepts its first commit.
 //!
-//! While the store does not answer, the word of most instances renews a lease as well, for
-//! [`QUORUM_REACH`] at most: a change that cannot hear from all waits until most have stopped, and
-//! two majorities have an instance in common.
+//! While the store does not respond, confirmations by a majority of instances also renew a lease,
+//! for at most [`QUORUM_REACH`] after the store's last response. A change that does not receive a
+//! stop notice from every instance waits until a majority has stopped, and any two majorities share
+//! an instance.
 
 use super::record::{LeadRecord, LeaderEpoch};
 use rudder_core::{MemberName, plain_data};
 use std::time::Duration;
 
-/// How long the knowledge of an unchanged record lets an instance answer. Longer than two reads of the
-/// record that fail (0.4 s apart, given up after 0.5 s); shorter makes an unplanned change faster.
+/// Duration of a lease, counted from when the record was known to be in place. Longer than two
+/// failed reads of the record (0.4 s apart, with a timeout of 0.5 s); a shorter duration makes an
+/// unplanned change of primary faster.
 pub(crate) const LEASE_TIME: Duration = Duration::from_millis(1500);
 
-/// How long after the store's last word the word of most instances renews leases. Outages of the
-/// store last some seconds; when a change hears from fewer than half, it has to wait that long.
+/// Maximum time after the store's last response during which a majority of instances renews leases.
+/// Store outages last several seconds; a change that receives responses from fewer than half of the
+/// instances has to wait this long.
 pub(crate) const QUORUM_REACH: Duration = Duration::from_millis(8000);
 
 plain_data! {
-    /// Permission to answer for a primary, for as long as [`LeaseTable::holds`] says so.
+    /// Lease for responding on behalf of a primary, valid while [`LeaseTable::holds`] returns true.
     pub(crate) struct LeaderLease {
-        /// The record's version.
+        /// Version of the record.
         pub(crate) epoch: LeaderEpoch,
         /// The primary.
         pub(crate) primary: MemberName,
     }
 }
 
-/// What an instance knows of one service's record.
+/// Record of one service as known to one instance, and the state of its leases.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseTable {
     record: Option<LeadRecord>,
-    /// The latest moment at which the record is known to have been in place.
+    /// Latest time at which the record is known to have been in place.
     confirmed_at: Duration,
-    /// The latest moment at which most instances knew of no later version.
+    /// Latest time at which a majority of instances knew no later version.
     majority_at: Duration,
-    /// When this version was first seen.
+    /// Time at which this version was first received.
     seen_at: Duration,
-    /// When the change under way was first seen, over all who tried it.
+    /// Time at which the change in progress was first observed, across all instances that attempted
+    /// it.
     changing_since: Option<Duration>,
-    /// The version before this one, for work that was under way when the change began.
+    /// Lease under the previous version, for statements that were running when the change began.
     closing: Option<ClosingLease>,
-    /// Statements under way that a lease covers.
+    /// Running statements that are covered by a lease.
     in_flight: u32,
 }
 
@@ -57,10 +62,10 @@
 }
 
 impl LeaseTable {
-    /// Takes in a version of the record that was in place at `confirmed_at` or later.
+    /// Applies a version of the record that was in place at `confirmed_at` or later.
     ///
-    /// Returns whether it is a new one. An older one is dropped: reads of the store and words of
-    /// peers may arrive in any order.
+    /// Returns whether it is new. An older version is ignored, as store reads and peer responses
+    /// may arrive in any order.
     pub(crate) fn observe(
         &mut self,
         record: &LeadRecord,
@@ -78,7 +83,7 @@
         self.closing = self
             .lease(now)
             .map(|lease| ClosingLease { epoch: lease.epoch, until: self.anchor() + LEASE_TIME });
-        // Two changes in a row are one only if no primary was in place between them.
+        // Consecutive changes count as one only if no primary was in place between them.
         let follows = record.epoch == known.next();
         let since = self.changing_since.filter(|_| follows);
         self.changing_since = record.primary().is_none().then(|| since.unwrap_or(now));
@@ -89,8 +94,8 @@
         true
     }
 
-    /// Takes in that most instances knew of no later version than `epoch` at `majority_at`; returns
-    /// whether leases live longer by it.
+    /// Records that a majority of instances knew no later version than `epoch` at `majority_at`.
+    /// Returns whether this extends leases.
     pub(crate) fn confirm_by_majority(
         &mut self,
         epoch: LeaderEpoch,
@@ -104,38 +109,38 @@
         self.anchor() > before
     }
 
-    /// The moment from which a lease's life counts.
+    /// Returns the time from which the lease duration counts.
     pub(crate) fn anchor(&self) -> Duration {
         let majority_at = self.majority_at.min(self.confirmed_at + QUORUM_REACH);
         self.confirmed_at.max(majority_at)
     }
 
-    /// When the change under way was first seen.
+    /// Returns the time at which the change in progress was first observed.
     pub(crate) fn changing_since(&self) -> Option<Duration> {
         self.changing_since
     }
 
-    /// The version that is known; zero before the first.
+    /// Returns the known version; zero before the first one.
     pub(crate) fn epoch(&self) -> LeaderEpoch {
         self.record.as_ref().map_or(LeaderEpoch::default(), |record| record.epoch)
     }
 
-    /// The record.
+    /// Returns the known record.
     pub(crate) fn record(&self) -> Option<&LeadRecord> {
         self.record.as_ref()
     }
 
-    /// When the version that is known was first seen.
+    /// Returns the time at which the known version was first received.
     pub(crate) fn seen_at(&self) -> Duration {
         self.seen_at
     }
 
-    /// The latest moment at which the record is known to have been in place.
+    /// Returns the latest time at which the record is known to have been in place.
     pub(crate) fn confirmed_at(&self) -> Duration {
         self.confirmed_at
     }
 
-    /// Permission for new work.
+    /// Returns a lease for new statements, if one is valid.
     pub(crate) fn lease(&self, now: Duration) -> Option<LeaderLease> {
         let record = self.record.as_ref()?;
         let primary = record.primary()?;
@@ -143,10 +148,10 @@
         fresh.then(|| LeaderLease { epoch: record.epoch, primary: primary.clone() })
     }
 
-    /// Whether an answer that was obtained under a lease may still go out.
+    /// Returns whether a response obtained under `lease` may still be sent.
     ///
-    /// Work that was under way when a change began may finish: the change waits for this
-    /// instance to stop, or for the lease's life to end.
+    /// Statements that were running when a change began may finish: the change waits for this
+    /// instance to stop, or for its lease to expire.
     pub(crate) fn holds(&self, lease: &LeaderLease, now: Duration) -> bool {
         if self.epoch() == lease.epoch {
             return self.lease(now).is_some();
@@ -155,17 +160,17 @@
         closing.is_some_and(|closing| closing.epoch == lease.epoch && now < closing.until)
     }
 
-    /// Counts a statement in that a lease covers.
+    /// Counts the start of a statement that a lease covers.
     pub(crate) fn enter(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts a statement out.
+    /// Counts the end of a statement that a lease covers.
     pub(crate) fn leave(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Stops answering for all versions before the present one, if nothing is under way or
+    /// Stops responding under all versions before the current one, if no statement is running or
     /// `force` is set. Returns whether it has stopped.
     pub(crate) fn stop(&mut self, force: bool) -> bool {
         if self.closing.is_some() && (force || self.in_flight == 0) {
--- a/crates/rudder-engine/src/lead/mod.rs
+++ b/crates/rudder-engine/src/lead/mod.rs
@@ -1,4 +1,6 @@
-//! Who leads a service, and who may still answer for it. Pure: time is passed in.
+//! Leases, change detection and promotion timing for the primary of a service.
+//!
+//! All functions are pure; the current time is passed in.
 
 mod expiry;
 mod history;
--- a/crates/rudder-engine/src/lead/record.rs
+++ b/crates/rudder-engine/src/lead/record.rs
@@ -1,12 +1,12 @@
-//! The record of a service's primary, as the platform's store keeps it.
+//! Record of a service's primary, as kept in the platform's store.
 
 use rudder_core::{InstanceName, LogStamp, LogTerm, MemberName, plain_data};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Counts the versions of a record. Each is written by one instance, under the condition that the
-/// one before is still in place, so it serves as fencing token: it only grows, and no two
-/// instances hold the same one.
+/// Version number of a record. Each version is written by one instance, on condition that the
+/// previous one is still in place. It therefore serves as a fencing token: it only increases, and
+/// no two instances hold the same one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,47 +25,48 @@
     }
 }
 
-/// Whether a primary is in place.
+/// State of a service's primary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeadPhase {
-    /// The primary may serve.
+    /// A primary is in place and may serve.
     Settled {
         /// The primary.
         primary: MemberName,
-        /// Its term.
+        /// Term of the primary.
         term: LogTerm,
-        /// How far its log went when it took over: all that survives of earlier terms.
+        /// End of its log when it took over: the only part of earlier terms that survives.
         base: Option<LogStamp>,
     },
-    /// An instance is changing the primary; nobody may answer for the old one.
+    /// An instance is changing the primary; no instance may respond for the old one.
     Changing {
-        /// The instance.
+        /// Instance that carries out the change.
         holder: InstanceName,
-        /// Tells the instance's process from its earlier and later ones.
+        /// Identifier that distinguishes the holder's process from its earlier and later ones.
         process: u64,
-        /// The primary before.
+        /// Primary before the change.
         previous: Option<MemberName>,
-        /// Whether the previous primary still serves and only leaves.
+        /// Whether the previous primary still serves while it is drained.
         planned: bool,
     },
 }
 
 plain_data! {
-    /// The record of one service.
+    /// Record of one service.
     #[derive(Serialize, Deserialize)]
     pub struct LeadRecord {
-        /// The version.
+        /// Version of the record.
         pub epoch: LeaderEpoch,
-        /// Unique to the write, so that a writer whose answer was lost knows its own work.
+        /// Value unique to the write, by which a writer whose response was lost recognizes its own
+        /// write.
         pub mark: String,
-        /// Whether a primary is in place.
+        /// State of the primary.
         pub phase: LeadPhase,
     }
 }
 
 impl LeadRecord {
-    /// The primary, while one is in place.
+    /// Returns the primary, if one is in place.
     pub(crate) fn primary(&self) -> Option<&MemberName> {
         match &self.phase {
             LeadPhase::Settled { primary, .. } => Some(primary),
@@ -73,10 +74,11 @@
         }
     }
 
-    /// What a session must see after the change of primary that this record tells of.
+    /// Limits `floor`, the position that a session must read, to what survived the change of
+    /// primary in this record.
     ///
-    /// Guards against a session that waits for ever: its commit was cut off when a member that
-    /// lacked it was promoted, so no log will ever reach that position again.
+    /// With an unlimited floor, a session could wait forever: if its commit was lost because a
+    /// member without it was promoted, no log reaches that position again.
     pub(crate) fn reachable(&self, floor: LogStamp) -> LogStamp {
         match &self.phase {
             LeadPhase::Settled { term, base: Some(base), .. }
--- a/crates/rudder-engine/src/lead/suspicion.rs
+++ b/crates/rudder-engine/src/lead/suspicion.rs
@@ -1,30 +1,31 @@
-//! Whether a change of primary is due, and whose turn it is to carry it out.
+//! Decides whether a change of primary is due, and which instance carries it out.
 
 use super::lease_table::LeaseTable;
 use super::record::{LeadPhase, LeaderEpoch};
 use rudder_core::{DomainName, InstanceName, MemberName, plain_data};
 use std::time::Duration;
 
-/// How long an unfinished change of another instance is left alone. Longer than that one may still
-/// order a promotion (2.6 s) and the order may take, so that two never work at once.
+/// Time during which another instance's unfinished change is not taken over. Longer than the time
+/// in which that instance may still order a promotion (2.6 s) and the order may take, so that two
+/// instances never promote at the same time.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// How long the primary must be gone from the list before that alone is a reason. Entries that
-/// expired in an outage of the store are back within two seconds of its return.
+/// Time for which the primary must be missing from the list before that alone causes a change.
+/// Entries that expired during a store outage reappear within two seconds of its end.
 const ABSENT_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// How long two members must contradict the record in what they say of their own roles.
+/// Time for which the roles reported by two members must contradict the record.
 const ROLE_CONFLICT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long the own watch must have failed. Above a dropped packet's resend (0.2 s), so that one
-/// lost packet raises no doubt.
+/// Time for which this instance's own probes of the primary must fail. Longer than the
+/// retransmission of a dropped packet takes (0.2 s), so that one lost packet causes no suspicion.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The pause before the next in line acts: several round trips and a write to the store.
+/// Delay before the instance of the next rank acts: several round trips and a write to the store.
 const RANK_DELAY: Duration = Duration::from_millis(300);
 
 plain_data! {
-    /// What one live instance says about the present primary.
+    /// Vote of one live instance on the current primary.
     pub(crate) struct PeerVote {
         /// The instance.
         pub(crate) instance: InstanceName,
@@ -36,40 +37,40 @@
 }
 
 plain_data! {
-    /// What is known of a group's primary.
+    /// Observations of a group's primary.
     pub(crate) struct GroupSigns {
-        /// Since when the own watch has failed.
+        /// Time since when this instance's own probes of the primary have failed.
         pub(crate) silent_since: Option<Duration>,
-        /// Since when the primary has been missing from a list that is known to be current.
+        /// Time since when the primary has been missing from a list that is known to be current.
         pub(crate) absent_since: Option<Duration>,
-        /// Since when another member has said that it leads.
+        /// Time since when another member has reported that it is the primary.
         pub(crate) usurped_since: Option<Duration>,
-        /// Whether the primary is leaving.
+        /// Whether the primary is draining.
         pub(crate) draining: bool,
         /// Whether another member could take over.
         pub(crate) replaceable: bool,
-        /// Whether the process that began the change under way is known to have ended.
+        /// Whether the process that began the change in progress is known to have ended.
         pub(crate) holder_ended: bool,
     }
 }
 
-/// Why the primary is to be changed.
+/// Reason for a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeCause {
-    /// It is leaving.
+    /// The primary is draining.
     Leaving,
-    /// Most instances cannot reach it.
+    /// A majority of instances cannot reach the primary.
     Unreachable,
-    /// It is gone from the list.
+    /// The primary is missing from the list of members.
     Absent,
-    /// Another member says that it leads.
+    /// Another member reports that it is the primary.
     RoleConflict,
     /// Another instance's change was not finished.
     Unfinished,
 }
 
 impl ChangeCause {
-    /// The fixed word in logs.
+    /// Returns the label used in logs.
     pub(crate) fn word(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
@@ -81,7 +82,7 @@
     }
 }
 
-/// Whether `instance` should change the primary now, and why.
+/// Returns the reason for which `instance` should change the primary now, if there is one.
 pub(crate) fn judge_change(
     leases: &LeaseTable,
     signs: &GroupSigns,
@@ -102,7 +103,7 @@
 ) -> Option<(ChangeCause, Duration)> {
     let record = leases.record()?;
     if let LeadPhase::Changing { .. } = record.phase {
-        // A process that ended orders no promotion any more.
+        // A process that has ended cannot order a promotion any more.
         let timeout = if signs.holder_ended { Duration::ZERO } else { CHANGE_TIMEOUT };
         let due_at = leases.seen_at() + timeout;
         return (now >= due_at).then_some((ChangeCause::Unfinished, due_at));
@@ -127,11 +128,11 @@
     due_after(signs.absent_since, ABSENT_TIMEOUT).map(|due_at| (ChangeCause::Absent, due_at))
 }
 
-/// Whether more than half of the live instances cannot reach the primary, from two failure
+/// Returns whether more than half of the live instances cannot reach the primary, from two failure
 /// domains if there are as many.
 ///
-/// Guards against a primary that is replaced because one instance's, or one domain's, link to it
-/// is cut: all others still serve with it.
+/// A primary must not be replaced because only one instance's or one domain's link to it is cut, as
+/// all others can still reach it.
 fn suspected_by_majority(votes: &[PeerVote]) -> bool {
     let count = votes.iter().filter(|vote| vote.suspects).count();
     let domains_all = domains_of(votes.iter());
@@ -146,8 +147,8 @@
     domains.len()
 }
 
-/// The place of an instance in the order in which instances try; it differs between versions, so
-/// that no instance is first for ever.
+/// Returns the rank of an instance in the order in which instances attempt the change. It differs
+/// between versions, so that no instance is always first.
 fn rank_of(
     instance: &InstanceName,
     epoch: LeaderEpoch,
@@ -163,12 +164,12 @@
     u32::try_from(ahead.count()).unwrap_or(u32::MAX)
 }
 
-/// The same on every instance, so that all agree on the order without a word.
+/// Hash that is the same on every instance, so that all agree on the order without communication.
 fn rank_hash(name: &str, epoch: LeaderEpoch) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), epoch.0)
 }
 
-/// The members that could take over, the most advanced log first.
+/// Sorts the members that could take over, the most advanced log first.
 pub(crate) fn order_candidates(
     mut reports: Vec<(MemberName, rudder_core::LogStamp)>,
 ) -> Vec<(MemberName, rudder_core::LogStamp)> {
--- a/crates/rudder-engine/src/lead/tests/history.rs
+++ b/crates/rudder-engine/src/lead/tests/history.rs
@@ -1,4 +1,4 @@
-//! Floors of reads with a bound.
+//! Floors of bounded-staleness reads.
 
 use super::ms;
 use crate::lead::PositionHistory;
@@ -14,7 +14,7 @@
 
 #[test]
 fn the_oldest_sample_within_the_bound_is_the_floor() {
-    // Asking for the newest position sends most reads away from replicas that are fresh enough.
+    // With the newest position as floor, most reads would skip replicas that are fresh enough.
     let history = history(&[(0, 1), (500, 5), (1000, 9), (1500, 20)]);
 
     assert_eq!(history.floor(ms(1000), ms(1800)), Some(LogStamp::new(1, 9)));
@@ -23,8 +23,8 @@
 
 #[test]
 fn without_a_recent_sample_there_is_no_floor() {
-    // Yesterday's picture as today's: with no word from the primary within the bound, nobody
-    // knows what has been committed since.
+    // Without a sample within the bound, the commits since are unknown. A floor from an older
+    // sample would let a read return rows that are older than its bound.
     let history = history(&[(0, 1), (500, 5)]);
 
     assert_eq!(history.floor(ms(1000), ms(1501)), None);
--- a/crates/rudder-engine/src/lead/tests/lease_table.rs
+++ b/crates/rudder-engine/src/lead/tests/lease_table.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_lease_starts_when_the_request_was_sent() {
-    // A store that is slow answers after a second. The record may have changed right after it was
-    // read there, so the answer's arrival says nothing.
+    // A slow store responds after a second. The record may have changed right after it was read
+    // there, so the arrival of the response proves nothing.
     let mut leases = LeaseTable::default();
 
     leases.observe(&settled(1, "a", 1, None), ms(1000), ms(2000));
@@ -18,8 +18,8 @@
 
 #[test]
 fn an_older_version_is_ignored() {
-    // An answer that was long on its way arrives after the primary was changed. Taking it for the
-    // present would give a lease for the old primary.
+    // A delayed response arrives after the primary was changed. Treating it as current would grant
+    // a lease for the old primary.
     let mut leases = LeaseTable::default();
     leases.observe(&settled(3, "b", 2, None), ms(100), ms(100));
 
@@ -32,8 +32,8 @@
 
 #[test]
 fn no_lease_is_granted_during_a_change_but_running_statements_may_finish() {
-    // A commit is on its way as another instance begins a planned change. It would be reported as
-    // unknown although the change waits for it.
+    // A commit is running when another instance begins a planned change. Without the closing lease
+    // its outcome would be reported as unknown, although the change waits for it.
     let mut leases = LeaseTable::default();
     leases.observe(&settled(1, "a", 1, None), ms(0), ms(0));
     let lease = leases.lease(ms(10)).expect("a lease");
@@ -62,8 +62,8 @@
 
 #[test]
 fn a_floor_beyond_the_promoted_log_is_lowered_to_its_end() {
-    // A session's commit at 1:90 was lost: the member that was promoted had received 80. No log
-    // will ever reach 1:90, so a session that waits for it would never read again.
+    // A session's commit at 1:90 was lost: the promoted member had received only 1:80. No log
+    // reaches 1:90 again, so a session that waits for it would never read again.
     let record = settled(3, "b", 2, Some(LogStamp::new(1, 80)));
 
     assert_eq!(record.reachable(LogStamp::new(1, 90)), LogStamp::new(1, 80));
--- a/crates/rudder-engine/src/lead/tests/message.rs
+++ b/crates/rudder-engine/src/lead/tests/message.rs
@@ -1,12 +1,12 @@
-//! The messages of the model.
+//! Messages of the model.
 
 use crate::lead::{LeadRecord, LeaderEpoch};
 use std::time::Duration;
 
-/// What travels between instances, or from the store.
+/// Message between instances, or from the store.
 #[derive(Clone, Debug)]
 pub(super) enum Message {
-    /// What the store or a peer answered to a process.
+    /// Response of the store or a peer to a process.
     Record {
         to: usize,
         process: u64,
@@ -39,7 +39,7 @@
         from: usize,
         epoch: u64,
     },
-    /// The store's answer to the process that wrote its entry.
+    /// Response of the store to the process that wrote its entry.
     Registered {
         to: usize,
         process: u64,
@@ -48,7 +48,7 @@
 }
 
 impl Message {
-    /// The instance that gets it.
+    /// Returns the receiving instance.
     pub(super) fn receiver(&self) -> usize {
         match self {
             Self::Record { to, .. }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The process that asked for it, if it is an answer.
+    /// Returns the process that sent the request, if this is a response.
     pub(super) fn requester(&self) -> Option<u64> {
         match self {
             Self::Record { process, .. }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether an instance sent it, not the store.
+    /// Returns whether an instance sent the message, rather than the store.
     pub(super) fn is_between_peers(&self) -> bool {
         !matches!(self, Self::Record { from_store: true, .. } | Self::Registered { .. })
     }
--- a/crates/rudder-engine/src/lead/tests/mod.rs
+++ b/crates/rudder-engine/src/lead/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of what decides who leads.
+//! Tests of leases, changes of primary and position histories.
 
 mod history;
 mod lease_table;
--- a/crates/rudder-engine/src/lead/tests/model.rs
+++ b/crates/rudder-engine/src/lead/tests/model.rs
@@ -1,4 +1,5 @@
-//! Instances, a store and messages in memory, driven step by step by a random source.
+//! In-memory model of instances, a store and messages, driven step by step by a random number
+//! generator.
 
 mod change;
 mod subscriber;
@@ -13,45 +14,46 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// Instances of the model.
+/// Number of instances.
 const INSTANCES: usize = 5;
 
-/// Where a split divides the instances.
+/// Index at which a network partition divides the instances.
 const PARTITION_AT: usize = 2;
 
-/// Instances that may be out of the list at once.
+/// Maximum number of instances that are missing from the list at the same time.
 const UNLISTED_MAX: usize = 2;
 
-/// A guard that can be taken out, to see that the schedules need it.
+/// Safety check that can be disabled, to show that the schedules depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DisabledCheck {
     Nothing,
-    /// Answers go out without another look at the lease.
+    /// Responses are sent without checking the lease again.
     LeaseAtResponse,
-    /// The promotion does not wait for instances that are silent.
+    /// The promotion does not wait for instances that do not respond.
     WaitForExpiry,
-    /// An instance says that it stopped, and goes on.
+    /// An instance confirms its stop without stopping.
     StopBeforeNotice,
-    /// A read of the store counts from its arrival.
+    /// The age of a store read counts from its arrival.
     AgeOfStoreRead,
-    /// A peer's word counts from its arrival.
+    /// The age of a peer's response counts from its arrival.
     AgeOfPeerResponse,
-    /// What was said before the own entry stood in the list counts as well.
+    /// Confirmations from before the instance's own entry was in the list count as well.
     EntryBeforeConfirmation,
-    /// A peer's later answer to the same question counts from its arrival.
+    /// The age of a peer's repeated response to the same request counts from its arrival.
     AgeOfRepeatedResponse,
 }
 
-/// What happens to the list of instances during a schedule.
+/// Changes of the instance list during a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListChanges {
-    /// All instances stand in it throughout.
+    /// All instances stay registered.
     Nothing,
-    /// Instances are replaced: their entries go, and their successors enter it at any moment.
+    /// Instances are replaced: their entries are removed, and their successors register at any
+    /// time.
     Replaced,
 }
 
-/// Whether questions between instances are answered more than once.
+/// Whether requests between instances get more than one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RepeatedResponses {
     Never,
@@ -63,35 +65,35 @@
     frozen_until: Duration,
     used_leases: Vec<LeaderLease>,
     change: Option<Change>,
-    /// Whether it has read the store since it started.
+    /// Whether it has read the store since its start.
     has_read: bool,
-    /// Counts its processes.
+    /// Number of its current process; increases with each restart.
     process: u64,
     entry: OwnEntry,
-    /// Whose questions it answers again when it knows more.
+    /// Processes that receive another response when this instance has newer state.
     subscribers: Vec<Subscriber>,
-    /// Its last question to all, and who confirmed.
+    /// Its latest request to all instances, and the instances that confirmed it.
     request_id: u64,
     confirmed_by: Vec<usize>,
 }
 
-/// One run of the model.
+/// Run of the model.
 pub(super) struct Model {
     now: Duration,
     record: LeadRecord,
     instances: Vec<Instance>,
-    /// Messages with the time at which they arrive.
+    /// Messages with their arrival times.
     messages: Vec<(Duration, Message)>,
-    /// The greatest epoch for which a promotion was ordered.
+    /// Highest epoch for which a promotion was ordered.
     promoted: u64,
-    /// Until when the store answers nobody but the first instance.
+    /// End of an outage in which the store responds only to the first instance.
     outage_until: Duration,
-    /// Until when the first two instances and the others do not hear each other.
+    /// End of a partition between the first two instances and the others.
     partitioned_until: Duration,
     last_request_id: u64,
     list_changes: ListChanges,
     repeated_responses: RepeatedResponses,
-    /// Which instances the store lists.
+    /// Whether the store lists each instance.
     listed: [bool; INSTANCES],
     disabled_check: DisabledCheck,
     pub(super) acknowledgments: u32,
@@ -132,13 +134,13 @@
         }
     }
 
-    /// The same with questions that are answered again whenever there is newer knowledge.
+    /// Enables repeated responses to a request whenever newer state is known.
     pub(super) fn with_repeated_responses(mut self) -> Self {
         self.repeated_responses = RepeatedResponses::WhenRenewed;
         self
     }
 
-    /// One step; an error tells of a broken promise.
+    /// Performs one step; an error describes a violated guarantee.
     pub(super) fn step(&mut self, rng: &mut StdRng) -> Result<(), String> {
         self.now += ms(rng.random_range(0..16));
         self.deliver(rng);
@@ -165,7 +167,7 @@
         Ok(())
     }
 
-    /// Mostly fast, at times slow, at times never.
+    /// Sends a message that usually arrives fast, sometimes late and sometimes never.
     fn send(&mut self, from: usize, message: Message, rng: &mut StdRng) {
         if self.now < self.partitioned_until && crosses_partition(from, &message) {
             return;
@@ -196,7 +198,7 @@
         let to = message.receiver();
         let now = self.now;
         if now < self.instances[to].frozen_until {
-            // A frozen machine finds it when it wakes.
+            // A suspended instance receives the message when it resumes.
             self.messages.push((self.instances[to].frozen_until, message));
             return;
         }
@@ -267,16 +269,17 @@
         }
     }
 
-    /// Whether the process that asked is still there to get the answer.
+    /// Returns whether the process that sent the request still runs and can receive the response.
     ///
-    /// An answer of the store comes on a connection, which ends with its process; a peer's answer
-    /// names a question, and a new process takes none to questions that it did not ask.
+    /// A response of the store arrives on a connection, which ends with its process. A peer's
+    /// response names a request, and a new process ignores responses to requests that it did not
+    /// send.
     fn is_for_current_process(&self, message: &Message) -> bool {
         let process = self.instances[message.receiver()].process;
         message.requester().is_none_or(|requester| requester == process)
     }
 
-    /// Takes in that `from` knew of no later version than `epoch` after `request_sent_at`.
+    /// Applies that `from` knew no later version than `epoch` after `request_sent_at`.
     fn handle_confirmation(
         &mut self,
         to: usize,
@@ -317,7 +320,7 @@
         self.send(from, Message::Request { to, from, process, request_sent_at, request_id }, rng);
     }
 
-    /// A process is killed and starts again; it knows nothing of before.
+    /// Restarts an instance, which loses all its state.
     fn restart(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         instance.process += 1;
@@ -329,7 +332,7 @@
         instance.confirmed_by.clear();
     }
 
-    /// An instance is replaced by one that is not in the list, or such a one enters it.
+    /// Replaces an instance by one that is not in the list, or registers such an instance.
     fn replace_instances(&mut self, index: usize, rng: &mut StdRng) {
         let unlisted = self.listed.iter().filter(|listed| !**listed).count();
         match rng.random_range(0..400) {
@@ -384,7 +387,7 @@
         }
     }
 
-    /// An answer came from the member; it goes out if the lease still holds.
+    /// Completes a statement; its response is sent if the lease still holds.
     fn end_statement(&mut self, index: usize) -> Result<(), String> {
         let now = self.now;
         let instance = &mut self.instances[index];
@@ -413,7 +416,7 @@
     }
 }
 
-/// Whether what was said of the record at `confirmed_at` may give an instance a lease.
+/// Returns whether a confirmation of the record at `confirmed_at` may grant a lease to an instance.
 fn may_grant_lease(
     disabled_check: DisabledCheck,
     instance: &Instance,
@@ -426,7 +429,7 @@
     }
 }
 
-/// Whether a message is between instances that a split divides.
+/// Returns whether a message crosses the partition.
 fn crosses_partition(from: usize, message: &Message) -> bool {
     message.is_between_peers() && (from < PARTITION_AT) != (message.receiver() < PARTITION_AT)
 }
--- a/crates/rudder-engine/src/lead/tests/model/change.rs
+++ b/crates/rudder-engine/src/lead/tests/model/change.rs
@@ -8,17 +8,17 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// How long an intent entitles its writer to promote, as in the driver.
+/// Time for which an intent permits its writer to promote, as in the driver.
 const HOLD_TIME: Duration = Duration::from_millis(2600);
 
-/// A change that an instance has under way.
+/// Change that an instance carries out.
 #[derive(Clone)]
 pub(super) struct Change {
     pub(super) epoch: u64,
     written_by: Duration,
-    /// Whether the list was read after the intent was written.
+    /// Whether the instance list was read after the intent was written.
     listed: bool,
-    /// Those whom it waits for, itself included.
+    /// Instances that the change waits for, including its own.
     entries: Vec<usize>,
     pub(super) stopped: Vec<usize>,
     most_since: Option<Duration>,
@@ -28,7 +28,7 @@
     pub(super) fn begin_change(&mut self, index: usize, rng: &mut StdRng) {
         let known = self.instances[index].leases.epoch();
         let busy = self.instances[index].change.is_some();
-        // The condition of the write: nobody wrote since.
+        // Condition of the write: the record has not changed since it was read.
         if busy || known != self.record.epoch || known.0 == 0 || self.is_cut_off_from_store(index) {
             return;
         }
--- a/crates/rudder-engine/src/lead/tests/model/subscriber.rs
+++ b/crates/rudder-engine/src/lead/tests/model/subscriber.rs
@@ -1,4 +1,4 @@
-//! Questions that are answered again whenever there is newer knowledge.
+//! Requests that get another response whenever newer state is known.
 
 use super::{DisabledCheck, Model};
 use crate::lead::tests::message::Message;
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// A process that has asked an instance for the record.
+/// Process that has requested the record from an instance.
 #[derive(Clone, Debug)]
 pub(super) struct Subscriber {
     pub(super) from: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Model {
-    /// Answers earlier questions again, in moments counted from when each question came.
+    /// Responds again to earlier requests, with times relative to the receipt of each request.
     pub(super) fn notify_subscribers(&mut self, index: usize, rng: &mut StdRng) {
         let leases = &self.instances[index].leases;
         let Some(record) = leases.record().cloned() else { return };
@@ -26,7 +26,7 @@
             let Subscriber { from, process, request_sent_at, received_at } = subscriber;
             let offset = QuestionOffset::of(known_at, received_at);
             let confirmed_at = match self.disabled_check {
-                // The age is taken off the moment of arrival, which is at most this much later.
+                // The age is subtracted from the time of arrival, which is at most this much later.
                 DisabledCheck::AgeOfRepeatedResponse => known_at + ms(3000),
                 _ => offset.map_or(Duration::ZERO, |offset| offset.since(request_sent_at)),
             };
--- a/crates/rudder-engine/src/lead/tests/schedules.rs
+++ b/crates/rudder-engine/src/lead/tests/schedules.rs
@@ -1,19 +1,20 @@
-//! Generated schedules: no answer for a superseded primary, whatever is lost, late or frozen.
+//! Generated schedules: no response for a superseded primary, although messages are lost or late
+//! and instances are suspended.
 
 use super::model::{DisabledCheck, ListChanges, Model};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Schedules in a usual run. `RUDDER_LEAD_SCHEDULES` sets another number.
+/// Default number of schedules. `RUDDER_LEAD_SCHEDULES` sets another number.
 const SCHEDULES: u64 = 2000;
 
-/// Steps of one schedule: some half a minute.
+/// Steps of one schedule: about half a minute.
 const STEPS: u32 = 1500;
 
-/// A schedule in which a new instance leads by word from before its entry.
+/// Schedule in which a new instance gets a lease from a confirmation made before its registration.
 const REGISTRATION_SEED: u64 = 64_702;
 
-/// A schedule in which a later answer that counts from its arrival does so.
+/// Schedule in which a repeated response that counts from its arrival renews a lease.
 const REPEATED_RESPONSE_SEED: u64 = 2143;
 
 fn schedules() -> u64 {
@@ -21,7 +22,7 @@
     requested.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-/// Plays schedules until one breaks a promise; counts answers and promotions.
+/// Runs schedules until one violates a guarantee; counts acknowledgments and promotions.
 fn run_schedules(count: u64, changes: ListChanges) -> Result<(u64, u64), String> {
     let (mut acknowledgments, mut promotions) = (0, 0);
     for seed in 0..count {
@@ -51,9 +52,9 @@
 
 #[test]
 fn no_instance_answers_for_a_superseded_primary() {
-    // A crew's sheet is acknowledged by an instance that does not know that the primary was
-    // changed: the sheet is lost. Reads, words of peers and announcements are lost or seconds
-    // late, machines freeze at any step, and several instances try to change the primary.
+    // A commit that is acknowledged by an instance unaware of a change of primary is lost. Reads,
+    // peer responses and announcements are lost or seconds late, machines freeze at any step, and
+    // several instances try to change the primary.
     let (acknowledgments, promotions) =
         run_schedules(schedules(), ListChanges::Nothing).expect("no broken promise");
 
@@ -65,8 +66,8 @@
 
 #[test]
 fn each_check_is_needed() {
-    // Without any one of the guards a schedule finds an answer for a superseded primary. Searching
-    // for one takes a minute; these are the first that a search found.
+    // With any one check disabled, a schedule finds a response for a superseded primary. Searching
+    // for one takes a minute; these seeds are the first that a search found.
     for (disabled_check, seed) in [
         (DisabledCheck::LeaseAtResponse, 30),
         (DisabledCheck::WaitForExpiry, 0),
@@ -81,9 +82,9 @@
 
 #[test]
 fn no_instance_answers_for_a_superseded_primary_while_instances_are_replaced() {
-    // The same while instances are replaced: a change of primary waits for those that the list shows,
-    // and a successor enters it before, while or after the change reads it. Answers of the store and
-    // words of peers that it asked for before may arrive after its entry stands.
+    // A change of primary waits for the listed instances, and a successor registers before, while
+    // or after the change reads the list. Responses of the store and of peers that it requested
+    // earlier may arrive after its registration.
     let (acknowledgments, promotions) =
         run_schedules(schedules(), ListChanges::Replaced).expect("no broken promise");
 
@@ -95,7 +96,7 @@
 
 #[test]
 fn confirmations_from_before_the_registration_must_not_count() {
-    // The first seed that a search found.
+    // First failing seed that a search found.
     let outcome = run_schedule(
         DisabledCheck::EntryBeforeConfirmation,
         ListChanges::Replaced,
@@ -105,7 +106,7 @@
     assert!(outcome.is_err(), "the guard is not needed by seed {REGISTRATION_SEED}");
 }
 
-/// Guards against a lease that lives on by an answer which was long on its way to the instance.
+/// A response that was delayed on its way to the instance must not extend a lease.
 #[test]
 fn later_answers_to_a_question_renew_no_lease_of_a_superseded_primary() {
     let (mut acknowledgments, mut promotions) = (0, 0);
@@ -123,7 +124,7 @@
     );
 }
 
-/// Guards against the test above being one that nothing can fail.
+/// Shows that the test above fails without the check.
 #[test]
 fn repeated_responses_must_count_from_the_request() {
     let model = Model::new(DisabledCheck::AgeOfRepeatedResponse, ListChanges::Nothing)
--- a/crates/rudder-engine/src/lead/tests/suspicion.rs
+++ b/crates/rudder-engine/src/lead/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! When a change of primary is due.
+//! Conditions for a change of primary.
 
 use super::{changing, ms, settled};
 use crate::lead::{ChangeCause, GroupSigns, LeaseTable, PeerVote, judge_change};
@@ -8,7 +8,7 @@
     text.parse().expect("a name")
 }
 
-/// Votes of instances named after their failure domains; capitals suspect.
+/// Votes of instances named after their failure domains; upper case stands for a suspicion.
 fn votes(text: &str) -> Vec<PeerVote> {
     let vote = |(index, domain): (usize, char)| PeerVote {
         instance: name(&format!("i{index}")),
@@ -35,7 +35,7 @@
     leases
 }
 
-/// What the first in line would do, long after the signs were first seen.
+/// Decision of the instance that is ranked first, long after the observations began.
 fn decision(leases: &LeaseTable, signs: &GroupSigns, votes: &[PeerVote]) -> Option<ChangeCause> {
     let judge = |vote: &PeerVote| judge_change(leases, signs, &vote.instance, votes, ms(9000));
     votes.iter().find_map(judge)
@@ -43,7 +43,7 @@
 
 #[test]
 fn one_instance_with_a_cut_link_replaces_no_primary() {
-    // One instance's link to the primary is cut. All others serve with it; changing it would stop
+    // Only one instance's link to the primary is cut; all others can use it. A change would stop
     // every write for a second, and lose what the successor has not received.
     let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
 
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_short_interruption_replaces_no_primary() {
-    // A dropped packet is sent again after 0.2 s.
+    // A dropped packet is retransmitted after 0.2 s.
     let signs = GroupSigns { silent_since: Some(ms(8800)), ..healthy() };
 
     assert_eq!(decision(&led_by_a(), &signs, &votes("ABC")), None);
@@ -88,7 +88,7 @@
 
 #[test]
 fn an_unfinished_change_is_taken_over_after_its_timeout_or_its_holder_ended() {
-    // The holder may only be slow. Two at work at once would promote two members in turn.
+    // The holder may only be slow. Two concurrent changes would promote two members in turn.
     let mut leases = led_by_a();
     leases.observe(&changing(2, "x", "a"), ms(6000), ms(6000));
     let ended = GroupSigns { holder_ended: true, ..healthy() };
@@ -99,7 +99,8 @@
 
 #[test]
 fn instances_act_in_the_order_of_their_ranks() {
-    // All see the same signs at the same moment; only the first in line acts at once.
+    // All instances observe the same at the same time; only the one that is ranked first acts at
+    // once.
     let leases = led_by_a();
     let signs = GroupSigns { silent_since: Some(ms(0)), ..healthy() };
     let votes = votes("ABC");
