--- a/crates/rudder-engine/src/limits/claim.rs
+++ b/crates/rudder-engine/src/limits/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of operations that callers ask this instance for.
+//! Claims that this instance makes for the operations of its callers.
 
 use super::state::ReceivedResponse;
 use crate::clock::boot_time;
@@ -13,35 +13,37 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long an owner's answer is awaited before it, or the next one, is asked: a round trip between
-/// regions and a slow machine's turn.
+/// Time to wait for an owner's response before the next attempt, at the same owner or the next one:
+/// a round trip between regions and scheduling on a slow machine.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How long an operation waits for its claim in all. After it nobody is known to count.
+/// Total time that an operation waits for its claim. After it, no instance is known to count for
+/// the account.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The pause before the next owner is asked after one said that it does not count.
+/// Pause before the next owner is tried after one responded that it does not count.
 const NEXT_OWNER_PAUSE: Duration = Duration::from_millis(10);
 
-/// The time over which callers that were refused for a limit are spread, beyond the time until an
-/// operation is free.
+/// Random part of the retry delay of callers that were refused for a used-up limit, added to the
+/// time until an operation is available.
 const RETRY_JITTER_MS: std::ops::Range<u64> = 0..200;
 
-/// The time to come back where no owner answered.
+/// Retry delay if no owner responded.
 const UNANSWERED_RETRY_MS: std::ops::Range<u64> = 100..400;
 
-/// Why an operation may not run now. The texts are parts of the refusal that callers see.
+/// Reason why an operation may not run now. The texts are parts of the refusal that callers
+/// receive.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum ClaimError {
     /// the account's limit is used up
     Spent {
-        /// When to come back.
+        /// Delay before a retry.
         after: Duration,
     },
     /// the account's limit cannot be looked up
     Unanswered {
-        /// When to come back.
+        /// Delay before a retry.
         after: Duration,
     },
 }
@@ -74,7 +76,7 @@
 }
 
 impl ProxyEngine {
-    /// Claims one operation for the caller's account; at once where it has no limit.
+    /// Claims one operation for the caller's account. Returns at once if the account has no limit.
     pub(crate) async fn claim_operation(
         &self,
         access: &RouteAccess,
@@ -108,7 +110,8 @@
         account: &AccountName,
         deadline: Instant,
     ) -> Result<(), ClaimError> {
-        // Guards against callers that wait for what the one before them has just waited for in vain.
+        // Later claims of the account fail at once, as they would wait for the timeout that an
+        // earlier one has just reached.
         if self.limits().state().unanswered.contains(account, boot_time()) {
             return Err(ClaimError::unanswered());
         }
@@ -125,7 +128,8 @@
         result
     }
 
-    /// The instances that may count for an account; waits for them while this instance starts.
+    /// Returns the instances that may count for an account. Waits for them while this instance
+    /// starts.
     async fn await_owners(&self, account: &AccountName, deadline: Instant) -> Vec<LimitOwner> {
         loop {
             let owners = self.limit_owners(account);
@@ -196,7 +200,8 @@
         Err(ClaimError::unanswered())
     }
 
-    /// The next answer that decides, or that `awaited` does not count; none if the time is over.
+    /// Returns the next response that decides the claim, or the one by which `awaited` does not
+    /// count. Returns `None` at the deadline.
     async fn await_response(
         &self,
         owners: &[LimitOwner],
--- a/crates/rudder-engine/src/limits/mod.rs
+++ b/crates/rudder-engine/src/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Limits of client accounts: each operation is claimed at the instance that counts for its account.
+//! Operation limits of client accounts. Each operation is claimed at the instance that counts for
+//! its account.
 
 mod claim;
 mod owner;
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -1,4 +1,4 @@
-//! The part of an instance that counts for accounts.
+//! Counting of operations at the instance that owns an account's limit.
 
 use super::state::ReceivedResponse;
 use crate::clock::boot_time;
@@ -12,22 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Instances that may count for one account.
+/// Maximum number of instances that may count for one account.
 const OWNERS_MAX: usize = 3;
 
 impl ProxyEngine {
-    /// The instances that may count for an account, the first one first.
+    /// Returns the instances that may count for an account, in order of rank.
     pub(super) fn limit_owners(&self, account: &AccountName) -> Vec<LimitOwner> {
         self.membership().limit_owners(account, OWNERS_MAX)
     }
 
-    /// What the settings in force say of an account's limit.
+    /// Returns the account's limit under the settings in force.
     pub(super) fn operation_limit(&self, account: &AccountName) -> Option<OperationLimit> {
         let limit = self.settings()?.accounts.as_ref()?.limit(account)?;
         Some(limit.into())
     }
 
-    /// Whether this instance has had a sign of the store, by itself or by peers, a moment ago.
+    /// Returns whether this instance was recently in contact with the store, directly or through
+    /// peers, and for how long.
     fn fleet_contact(&self) -> FleetContact {
         let groups = self.groups().into_iter();
         let confirmed_at = groups.map(|group| group.with_leases(|leases| leases.anchor())).max();
@@ -43,15 +44,16 @@
         if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
     }
 
-    /// After how long with a sign of the fleet an instance knows that no other one counted for the
-    /// accounts that it is the first owner of.
+    /// Returns the time of contact with the fleet after which this instance knows that no other one
+    /// counted for the accounts whose first owner it is.
     fn settling_time(&self) -> Duration {
         self.identity().limit_bounds.window
     }
 
-    /// Judges a claim that was made here; one that does not count asks only who counts.
+    /// Decides a claim that was made here. Without `counts`, it only returns whether this
+    /// instance counts for the account.
     pub(super) async fn judge_claim(&self, account: &AccountName, counts: bool) -> ClaimVerdict {
-        // Whoever claims knows a limit; where this instance knows none yet, another one counts.
+        // The claiming instance knows a limit. If this instance knows none yet, another one counts.
         let Some(limit) = self.operation_limit(account) else { return ClaimVerdict::NotOwner };
         let Some((place, role)) = self.role_for(account).await else {
             return ClaimVerdict::NotOwner;
@@ -74,11 +76,12 @@
         verdict
     }
 
-    /// The place of this instance among an account's owners, and whether it counts for it; none if it
-    /// is no owner. Asks those before it whether they count.
+    /// Returns the rank of this instance among an account's owners and whether it counts for the
+    /// account, or `None` if it is no owner. Asks the owners that are ranked before it whether they
+    /// count.
     async fn role_for(&self, account: &AccountName) -> Option<(usize, OwnerRole)> {
         let own = &self.identity().name;
-        // Guards against a fleet that starts anew, in which each instance takes itself for the only one.
+        // Without a list, each instance of a restarting fleet would consider itself the only one.
         if !self.membership().knows_owners() {
             return None;
         }
@@ -109,7 +112,7 @@
         Some((place, OwnerRole::of(self.fleet_contact(), &standings)))
     }
 
-    /// Takes in the answer to a claim or to a question of this instance.
+    /// Applies the response to a claim or to a probe of this instance.
     pub(crate) fn take_claim_answer(&self, response: ClaimAnswer, from: SocketAddr) {
         let mut state = self.limits().state();
         match state.end_probe(response.request_id) {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Answers another instance's claim.
+/// Responds to another instance's claim.
 pub(crate) async fn answer_claim(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -138,7 +141,6 @@
     exchange.send(&PeerMessage::ClaimAnswer(response), from).await;
 }
 
-/// Milliseconds, rounded up.
 fn to_ms_rounded_up(time: Duration) -> u32 {
     u32::try_from(time.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/rudder-engine/src/limits/state.rs
+++ b/crates/rudder-engine/src/limits/state.rs
@@ -1,4 +1,4 @@
-//! What an instance remembers of the accounts' limits.
+//! State of the accounts' limits in one instance.
 
 use crate::peers::ClaimAnswer;
 use crate::sync::lock;
@@ -9,27 +9,27 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// An answer to a claim, and who gave it.
+/// Response to a claim, with its sender.
 #[derive(Debug)]
 pub(super) struct ReceivedResponse {
     pub(super) from: SocketAddr,
     pub(super) response: ClaimAnswer,
 }
 
-/// Who waits for the answers to a question.
+/// Claim that waits for its responses.
 struct PendingClaim {
     request_id: u64,
     sender: mpsc::UnboundedSender<ReceivedResponse>,
 }
 
-/// An owner that was asked whether it counts for an account.
+/// Request to an owner whether it counts for an account.
 struct PendingProbe {
     request_id: u64,
     account: AccountName,
     owner: InstanceName,
 }
 
-/// What an instance remembers of the accounts' limits.
+/// State of the accounts' limits in one instance.
 #[derive(Default)]
 pub(crate) struct AccountLimits {
     state: Mutex<LimitState>,
@@ -38,15 +38,15 @@
 pub(super) struct LimitState {
     pub(super) ledger: LimitLedger,
     pub(super) watch: OwnerWatch,
-    /// Owners that did not answer.
+    /// Owners that recently did not respond.
     pub(super) silent_owners: RecentNotes<InstanceName>,
-    /// Accounts whose claims nobody answered.
+    /// Accounts for whose claims no owner recently responded.
     pub(super) unanswered: RecentNotes<AccountName>,
-    /// Since when this instance has had a sign of the fleet all the time.
+    /// Time since when this instance has been in continuous contact with the fleet.
     pub(super) lost_at: Option<Duration>,
-    /// Sorted by question.
+    /// Sorted by request.
     claims: Vec<PendingClaim>,
-    /// Sorted by question.
+    /// Sorted by request.
     probes: Vec<PendingProbe>,
     last_request_id: u64,
 }
@@ -66,13 +66,13 @@
     }
 }
 
-/// How long an owner that did not answer is passed over.
+/// Time for which an owner that did not respond is skipped.
 const SILENT_OWNER_TIME: Duration = Duration::from_millis(1000);
 
-/// How long an account whose claim nobody answered is refused at once.
+/// Time for which an account's claims are refused at once after no owner responded.
 const UNANSWERED_TIME: Duration = Duration::from_millis(300);
 
-/// The most questions to earlier owners whose answers are awaited; the oldest one gives way.
+/// Maximum number of pending probes of earlier owners; the oldest one is dropped.
 const PROBES_MAX: usize = 1024;
 
 impl AccountLimits {
@@ -80,7 +80,7 @@
         lock(&self.state)
     }
 
-    /// Forgets the accounts that the settings no longer limit.
+    /// Removes the accounts that the settings no longer limit.
     pub(crate) fn retain(&self, is_limited: impl Fn(&AccountName) -> bool) {
         let mut state = self.state();
         state.ledger.retain(&is_limited);
@@ -94,10 +94,10 @@
         self.last_request_id
     }
 
-    /// Registers a claim; its answers come by the receiver.
+    /// Registers a claim; its responses arrive at the receiver.
     pub(super) fn begin_claim(&mut self) -> (u64, mpsc::UnboundedReceiver<ReceivedResponse>) {
         let request_id = self.next_request_id();
-        // A claim whose caller is gone ends without a word.
+        // A claim whose caller has disconnected ends without a call of `end_claim`.
         self.claims.retain(|claim| !claim.sender.is_closed());
         let (sender, responses) = mpsc::unbounded_channel();
         self.claims.push(PendingClaim { request_id, sender });
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Registers a question to an earlier owner.
+    /// Registers a probe of an owner that is ranked before this instance.
     pub(super) fn begin_probe(&mut self, account: &AccountName, owner: &InstanceName) -> u64 {
         let request_id = self.next_request_id();
         if self.probes.len() >= PROBES_MAX {
@@ -124,18 +124,18 @@
         request_id
     }
 
-    /// Takes out the question to an earlier owner that an answer is to.
+    /// Removes the probe that a response belongs to.
     pub(super) fn end_probe(&mut self, request_id: u64) -> Option<(AccountName, InstanceName)> {
         let found = self.probes.binary_search_by_key(&request_id, |probe| probe.request_id).ok()?;
         let probe = self.probes.remove(found);
         Some((probe.account, probe.owner))
     }
 
-    /// Hands an answer to the claim that waits for it, if it still does.
+    /// Passes a response to the claim that waits for it, if there still is one.
     pub(super) fn deliver(&self, received: ReceivedResponse) {
         let request_id = received.response.request_id;
         if let Ok(index) = self.claims.binary_search_by_key(&request_id, |claim| claim.request_id) {
-            // One that was granted meanwhile listens no more.
+            // A claim that was granted meanwhile has closed its receiver.
             let _ = self.claims[index].sender.send(received);
         }
     }
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Who counts for an account.
+//! Which instance counts for an account.
 
 use crate::clock::boot_time;
 use crate::engine::{ProxyEngine, RouteAccess};
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longer than an account is refused at once after nobody answered.
+/// Longer than the time for which an account is refused at once after no owner responded.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(400);
 
 fn account() -> AccountName {
@@ -33,7 +33,7 @@
         .with_accounts(accounts)
 }
 
-/// An instance that has had a sign of the fleet just now, and knows no list of instances.
+/// Returns an instance that was just in contact with the fleet and knows no instance list.
 fn engine() -> Arc<ProxyEngine> {
     engine_trusting(None)
 }
@@ -98,7 +98,8 @@
     granted
 }
 
-/// Guards against a fleet that starts anew, in which each instance grants a limit of its own.
+/// An instance without a list must not count: each instance of a restarting fleet would grant the
+/// whole limit.
 #[tokio::test]
 async fn an_instance_that_knows_no_list_counts_for_nobody() {
     let engine = engine();
@@ -109,8 +110,8 @@
     assert_eq!(granted_claims(&engine, 9).await, 3);
 }
 
-/// Guards against accounts that are refused for the second that the first list takes after a loss of
-/// power of all.
+/// After a power loss of all instances, accounts would otherwise be refused for the second that the
+/// first list takes.
 #[tokio::test]
 async fn a_starting_instance_counts_by_the_previous_list() {
     let engine = engine();
@@ -130,7 +131,7 @@
     assert_eq!(granted == 1, first[0].instance == engine.identity().name);
 }
 
-/// Guards against callers that each wait in vain for what the one before them waited for.
+/// Later claims of the account must not wait for the timeout that an earlier one has just reached.
 #[tokio::test]
 async fn an_account_without_a_responding_owner_is_refused_at_once_for_a_while() {
     let engine = engine();
@@ -142,7 +143,7 @@
     assert!(began_at.elapsed() < Duration::from_millis(200), "{:?}", began_at.elapsed());
 }
 
-/// Guards against an account that gets a new burst with each version of the settings.
+/// A new version of the settings must not give an account a new burst.
 #[tokio::test]
 async fn a_new_version_of_the_settings_refills_no_bucket() {
     let engine = engine();
@@ -156,7 +157,7 @@
     assert_eq!((first, granted_claims(&engine, 9).await), (3, 0));
 }
 
-/// Guards against an instance that counts on although it may be cut off from all others.
+/// An instance that may be isolated from all others must not keep counting.
 #[tokio::test(start_paused = true)]
 async fn an_instance_without_contact_to_the_fleet_counts_for_no_account() {
     let engine = engine();
@@ -169,8 +170,8 @@
     assert_eq!(granted_claims(&engine, 1).await, 0);
 }
 
-/// Guards against keys that were taken away and go on at an instance that has not heard of it, where
-/// the deployment wants such instances to refuse; and against refusals where it does not.
+/// Revoked keys must not stay valid at an instance without current settings, where the deployment
+/// is configured to refuse them there. Elsewhere such an instance must not refuse keys.
 #[tokio::test]
 async fn keys_are_trusted_without_a_confirmation_only_if_configured() {
     let (database, key) = (DatabaseName("db".to_owned()), KeyDigest::of("key-one"));
