--- a/crates/rudder-engine/src/own_entry.rs
+++ b/crates/rudder-engine/src/own_entry.rs
@@ -1,25 +1,25 @@
-//! This instance's own entry in the list of instances, and whether it may lead by it.
+//! Registration of this instance in the instance list, and whether it permits leases.
 //!
-//! A change of primary waits for the instances that the list shows. So leases are only good for an
-//! instance whose entry stood before the record was read that gives them, and still stands.
+//! A change of primary waits for the instances in the list. A lease is therefore valid only if the
+//! instance's entry was in the list before the record that grants it was read, and still is.
 
 use crate::peers::LISTED_LIFE;
 use std::time::Duration;
 
-/// What is known of the own entry.
+/// State of the own entry as known to this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OwnEntry {
-    /// The latest moment at which the list showed the entry without a mark; none while it does not.
+    /// Latest time at which the list showed the entry without a mark; `None` while it does not.
     listed_at: Option<Duration>,
-    /// By when the entry stood; it has not been missing since.
+    /// Time by which the entry was in the list; it has not been missing since.
     registered_by: Duration,
-    /// Whether this process is leaving the list, for good.
+    /// Whether this process leaves the list for good.
     has_left: bool,
 }
 
 impl OwnEntry {
-    /// Takes in that the list showed the entry at `listed_at`, which is known at `now`; returns
-    /// whether it was not known to stand before.
+    /// Records that the list showed the entry at `listed_at`, which is known at `now`. Returns
+    /// whether the entry was not known to be in the list before.
     pub(crate) fn show(&mut self, listed_at: Duration, now: Duration) -> bool {
         if self.has_left {
             return false;
@@ -32,29 +32,30 @@
         registered
     }
 
-    /// Takes in that the list lacks the entry.
+    /// Records that the list lacks the entry.
     pub(crate) fn hide(&mut self) {
         self.listed_at = None;
     }
 
-    /// Takes in that this process is about to remove the entry, and ends then.
+    /// Records that this process is about to remove its entry and to end.
     ///
-    /// Guards against a read of the list that was sent before and is answered after: it shows the
-    /// entry, and by it this instance would lead while changes wait for it no more.
+    /// A read of the list that was sent before and completes afterwards still shows the entry. By
+    /// it, this instance would lead while changes of primary no longer wait for it.
     pub(crate) fn leave(&mut self) {
         self.hide();
         self.has_left = true;
     }
 
-    /// Takes in that the list still showed the entry at `listed_at`.
+    /// Records that the list still showed the entry at `listed_at`.
     pub(crate) fn renew(&mut self, listed_at: Duration) {
         self.listed_at = self.listed_at.map(|known| known.max(listed_at));
     }
 
-    /// Takes in that a list which the store had at `read_at` lacks the entry; returns whether it stood
-    /// before.
+    /// Records that the list that the store had at `read_at` lacks the entry. Returns whether the
+    /// entry was in the list before.
     ///
-    /// Guards against an instance that leads on an entry which is gone, as nobody shows it the list.
+    /// An instance must not lead by an entry that was removed while no peer sends it a list that
+    /// shows the entry.
     pub(crate) fn miss(&mut self, read_at: Duration) -> bool {
         let removed = self.listed_at.is_some() && read_at > self.registered_by;
         if removed {
@@ -63,17 +64,17 @@
         removed
     }
 
-    /// Whether the list was last known to show the entry longer than `time` ago, or not at all.
+    /// Returns whether the list was last known to show the entry longer than `time` ago, or not at
+    /// all.
     pub(crate) fn is_unconfirmed_for(&self, time: Duration, now: Duration) -> bool {
         !self.has_left && self.listed_at.is_none_or(|at| now >= at + time)
     }
 
-    /// Whether what was said of a record at `confirmed_at` may give leases.
+    /// Returns whether a confirmation of a record at `confirmed_at` may grant a lease.
     ///
-    /// Guards against a lease of an instance that is just entering the list: the record was read,
-    /// then a change of primary began and read the list, and only then the entry was there. The
-    /// change does not wait for this instance, so what was read before the entry stood counts for
-    /// nothing.
+    /// While an instance registers, the record may be read first, then a change of primary may
+    /// begin and read the list, and only then the entry may be written. That change does not wait
+    /// for this instance, so confirmations from before the registration do not count.
     pub(crate) fn may_lead_by(&self, confirmed_at: Duration, now: Duration) -> bool {
         let stands = self.listed_at.is_some_and(|at| now < at + LISTED_LIFE);
         stands && confirmed_at >= self.registered_by
--- a/crates/rudder-engine/src/own_entry/tests.rs
+++ b/crates/rudder-engine/src/own_entry/tests.rs
@@ -8,10 +8,9 @@
 
 #[test]
 fn a_record_that_was_read_before_the_entry_stood_gives_no_lease() {
-    // A commit is acknowledged at a primary that has just been replaced. An instance starts: its
-    // read of the record is done, then another instance begins a change and reads the list, then the
-    // new one's entry is written, and both answers arrive. Nobody asked it to stop, and it went by
-    // what it had read.
+    // An instance reads the record, another one begins a change and reads the list, and then the
+    // new instance registers. The change does not wait for it, so the record that it read must not
+    // permit acknowledgments for the replaced primary.
     let mut entry = OwnEntry::default();
 
     let registered = entry.show(ms(100), ms(140));
@@ -60,9 +59,9 @@
 
 #[test]
 fn an_instance_that_leaves_does_not_lead_by_an_older_look_at_the_list() {
-    // A commit is acknowledged at a primary that has just been replaced. An instance that stops
-    // removes its entry, a change begins and does not wait for it, and then the answer to its last
-    // look at the list arrives, which still showed the entry.
+    // A stopping instance removes its entry, and a change that does not wait for it begins. The
+    // response to its last read of the list, which still shows the entry, must not permit
+    // acknowledgments for the replaced primary.
     let mut entry = OwnEntry::default();
     entry.show(ms(100), ms(140));
     entry.leave();
@@ -73,7 +72,7 @@
     assert!(!entry.may_lead_by(ms(5040), ms(5050)));
 }
 
-/// Guards against an instance that leads on an entry which somebody has removed.
+/// An instance must not lead by an entry that another instance has removed.
 #[test]
 fn an_entry_that_a_later_list_lacks_gives_no_lease() {
     let second = Duration::from_secs;
