--- a/crates/rudder-engine/src/store_snapshot.rs
+++ b/crates/rudder-engine/src/store_snapshot.rs
@@ -1,4 +1,5 @@
-//! What the store last said of members, in which version, and when it last said that all is current.
+//! Last known state of the store: the member list with its version, and when members and settings
+//! were last confirmed as current.
 
 use crate::group::MemberEntry;
 use crate::peers::{CopiedList, ListDigest, ListHistory};
@@ -6,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How long a peer counts as one that answers; longer than the pause between two questions.
+/// Time for which a peer counts as responding; longer than the pause between two requests.
 const PEER_RESPONSE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Orders lists of members: by the store's revision, then by the changes that this instance's
-/// patience with missing entries made to the list of one revision.
+/// Version of a member list. Ordered by the store's revision, then by the changes that the end of
+/// this instance's grace period for missing entries made to the list of one revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,25 +20,25 @@
     local_change: u32,
 }
 
-/// The store's word, as far as this instance has it.
+/// State of the store as known to this instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StoreSnapshot {
     members: Vec<MemberEntry>,
-    /// The last versions of the list.
+    /// Recent versions of the list.
     history: ListHistory<MemberEntry>,
     version: MembersVersion,
-    /// The latest moment at which the list of members is known to have been current.
+    /// Latest time at which the member list is known to have been current.
     members_at: Option<Duration>,
-    /// The same of the settings.
+    /// Latest time at which the settings are known to have been current.
     settings_at: Option<Duration>,
-    /// The latest moment of which a peer said that both were current then.
+    /// Latest time at which both were current according to a peer.
     confirmed_by_peer_at: Option<Duration>,
-    /// When a peer that tells this instance was last heard.
+    /// Time of the last response of a peer that provides this instance with state.
     peer_responded_at: Option<Duration>,
 }
 
 impl StoreSnapshot {
-    /// Takes in the members as the store has them at `revision`; returns whether they differ.
+    /// Applies the members that the store has at `revision`. Returns whether they differ.
     pub(crate) fn take_members(&mut self, members: &[MemberEntry], revision: u64) -> bool {
         if self.members == members {
             return false;
@@ -51,15 +52,16 @@
         true
     }
 
-    /// Whether nothing is known of the members yet.
+    /// Returns whether no members are known yet.
     pub(crate) fn is_blank(&self) -> bool {
         self.version == MembersVersion::default() && self.members.is_empty()
     }
 
-    /// Takes in the members that a peer knows of, unless those known are as new; returns whether
+    /// Applies the members that a peer knows, unless the known ones are as new. Returns whether
     /// they differ.
     ///
-    /// Guards against members that come back: a peer that the store turned away knows an old list.
+    /// A peer that the store does not respond to has an old list, which must not restore removed
+    /// members.
     pub(crate) fn take_copy(&mut self, members: &[MemberEntry], version: MembersVersion) -> bool {
         if version <= self.version {
             return false;
@@ -76,40 +78,41 @@
         self.history.record(&self.members);
     }
 
-    /// The list of members for one who knows the list of `base`.
+    /// Returns the member list for an instance that knows the list of `base`.
     pub(crate) fn copy_members(&self, base: ListDigest) -> CopiedList<MemberEntry, MemberName> {
         self.history.copy_for(base)
     }
 
-    /// The digest of the list of members.
+    /// Returns the digest of the member list.
     pub(crate) fn members_digest(&self) -> ListDigest {
         self.history.digest()
     }
 
-    /// Takes in that the list of members is current at `now`.
+    /// Records that the member list is current at `now`.
     pub(crate) fn confirm_members(&mut self, now: Duration) {
         self.members_at = self.members_at.max(Some(now));
     }
 
-    /// Takes in that the settings in force are current at `now`.
+    /// Records that the settings in force are current at `now`.
     pub(crate) fn confirm_settings(&mut self, now: Duration) {
         self.settings_at = self.settings_at.max(Some(now));
     }
 
-    /// Takes in a peer's word that both were current at `confirmed_at`, in the versions known here.
+    /// Records that both were current at `confirmed_at` according to a peer, in the versions known
+    /// here.
     pub(crate) fn note_told(&mut self, confirmed_at: Duration) {
         self.confirm_members(confirmed_at);
         self.confirm_settings(confirmed_at);
         self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(Some(confirmed_at));
     }
 
-    /// Takes in that a peer answered, whatever it knows.
+    /// Records that a peer responded, whatever state it has.
     pub(crate) fn note_heard(&mut self, now: Duration) {
         self.peer_responded_at = Some(now);
     }
 
-    /// Whether peers said less than `timeout` ago, or less than `extended_timeout` if they still answer, that
-    /// both are current.
+    /// Returns whether peers confirmed both as current less than `timeout` ago, or less than
+    /// `extended_timeout` ago if they still respond.
     pub(crate) fn is_told(
         &self,
         timeout: Duration,
@@ -122,22 +125,22 @@
         self.confirmed_by_peer_at.is_some_and(|at| now < at + timeout)
     }
 
-    /// The members, and their version.
+    /// Returns the members and their version.
     pub(crate) fn members(&self) -> (&[MemberEntry], MembersVersion) {
         (&self.members, self.version)
     }
 
-    /// When the list of members was last known to be current.
+    /// Returns when the member list was last known to be current.
     pub(crate) fn members_at(&self) -> Option<Duration> {
         self.members_at
     }
 
-    /// When the settings in force were last known to be current.
+    /// Returns when the settings in force were last known to be current.
     pub(crate) fn settings_at(&self) -> Option<Duration> {
         self.settings_at
     }
 
-    /// When members and settings were both last known to be current.
+    /// Returns when members and settings were both last known to be current.
     pub(crate) fn confirmed_at(&self) -> Option<Duration> {
         self.members_at.zip(self.settings_at).map(|(members, settings)| members.min(settings))
     }
--- a/crates/rudder-engine/src/store_snapshot/tests.rs
+++ b/crates/rudder-engine/src/store_snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is taken from the store and from peers.
+//! Tests of state received from the store and from peers.
 
 use super::StoreSnapshot;
 use crate::fixtures::member_entry;
@@ -6,9 +6,9 @@
 
 #[test]
 fn an_outdated_peer_restores_no_removed_member() {
-    // A member that is gone gets requests again, and another service answers at its address. An
-    // instance knows from the store that the member left; a peer that the store turned away still
-    // has the list of before, and hands it on.
+    // A removed member would get requests again, and another service may run at its address. A peer
+    // that the store does not respond to still has the old list and sends it to an instance that
+    // knows of the removal.
     let mut stale = StoreSnapshot::default();
     stale.take_members(&[member_entry("a"), member_entry("b")], 7);
     let mut snapshot = StoreSnapshot::default();
@@ -23,8 +23,9 @@
 
 #[test]
 fn a_list_that_changed_without_the_store_is_newer_than_before() {
-    // After an outage entries that are missing are believed for a moment. As that ends, the list
-    // changes although the store's revision does not, and those who fetch it must see that.
+    // After a store outage, missing entries are kept for a grace period. When it ends, the list
+    // changes without a new revision of the store, and instances that fetch it must recognize the
+    // change.
     let mut reader = StoreSnapshot::default();
     reader.take_members(&[member_entry("a"), member_entry("b")], 7);
     let mut follower = reader.clone();
@@ -60,7 +61,7 @@
     assert_eq!(snapshot.confirmed_at(), Some(Duration::from_secs(5)));
 }
 
-/// Guards against an outage of the store that is filled with the calls of a whole fleet.
+/// During a store outage, the calls of a whole fleet must not load the store.
 #[test]
 fn an_instance_whose_peer_answers_waits_longer() {
     let at = Duration::from_millis;
@@ -76,7 +77,7 @@
     assert!(!responding.is_told(timeout, extended_timeout, at(15_000)), "not for ever");
 }
 
-/// Guards against an instance that never asks the store, as its peers know no more than it does.
+/// An instance whose peers know no more than itself must still poll the store.
 #[test]
 fn an_instance_without_a_confirmation_by_peers_polls_the_store() {
     let mut snapshot = StoreSnapshot::default();
@@ -88,7 +89,7 @@
     assert!(!confirmed);
 }
 
-/// Guards against members of long ago that stay in place of those which peers have from the store.
+/// Members from an old list must not take precedence over those that peers have from the store.
 #[test]
 fn an_initial_list_is_replaced_by_any_list_of_the_store() {
     let mut snapshot = StoreSnapshot::default();
