--- a/crates/rudder-engine/src/peers/entries.rs
+++ b/crates/rudder-engine/src/peers/entries.rs
@@ -1,59 +1,60 @@
-//! When an instance is taken out of the list that the store keeps.
+//! Removal of instances from the list that the store keeps.
 //!
-//! Load pattern: machines fail and are replaced, dozens a day in a large fleet, and most of them
-//! say nothing before. If they stay in the list, each change of primary waits for words that never
-//! come, connections are set aside for nobody, and once most of the list is gone no majority is
-//! reached any more.
+//! Load pattern: machines fail and are replaced, dozens a day in a large fleet, and most of them do
+//! not deregister. If their entries stayed, each change of primary would wait for stop notices that
+//! never arrive, connections would be reserved for instances that no longer run, and once most of
+//! the listed instances had failed, no majority could be reached.
 //!
-//! An instance that is taken out holds no lease, because it loses it first: it leads only while a
-//! read of its own has shown its entry without a mark less than [`LISTED_LIFE`] ago, and a marked
-//! entry is removed only once the mark has stood for longer, [`MARK_TIMEOUT`]. One that lives sees the
-//! mark with its next read, and takes it away.
+//! A removed instance holds no lease, because it loses the lease first: it leads only while a read
+//! of its own has shown its entry without a mark less than [`LISTED_LIFE`] ago, and a marked entry
+//! is removed only after the mark has been in place for longer, [`MARK_TIMEOUT`]. A running
+//! instance sees the mark with its next read and clears it.
 
 use rudder_core::InstanceName;
 use std::time::Duration;
 
-/// How long an instance of the own failure domain must not have been heard before it is marked: a
-/// minute of lost heartbeats is no bad link, and a restart takes a second or two.
+/// Time without heartbeats after which an instance of the own failure domain is marked. A bad link
+/// does not lose heartbeats for a minute, and a restart takes only a second or two.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a mark stands before the entry is removed.
+/// Time for which a mark is in place before the entry is removed.
 const MARK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long an entry that was read lets its instance lead. Longer than the pause between two reads
-/// of the list (30 s) and some that fail; shorter than [`MARK_TIMEOUT`] by far more than two machines'
-/// clocks drift apart in that time.
+/// Time for which a read of its entry permits an instance to lead. Longer than the pause between
+/// two reads of the list (30 s) and several failed reads; shorter than [`MARK_TIMEOUT`] by far more
+/// than the clocks of two machines drift apart in that time.
 pub(crate) const LISTED_LIFE: Duration = Duration::from_secs(45);
 
-/// What is to be done with an entry of the list.
+/// Decision on an entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryVerdict {
-    /// It stays as it is.
+    /// The entry stays unchanged.
     Keep,
-    /// It is marked.
+    /// The entry is marked.
     Mark,
-    /// It is removed, on condition that nobody has written it since the mark was seen.
+    /// The entry is removed, on condition that it was not written since the mark was observed.
     Remove,
 }
 
-/// Since when an entry has shown a mark here, or its instance nothing.
+/// Time since when this reader has observed an entry's mark, or its instance without heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct EntryWatch {
     instance: InstanceName,
-    /// The version of the entry.
+    /// Version of the entry.
     version: String,
     marked: bool,
     since: Duration,
 }
 
-/// What one reader remembers of the entries of its failure domain, sorted by instance.
+/// Entries of one reader's failure domain as observed so far, sorted by instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryLedger {
     watches: Vec<EntryWatch>,
 }
 
 impl EntryLedger {
-    /// Judges one entry as it was read at `now`; `heard_at` is when its instance was last heard.
+    /// Decides on one entry as it was read at `now`. `heard_at` is when the last heartbeat of its
+    /// instance was received.
     pub(crate) fn judge(
         &mut self,
         instance: &InstanceName,
@@ -70,7 +71,7 @@
             since: now,
         };
         let index = match index {
-            // Another version is another word of its instance, or another mark.
+            // A new version means that the instance rewrote its entry, or that the mark changed.
             Ok(index) if self.watches[index].version != version => {
                 self.watches[index] = new_watch;
                 index
@@ -91,7 +92,7 @@
         if expired { EntryVerdict::Mark } else { EntryVerdict::Keep }
     }
 
-    /// Forgets the entries that are not in the list any more.
+    /// Removes the entries that are no longer in the list.
     pub(crate) fn retain(&mut self, listed: &[InstanceName]) {
         self.watches.retain(|watch| listed.contains(&watch.instance));
     }
--- a/crates/rudder-engine/src/peers/exchange.rs
+++ b/crates/rudder-engine/src/peers/exchange.rs
@@ -1,11 +1,11 @@
-//! The datagram socket of one instance.
+//! Datagram socket of one instance.
 
 use super::message::PeerMessage;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// The largest datagram: the records of some hundred services.
+/// Maximum size of a datagram: the records of some hundred services.
 const DATAGRAM_MAX: usize = 16_384;
 
 /// Sends and receives peers' datagrams.
@@ -19,13 +19,13 @@
         Ok(Self { socket: Arc::new(UdpSocket::bind(address).await?) })
     }
 
-    /// Where it receives.
+    /// Returns the address of the socket.
     #[cfg(test)]
     pub(crate) fn address(&self) -> SocketAddr {
         self.socket.local_addr().expect("a bound socket")
     }
 
-    /// Sends a datagram; the receiver may never get it.
+    /// Sends a datagram; delivery is not guaranteed.
     pub(crate) async fn send(&self, message: &PeerMessage, to: SocketAddr) {
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) if bytes.len() <= DATAGRAM_MAX => bytes,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next datagram that can be read.
+    /// Receives the next datagram that can be parsed.
     pub(crate) async fn receive(&self) -> (PeerMessage, SocketAddr) {
         let mut bytes = vec![0; DATAGRAM_MAX];
         loop {
@@ -61,7 +61,7 @@
                         log::debug!(peer:% = from, reason:% = error; "a datagram is unreadable");
                     }
                 },
-                // An earlier datagram's refusal by its receiver; the socket is still good.
+                // The receiver of an earlier datagram refused it; the socket remains usable.
                 Err(error) => log::debug!(reason:% = error; "a datagram was refused"),
             }
         }
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -1,9 +1,9 @@
-//! What the store says of settings and members, handed from one instance to another.
+//! Copies of the store's settings, members and instance list that instances fetch from each other.
 //!
-//! Load pattern: a fleet that follows the store asks it again and again whether anything changed,
-//! each call is paid for, and the store's rate grows more slowly than the fleet. So one reader
-//! asks, and the others fetch what is new from it and from each other; they ask the store
-//! themselves as soon as nobody tells them in time.
+//! Load pattern: a fleet that follows the store polls it continuously for changes, each call is
+//! paid for, and the store's rate grows more slowly than the fleet. Therefore one reader polls the
+//! store, and the others fetch newer state from it and from each other. They poll the store
+//! themselves as soon as no peer confirms the state in time.
 
 use super::exchange::PeerExchange;
 use super::list_change::{CopiedList, ListDigest};
@@ -29,27 +29,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// How long the next part of a copy may take: a busy peer's turn, a packet lost between regions. The
-/// time of a whole copy grows with its size and with how many ask for it at once.
+/// Timeout for the next chunk of a copy: covers scheduling on a busy peer and a packet lost between
+/// regions. The time for a whole copy grows with its size and with the number of concurrent
+/// requests.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The most time for a copy.
+/// Timeout for a whole copy.
 const COPY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The longest copy that goes in a datagram, so that it is not split on its way.
+/// Maximum size of a copy that is sent in a datagram, so that it is not fragmented.
 const DATAGRAM_BYTES_MAX: usize = 1200;
 
-/// How long a copy by datagram is awaited: a round trip between regions and a slow machine's turn.
+/// Timeout for a copy by datagram: a round trip between regions and scheduling on a slow machine.
 const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The most that is read or written at a time.
+/// Maximum number of bytes read or written at a time.
 const CHUNK_BYTES: usize = 16_384;
 
-/// The longest copy that is read; the store holds values of up to a megabyte.
+/// Maximum size of a copy that is read; the store holds values of up to a megabyte.
 const COPY_BYTES_MAX: u64 = 4 << 20;
 
 plain_data! {
-    /// What an instance knows already.
+    /// State that the requester already knows.
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct CopyRequest {
         pub(crate) version: CopyVersion,
@@ -59,7 +60,7 @@
 }
 
 plain_data! {
-    /// What another one knows of the store's word beyond that.
+    /// State of the store that the sender knows beyond a [`CopyRequest`].
     #[derive(Default, Serialize, Deserialize)]
     pub(crate) struct FleetCopy {
         pub(crate) settings: Option<FleetSettings>,
@@ -69,7 +70,7 @@
 }
 
 plain_data! {
-    /// The members of all services.
+    /// Members of all services.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct MembersCopy {
         pub(crate) list: CopiedList<MemberEntry, MemberName>,
@@ -78,16 +79,16 @@
 }
 
 plain_data! {
-    /// The list of instances.
+    /// Instance list.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct EntriesCopy {
         pub(crate) list: CopiedList<PeerEntry, InstanceName>,
-        /// When the store had it so, counted from the request.
+        /// Time at which the store had the list, relative to the request.
         pub(crate) read: Option<QuestionOffset>,
     }
 }
 
-/// Which settings and members an instance knows.
+/// Versions of the settings and members that an instance knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CopyVersion {
     pub(crate) settings: SettingsVersion,
@@ -95,13 +96,13 @@
 }
 
 impl CopyVersion {
-    /// Whether something in `other` is newer.
+    /// Returns whether the settings or members of `other` are newer.
     pub(crate) fn lacks(self, other: Self) -> bool {
         other.settings > self.settings || other.members > self.members
     }
 }
 
-/// Hands what this instance knows to whoever connects and asks.
+/// Serves copies of this instance's state to peers that connect.
 pub(crate) async fn serve_copies(engine: Arc<ProxyEngine>, listener: TcpListener) {
     loop {
         let (stream, peer) = match listener.accept().await {
@@ -136,7 +137,7 @@
     Ok(())
 }
 
-/// A copy as it is sent. Names recur in each of its entries, so it is compressed.
+/// Encodes a copy for sending. Names recur in each of its entries, so it is compressed.
 pub(super) fn encode_copy(copy: &FleetCopy) -> std::io::Result<Vec<u8>> {
     let bytes = postcard::to_stdvec(copy).map_err(std::io::Error::other)?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -144,7 +145,7 @@
     encoder.finish()
 }
 
-/// Reads a copy as it was sent.
+/// Decodes a received copy.
 pub(super) fn decode_copy(bytes: &[u8]) -> std::io::Result<FleetCopy> {
     let mut plain = Vec::new();
     DeflateDecoder::new(bytes).take(COPY_BYTES_MAX).read_to_end(&mut plain)?;
@@ -158,7 +159,7 @@
     tokio::time::timeout(CHUNK_TIMEOUT, operation).await.map_err(timed_out)?
 }
 
-/// The copy that this instance awaits by datagram.
+/// Copy that this instance awaits by datagram.
 #[derive(Default)]
 pub(crate) struct PendingCopy {
     state: Mutex<PendingState>,
@@ -171,7 +172,7 @@
 }
 
 impl PendingCopy {
-    /// Begins to await a copy, in place of any one awaited before.
+    /// Starts to await a copy, in place of any earlier one.
     fn begin(&self) -> (u64, oneshot::Receiver<Option<Vec<u8>>>) {
         let (sender, receiver) = oneshot::channel();
         let mut state = lock(&self.state);
@@ -180,19 +181,19 @@
         (state.request_id, receiver)
     }
 
-    /// Takes in an answer, if it is the awaited one.
+    /// Completes the awaited copy, if the response belongs to it.
     pub(crate) fn take(&self, response: CopyResponse) {
         let mut state = lock(&self.state);
         if response.request_id == state.request_id
             && let Some(sender) = state.sender.take()
         {
-            // Whoever asked may have turned to a connection meanwhile.
+            // The requester may have switched to a connection meanwhile.
             let _ = sender.send(response.copy);
         }
     }
 }
 
-/// Answers a question for a copy.
+/// Responds to a request for a copy.
 pub(crate) async fn answer_copy(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -210,8 +211,8 @@
     exchange.send(&PeerMessage::Copy(response), from).await;
 }
 
-/// Asks an instance for what it knows beyond `request`: by datagram, and by a connection where the
-/// answer is too long for one.
+/// Fetches what an instance knows beyond `request`: by datagram, or over a connection if the
+/// response is missing, cannot be decoded or is too long for a datagram.
 pub(crate) async fn fetch_copy(
     engine: &ProxyEngine,
     peer: SocketAddr,
@@ -234,7 +235,7 @@
     let (request_id, response) = engine.pending_copy().begin();
     let message = PeerMessage::AskCopy(CopyQuery { request_id, request });
     engine.exchange()?.send(&message, peer).await;
-    // Without an answer a connection tells whether the peer lives.
+    // Without a response, a connection attempt shows whether the peer is running.
     tokio::time::timeout(DATAGRAM_TIMEOUT, response).await.ok()?.ok()?
 }
 
--- a/crates/rudder-engine/src/peers/list_change.rs
+++ b/crates/rudder-engine/src/peers/list_change.rs
@@ -1,8 +1,8 @@
-//! Lists that instances copy from each other, by what has changed in them.
+//! Lists that instances copy from each other incrementally.
 //!
-//! Load pattern: while a fleet starts, each of its instances changes the list of instances, and each
-//! change reaches all others. If every copy is the whole list, the bytes grow with the cube of the
-//! fleet, and fill links and processors for longer than the start itself takes.
+//! Load pattern: while a fleet starts, each of its instances changes the instance list, and each
+//! change reaches all others. If every copy held the whole list, the bytes would grow with the cube
+//! of the fleet size, and fill links and processors for longer than the start itself takes.
 
 use crate::group::MemberEntry;
 use crate::peers::PeerEntry;
@@ -10,10 +10,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Earlier lists that are remembered. An instance that is further behind gets the whole list.
+/// Number of earlier lists that are kept. An instance that lags further behind receives the whole
+/// list.
 const HISTORY_MAX: usize = 32;
 
-/// An item of a list that is sorted by the item's key.
+/// Item of a list that is sorted by the item's key.
 pub(crate) trait ListItem: Clone + PartialEq + Serialize {
     type Key: Ord + Clone;
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// Tells whether two instances know the same list.
+/// Digest that is equal if two instances know the same list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ListDigest(u64);
 
@@ -47,7 +48,7 @@
 }
 
 impl ListDigest {
-    /// The digest of a sorted list.
+    /// Returns the digest of a sorted list.
     pub(crate) fn of<T: Serialize>(items: &[T]) -> Self {
         match postcard::to_stdvec(items) {
             Ok(bytes) => Self(xxhash_rust::xxh3::xxh3_64(&bytes)),
@@ -59,21 +60,21 @@
     }
 }
 
-/// A list as it is sent: as a whole, or by its difference from one that the receiver knows.
+/// List as it is sent: whole, or as the difference from one that the receiver knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CopiedList<T, K> {
     Whole(Vec<T>),
     Change {
-        /// The list that it is a change of.
+        /// List to which the change applies.
         base: ListDigest,
-        /// New items, and those that differ.
+        /// New items and items that differ.
         put: Vec<T>,
         removed: Vec<K>,
     },
 }
 
 impl<T: ListItem> CopiedList<T, T::Key> {
-    /// The list, if this is a whole one or a change of `known`.
+    /// Returns the list, if this is a whole one or a change of `known`.
     pub(crate) fn resolve(self, known: &[T]) -> Option<Vec<T>> {
         let (base, put, removed) = match self {
             Self::Whole(items) => return Some(items),
@@ -95,7 +96,7 @@
     }
 }
 
-/// The last versions of a list, the newest at the end.
+/// Recent versions of a list, the newest last.
 #[derive(Clone, Debug)]
 pub(crate) struct ListHistory<T> {
     lists: VecDeque<(ListDigest, Vec<T>)>,
@@ -108,7 +109,7 @@
 }
 
 impl<T: ListItem> ListHistory<T> {
-    /// Takes in the list as it is now.
+    /// Records the current list.
     pub(crate) fn record(&mut self, items: &[T]) {
         let digest = ListDigest::of(items);
         if digest == self.digest() {
@@ -121,12 +122,12 @@
         }
     }
 
-    /// The digest of the newest list.
+    /// Returns the digest of the newest list.
     pub(crate) fn digest(&self) -> ListDigest {
         self.lists.back().map_or_else(ListDigest::default, |(digest, _)| *digest)
     }
 
-    /// The newest list for an instance that knows the one of `base`.
+    /// Returns the newest list for an instance that knows the list of `base`.
     pub(crate) fn copy_for(&self, base: ListDigest) -> CopiedList<T, T::Key> {
         let Some((_, newest)) = self.lists.back() else { return CopiedList::Whole(Vec::new()) };
         let found = self.lists.iter().find(|(digest, _)| *digest == base);
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! What is known of the other instances.
+//! Membership of the fleet as known to this instance.
 
 use super::fleet_copy::CopyVersion;
 use super::list_change::{CopiedList, ListDigest};
@@ -18,11 +18,11 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// What is known of the other instances.
+/// Membership of the fleet as known to this instance.
 pub(crate) struct MembershipView {
     own: InstanceName,
     own_domain: DomainName,
-    /// Failure domains of the whole deployment.
+    /// Number of failure domains of the whole deployment.
     domain_count: usize,
     state: Mutex<MembershipState>,
     requests: Mutex<RequestLog>,
@@ -47,12 +47,13 @@
         lock(&self.state)
     }
 
-    /// This instance's own questions, and who answered them.
+    /// Returns the log of this instance's own requests.
     pub(crate) fn questions(&self) -> MutexGuard<'_, RequestLog> {
         lock(&self.requests)
     }
 
-    /// Replaces the list of instances by what the store had at `read_at`, unless a later one is known.
+    /// Replaces the instance list by the one that the store had at `read_at`, unless a later one is
+    /// known.
     pub(crate) fn set_entries(&self, mut entries: Vec<PeerEntry>, read_at: Duration) {
         entries.sort_by(|left, right| left.instance.cmp(&right.instance));
         let mut state = self.state();
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes in instances that may have been listed seconds ago.
+    /// Sets the instances of a list that may be some seconds old.
     pub(crate) fn set_contacts(&self, mut contacts: Vec<PeerEntry>) {
         contacts.sort_by(|left, right| left.instance.cmp(&right.instance));
         let mut state = self.state();
@@ -74,13 +75,14 @@
         state.store_responded_at = Some(boot_time());
     }
 
-    /// The list of instances, and when the store had it so.
+    /// Returns the instance list, and when the store had it.
     pub(crate) fn entries(&self) -> (Vec<PeerEntry>, Duration) {
         let state = self.state();
         (state.entries.clone(), state.entries_at)
     }
 
-    /// The list of instances for one who knows the list of `base`, and when the store had it so.
+    /// Returns the instance list for an instance that knows the list of `base`, and when the store
+    /// had it.
     pub(crate) fn copy_entries(
         &self,
         base: ListDigest,
@@ -89,14 +91,14 @@
         (state.history.copy_for(base), state.entries_at)
     }
 
-    /// When the store had the list of instances so, and which list that is.
+    /// Returns the digest of the instance list, and when the store had it.
     pub(crate) fn entries_version(&self) -> (ListDigest, Duration) {
         let state = self.state();
         (state.history.digest(), state.entries_at)
     }
 
-    /// Takes in a peer's word that the store had the list `digest` at `read_at`; returns whether that
-    /// is a newer list than is known.
+    /// Applies a peer's statement that the store had the list `digest` at `read_at`. Returns
+    /// whether that list is newer than the known one.
     pub(crate) fn renew_entries(&self, digest: ListDigest, read_at: Duration) -> bool {
         let mut state = self.state();
         if read_at <= state.entries_at {
@@ -109,7 +111,7 @@
         !same
     }
 
-    /// When the store had an instance in the list without a mark, if it did.
+    /// Returns when the store had an instance in the list without a mark, if it did.
     pub(crate) fn listed_at(&self, instance: &InstanceName) -> Option<Duration> {
         let state = self.state();
         let found = state.entries.binary_search_by(|entry| entry.instance.cmp(instance));
@@ -117,16 +119,16 @@
         (!entry.marked).then_some(state.entries_at)
     }
 
-    /// Whether the list shows an instance at all.
+    /// Returns whether the list contains an instance, marked or not.
     pub(crate) fn has_entry(&self, instance: &InstanceName) -> bool {
         let state = self.state();
         state.entries.binary_search_by(|entry| entry.instance.cmp(instance)).is_ok()
     }
 
-    /// Where this instance's heartbeats go within its failure domain: to all if it is one of the
-    /// first there, of whom the reader is one; to those else.
+    /// Returns the receivers of this instance's heartbeats within its failure domain: all instances
+    /// if it is a hub, otherwise the hubs. The reader is one of the hubs.
     ///
-    /// So the datagrams of a domain grow with its size, not with the square of it.
+    /// The datagrams of a domain therefore grow linearly with its size, not with the square of it.
     pub(crate) fn near_receivers(&self) -> Vec<SocketAddr> {
         let now = boot_time();
         let state = self.state();
@@ -143,10 +145,10 @@
         deduplicate(listed.map(|entry| entry.address).chain(received))
     }
 
-    /// Where a reader's heartbeats go elsewhere: to the readers of the other domains, or to all of
-    /// a domain where none is known.
+    /// Returns the receivers of a reader's heartbeats in other failure domains: the readers there,
+    /// or all instances of a domain where no reader is known.
     ///
-    /// So the datagrams of a fleet grow with its size, not with the square of it.
+    /// The datagrams of a fleet therefore grow linearly with its size, not with the square of it.
     pub(crate) fn far_receivers(&self) -> Vec<SocketAddr> {
         let mut readers = self.readers();
         if !readers.iter().any(|reader| reader.instance == self.own) {
@@ -162,25 +164,27 @@
         deduplicate(uncovered.map(|entry| entry.address).chain(known))
     }
 
-    /// When an instance was last heard.
+    /// Returns when the last heartbeat of an instance was received.
     pub(crate) fn heard_at(&self, instance: &InstanceName) -> Option<Duration> {
         let state = self.state();
         let found = state.received.iter().find(|received| received.heartbeat.instance == *instance);
         found.map(|received| received.at)
     }
 
-    /// How many others the store lists.
+    /// Returns the number of other instances that the store lists.
     pub(crate) fn listed_count(&self) -> usize {
         let state = self.state();
         state.entries.iter().filter(|entry| entry.instance != self.own).count()
     }
 
-    /// How many instances are known, this one included: listed, or heard from.
+    /// Returns the number of known instances, including this one: listed ones, and those whose
+    /// heartbeats are received.
     pub(crate) fn known_count(&self) -> usize {
         self.known().len()
     }
 
-    /// Where all others can be reached: those listed, and those heard from that are not.
+    /// Returns the addresses of all other instances: listed ones, and unlisted ones whose
+    /// heartbeats are received.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let now = boot_time();
@@ -189,8 +193,8 @@
         deduplicate(listed.chain(received.map(|received| received.from)))
     }
 
-    /// Whom to ask for records, the best first: a reader asks the first reader, as that one asks the
-    /// store, and the others ask the readers of their domain.
+    /// Returns the instances to request records from, in order of preference: a reader asks the
+    /// first reader, as that one polls the store, and the others ask the readers of their domain.
     pub(crate) fn sources(&self) -> Vec<SocketAddr> {
         let mut readers = self.readers();
         let first = first_reader(&readers).map(|first| first.instance.clone());
@@ -203,19 +207,19 @@
         readers.into_iter().filter_map(|reader| reader.address).collect()
     }
 
-    /// Whether this instance is one of those that watch the primaries, and pass on in their failure
-    /// domain what the store says.
+    /// Returns whether this instance is a reader, which probes the primaries and passes the store's
+    /// state on in its failure domain.
     pub(crate) fn is_reader(&self) -> bool {
         self.readers().iter().any(|reader| reader.instance == self.own)
     }
 
-    /// Whether this instance is the reader that asks the store for all.
+    /// Returns whether this instance is the reader that polls the store for the whole fleet.
     pub(crate) fn is_first_reader(&self) -> bool {
         let readers = self.readers();
         first_reader(&readers).is_some_and(|first| first.instance == self.own)
     }
 
-    /// Takes in whether the store answered this instance.
+    /// Records whether the store responded to this instance.
     pub(crate) fn note_store_answer(&self, answered: bool, now: Duration) {
         let mut state = self.state();
         state.store_failed_at = (!answered).then_some(now);
@@ -224,25 +228,25 @@
         }
     }
 
-    /// Whether the store did not answer this instance a moment ago.
+    /// Returns whether the store recently did not respond to this instance.
     pub(crate) fn is_turned_away(&self) -> bool {
         self.state().is_store_unreachable(boot_time())
     }
 
-    /// Who is told of the records by this instance.
+    /// Returns the subscribers to the records of this instance.
     pub(crate) fn subscribers(&self) -> MutexGuard<'_, SubscriberList> {
         lock(&self.subscribers)
     }
 
-    /// The live readers: the first instances of each failure domain by a hash, and more of each
-    /// where there are few domains.
+    /// Returns the live readers: the first instances of each failure domain by a hash, and more of
+    /// each domain if there are few domains.
     fn readers(&self) -> Vec<ReaderCandidate> {
         let state = self.state();
         let candidates = state.candidates(&self.own, &self.own_domain, boot_time());
         choose_readers(candidates, self.domain_count)
     }
 
-    /// Takes in a sign of life.
+    /// Records the heartbeat of another instance; the instance's own one is ignored.
     pub(crate) fn note_heartbeat(&self, heartbeat: PeerHeartbeat, from: SocketAddr) {
         if heartbeat.instance == self.own {
             return;
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Takes in that an instance has stopped.
+    /// Records a stop notice, in place of older ones of the same instance and service.
     pub(crate) fn note_stopped(&self, notice: StopNotice) {
         let mut state = self.state();
         state.stopped.retain(|known| {
@@ -270,14 +274,14 @@
         self.stop_received.notify_waiters();
     }
 
-    /// Waits for the next word of an instance that has stopped, at most until `limit` is over.
+    /// Waits for the next stop notice, for at most `timeout`.
     pub(crate) async fn wait_stopped(&self, timeout: Duration) {
         let stopped = self.stop_received.notified();
-        // Over means that nobody answered; the caller asks again in either case.
+        // A timeout means that no notice arrived; the caller retries in either case.
         let _ = tokio::time::timeout(timeout, stopped).await;
     }
 
-    /// The listed instances that have not said that they stopped.
+    /// Returns the listed instances that have not sent a stop notice.
     pub(crate) fn not_stopped(&self, service: &ServiceName, epoch: LeaderEpoch) -> Vec<PeerEntry> {
         let state = self.state();
         let has_stopped = |entry: &PeerEntry| {
@@ -291,7 +295,8 @@
         others.filter(|entry| !has_stopped(entry)).cloned().collect()
     }
 
-    /// The votes of the readers on a version's primary, this one's included.
+    /// Returns the votes of the readers on the primary of a record's version, including this
+    /// instance's vote.
     pub(crate) fn votes(
         &self,
         service: &ServiceName,
@@ -319,8 +324,8 @@
         readers.into_iter().map(vote).collect()
     }
 
-    /// Whether an instance has shown since a moment that it runs another process than `process`.
-    /// What was heard before that moment may be of a process before it.
+    /// Returns whether an instance was observed after `since` with another process than `process`.
+    /// Heartbeats that were received earlier may be from a previous process.
     pub(crate) fn has_restarted(
         &self,
         instance: &InstanceName,
@@ -332,8 +337,8 @@
         found.is_some_and(|received| received.at > since && received.heartbeat.process != process)
     }
 
-    /// All instances that may hold connections, sorted by name: those listed, those heard from, and
-    /// this one.
+    /// Returns all instances that may hold connections, sorted by name: listed ones, those whose
+    /// heartbeats are received, and this one.
     pub(crate) fn known(&self) -> Vec<InstanceName> {
         let now = boot_time();
         let state = self.state();
@@ -347,8 +352,8 @@
         known
     }
 
-    /// The instances that may count for an account, the first one first, by the store's list; by one
-    /// that may be old while this instance knows no other.
+    /// Returns the instances that may count for an account, in order of rank, by the store's list;
+    /// by a list that may be outdated while this instance knows no other.
     pub(crate) fn limit_owners(&self, account: &AccountName, count: usize) -> Vec<LimitOwner> {
         let state = self.state();
         let known = if state.entries.is_empty() { &state.contacts } else { &state.entries };
@@ -362,19 +367,19 @@
         ranked.into_iter().filter_map(owner).collect()
     }
 
-    /// When the store last answered this instance itself.
+    /// Returns when the store last responded to this instance itself.
     pub(crate) fn store_answered_at(&self) -> Option<Duration> {
         self.state().store_responded_at
     }
 
-    /// Whether the instances are known among which accounts are divided: by the store's list, or by
-    /// one that may be old but shows others as well.
+    /// Returns whether the instances that share the accounts are known: by the store's list, or by
+    /// a list that may be outdated but contains other instances.
     pub(crate) fn knows_owners(&self) -> bool {
         let state = self.state();
         !state.entries.is_empty() || state.contacts.iter().any(|entry| entry.instance != self.own)
     }
 
-    /// A live instance that knows something newer than `version`.
+    /// Returns a live instance that knows something newer than `version`.
     pub(crate) fn newer_copy(&self, version: CopyVersion) -> Option<SocketAddr> {
         let now = boot_time();
         let state = self.state();
@@ -382,7 +387,8 @@
             .received
             .iter()
             .filter(|received| received.is_live(now) && version.lacks(received.heartbeat.version));
-        // Among those that know the same any one, so that not all instances ask a single one.
+        // Among equally new ones a random one is chosen, so that not all instances ask the same
+        // one.
         let order = |received: &&ReceivedHeartbeat| {
             let known = received.heartbeat.version;
             (known.settings, known.members, rand::random::<u32>())
--- a/crates/rudder-engine/src/peers/membership_state.rs
+++ b/crates/rudder-engine/src/peers/membership_state.rs
@@ -1,4 +1,4 @@
-//! What the store and the other instances said, as far as it is kept.
+//! State received from the store and the other instances.
 
 use super::list_change::ListHistory;
 use super::message::{PeerHeartbeat, StopNotice};
@@ -8,34 +8,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an instance counts as live after its last word. Two heartbeats, a second apart, may be
-/// lost on the way.
+/// Time for which an instance counts as live after its last heartbeat. Two heartbeats, a second
+/// apart, may be lost in transit.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// How long an instance that the store did not answer leaves the store to others.
+/// Time for which an instance that the store did not respond to leaves the store to others.
 const STORE_BACKOFF: Duration = Duration::from_secs(5);
 
 plain_data! {
-    /// Where an instance is.
+    /// Entry of an instance in the instance list.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct PeerEntry {
         pub(crate) instance: InstanceName,
         pub(crate) domain: DomainName,
         pub(crate) address: SocketAddr,
-        /// Whether it is about to be taken out of the list, unless it says that it lives.
+        /// Whether the entry is about to be removed, unless the instance rewrites it.
         pub(crate) marked: bool,
     }
 }
 
-/// An instance that may count for a client account.
+/// Instance that may count for a client account.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitOwner {
     pub(crate) instance: InstanceName,
-    /// Where it is reached; none for this instance.
+    /// Address of the instance; `None` for this one.
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// The last heartbeat of an instance.
+/// Last heartbeat of an instance.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedHeartbeat {
     pub(super) heartbeat: PeerHeartbeat,
@@ -49,28 +49,30 @@
     }
 }
 
-/// What the store and the others said.
+/// State received from the store and the other instances.
 #[derive(Default)]
 pub(super) struct MembershipState {
-    /// The instances that the store lists, this one included, sorted by name.
+    /// Instances that the store lists, including this one, sorted by name.
     pub(super) entries: Vec<PeerEntry>,
-    /// Their last versions; the digest of the newest goes with each answer to a peer.
+    /// Recent versions of the list; the digest of the newest one is part of each response to a
+    /// peer.
     pub(super) history: ListHistory<PeerEntry>,
-    /// When the store had them so.
+    /// Time at which the store had this list.
     pub(super) entries_at: Duration,
-    /// Instances of a list that may be old; good for finding neighbours only.
+    /// Instances of a list that may be outdated; used to find peers and, until a list is known, the
+    /// owners of limits.
     pub(super) contacts: Vec<PeerEntry>,
-    /// The last word of each, sorted by name.
+    /// Last heartbeat of each instance, sorted by name.
     pub(super) received: Vec<ReceivedHeartbeat>,
     pub(super) stopped: Vec<StopNotice>,
-    /// When the store did not answer this instance, if it has not answered since.
+    /// Time at which the store did not respond to this instance, if it has not responded since.
     pub(super) store_failed_at: Option<Duration>,
-    /// When the store last answered this instance itself.
+    /// Time at which the store last responded to this instance itself.
     pub(super) store_responded_at: Option<Duration>,
 }
 
 impl MembershipState {
-    /// All others that the store lists or listed a moment ago.
+    /// Returns all other instances that the store lists or recently listed.
     pub(super) fn reachable<'a>(
         &'a self,
         own: &'a InstanceName,
@@ -79,7 +81,7 @@
         entries.filter(move |entry| entry.instance != *own)
     }
 
-    /// The live instances that are not about to stop, the own one included.
+    /// Returns the live instances that are not about to stop, including this one.
     pub(super) fn candidates(
         &self,
         own: &InstanceName,
@@ -107,7 +109,7 @@
         all
     }
 
-    /// Whether the store did not answer this instance a moment ago.
+    /// Returns whether the store recently did not respond to this instance.
     pub(super) fn is_store_unreachable(&self, now: Duration) -> bool {
         self.store_failed_at.is_some_and(|at| now < at + STORE_BACKOFF)
     }
--- a/crates/rudder-engine/src/peers/message.rs
+++ b/crates/rudder-engine/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between instances.
+//! Datagrams between instances.
 
 use super::digest::RecordsDigest;
 use super::fleet_copy::{CopyRequest, CopyVersion};
@@ -9,36 +9,36 @@
 use serde::{Deserialize, Serialize};
 
 plain_data! {
-    /// An instance's word that it cannot reach the primary of a service.
+    /// Report of an instance that it cannot reach the primary of a service.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct PrimaryDoubt {
         pub(crate) service: ServiceName,
-        /// The version of the record that names the primary.
+        /// Version of the record that names the primary.
         pub(crate) epoch: LeaderEpoch,
     }
 }
 
 plain_data! {
-    /// What an instance tells all others about once a second.
+    /// Heartbeat that an instance sends to others about once a second.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct PeerHeartbeat {
         pub(crate) instance: InstanceName,
-        /// Tells its process from its earlier and later ones.
+        /// Identifier that distinguishes its process from its earlier and later ones.
         pub(crate) process: u64,
         pub(crate) domain: DomainName,
-        /// Which settings and members are known there.
+        /// Versions of the settings and members that the sender knows.
         pub(crate) version: CopyVersion,
-        /// Whether the store does not answer it.
+        /// Whether the store does not respond to the sender.
         pub(crate) turned_away: bool,
         /// Whether it is about to stop.
         pub(crate) leaving: bool,
-        /// The services whose primary it cannot reach.
+        /// Services whose primary the sender cannot reach.
         pub(crate) doubts: Vec<PrimaryDoubt>,
     }
 }
 
 plain_data! {
-    /// A new version of a record.
+    /// New version of a record.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct RecordCopy {
         pub(crate) service: ServiceName,
@@ -47,29 +47,31 @@
 }
 
 plain_data! {
-    /// When a record was known to be in place, and the newest position known of its primary.
+    /// Time at which a record was known to be in place, and the newest known position of its
+    /// primary.
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct RecordTiming {
-        /// The store had it.
+        /// Time at which the store had the record.
         pub(crate) confirmed: Option<QuestionOffset>,
-        /// The store, or most instances, knew of no later version; never earlier.
+        /// Time at which the store, or a majority of instances, knew no later version; never
+        /// earlier than `confirmed`.
         pub(crate) anchor: Option<QuestionOffset>,
         pub(crate) sample: Option<SampleCopy>,
     }
 }
 
 plain_data! {
-    /// A position that a primary was seen at.
+    /// Position at which a primary was observed.
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct SampleCopy {
         pub(crate) stamp: LogStamp,
-        /// When it was asked for.
+        /// Time at which the position was requested.
         pub(crate) sent: Option<QuestionOffset>,
     }
 }
 
 plain_data! {
-    /// An instance's notice that it answers for no version of a record before this one.
+    /// Notice that an instance no longer responds under any version of a record before this one.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct StopNotice {
         pub(crate) instance: InstanceName,
@@ -79,93 +81,96 @@
 }
 
 plain_data! {
-    /// A question for all records.
+    /// Request for all records.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct RecordsQuestion {
-        /// Who asks.
+        /// Requesting instance.
         pub(crate) instance: InstanceName,
-        /// The question's number, which comes back with each answer.
+        /// Number of the request, which is returned in each response.
         pub(crate) question: u64,
-        /// The versions that the asker knows.
+        /// Versions that the requester knows.
         pub(crate) digest: RecordsDigest,
-        /// Whether it is to be answered again, for a while, whenever there is newer knowledge.
+        /// Whether the requester wants further responses, for a limited time, whenever newer state
+        /// is known.
         pub(crate) subscribes: bool,
     }
 }
 
 plain_data! {
-    /// What an instance knows of all records.
+    /// State of all records as known to an instance.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct RecordsAnswer {
-        /// Who answers.
+        /// Responding instance.
         pub(crate) instance: InstanceName,
-        /// The number of the question.
+        /// Number of the request.
         pub(crate) question: u64,
-        /// When the store had the receiver in the list of instances; none if it did not, or if it
-        /// is about to be taken out.
+        /// Time at which the store had the receiver in the instance list; `None` if it did not, or
+        /// if the entry is about to be removed.
         pub(crate) listed: Option<QuestionOffset>,
-        /// When the store was last asked for all records.
+        /// Time at which the store was last polled for all records.
         pub(crate) read: Option<QuestionOffset>,
-        /// Which settings and members the sender knows.
+        /// Versions of the settings and members that the sender knows.
         pub(crate) version: CopyVersion,
-        /// When these were last known to be current.
+        /// Time at which these were last known to be current.
         pub(crate) current: Option<QuestionOffset>,
-        /// Which list of instances the sender knows.
+        /// Digest of the instance list that the sender knows.
         pub(crate) entries: ListDigest,
-        /// When the store had it so.
+        /// Time at which the store had that list.
         pub(crate) entries_read: Option<QuestionOffset>,
-        /// Whether the sender itself confirms that it knows of no later versions of the records.
+        /// Whether the sender itself confirms that it knows no later versions of the records.
         pub(crate) confirms: bool,
-        /// The versions that the timings are of.
+        /// Versions of the records that the timings belong to.
         pub(crate) digest: RecordsDigest,
-        /// One for each record, in the order of the services.
+        /// Timing of each record, in the order of the services.
         pub(crate) timings: Vec<RecordTiming>,
-        /// The records, in the same order; left out if the receiver knows these versions.
+        /// Records in the same order; omitted if the receiver knows these versions.
         pub(crate) records: Option<Vec<RecordCopy>>,
     }
 }
 
 plain_data! {
-    /// A claim of one operation of an account, made at the instance that counts for it.
+    /// Claim of one operation of an account, sent to the instance that counts for it.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct OperationClaim {
-        /// The claim's number, which comes back with the answer.
+        /// Number of the claim, which is returned in the response.
         pub(crate) request_id: u64,
         pub(crate) account: AccountName,
-        /// Whether an operation is counted; else the receiver only says whether it counts.
+        /// Whether an operation is counted; otherwise the receiver only reports whether it counts
+        /// for the account.
         pub(crate) counts: bool,
     }
 }
 
 plain_data! {
-    /// A question for what the receiver knows of the store's word.
+    /// Request for a copy of the store's state as known to the receiver.
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct CopyQuery {
-        /// The question's number, which comes back with the answer.
+        /// Number of the request, which is returned in the response.
         pub(crate) request_id: u64,
         pub(crate) request: CopyRequest,
     }
 }
 
 plain_data! {
-    /// The answer.
+    /// Response to a [`CopyQuery`].
     #[derive(Serialize, Deserialize)]
     pub(crate) struct CopyResponse {
-        /// The question's number.
+        /// Number of the request.
         pub(crate) request_id: u64,
-        /// The copy; none if it is too long for a datagram and has to be fetched by a connection.
+        /// Encoded copy; `None` if it is too long for a datagram and has to be fetched over a
+        /// connection.
         pub(crate) copy: Option<Vec<u8>>,
     }
 }
 
-/// What a claim came to.
+/// Outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ClaimOutcome {
     /// The operation may run.
     Granted,
     /// The limit is used up.
     Spent {
-        /// Until when, from now.
+        /// Time until an operation is available.
         after_ms: u32,
     },
     /// The sender does not count for the account.
@@ -173,34 +178,34 @@
 }
 
 plain_data! {
-    /// The answer to a claim.
+    /// Response to a claim.
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct ClaimAnswer {
-        /// The claim's number.
+        /// Number of the claim.
         pub(crate) request_id: u64,
         pub(crate) outcome: ClaimOutcome,
     }
 }
 
-/// One datagram.
+/// Datagram between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// A sign of life.
+    /// Periodic heartbeat.
     Heartbeat(PeerHeartbeat),
-    /// A new version of a record; the receiver answers with a [`StopNotice`] once it has stopped.
+    /// New version of a record; the receiver responds with a [`StopNotice`] once it has stopped.
     Announce(RecordCopy),
-    /// The answer.
+    /// Response to an announced version.
     Stopped(StopNotice),
-    /// Asks for all records.
+    /// Request for all records.
     Ask(RecordsQuestion),
-    /// The answer.
+    /// Response to a request for all records.
     Records(RecordsAnswer),
-    /// Claims an operation of an account.
+    /// Claim of an operation of an account.
     Claim(OperationClaim),
-    /// The answer.
+    /// Response to a claim.
     ClaimAnswer(ClaimAnswer),
-    /// Asks for what the receiver knows of the store's word.
+    /// Request for the store's state as known to the receiver.
     AskCopy(CopyQuery),
-    /// The answer.
+    /// Response to a request for a copy.
     Copy(CopyResponse),
 }
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -1,7 +1,8 @@
-//! What instances tell each other: who lives, who cannot reach a primary, who has stopped.
+//! Communication between instances: heartbeats, suspicions of primaries, stop notices and copies of
+//! the store's state.
 //!
-//! All of it is a hint but for two things: that an instance has stopped answering for a primary,
-//! and when it knew the record to be in place.
+//! All of it is advisory, with two exceptions that safety depends on: that an instance has stopped
+//! responding for a primary, and when it knew the record to be in place.
 
 mod digest;
 mod entries;
--- a/crates/rudder-engine/src/peers/offset.rs
+++ b/crates/rudder-engine/src/peers/offset.rs
@@ -1,20 +1,21 @@
-//! Moments that two instances speak of, whose clocks have nothing in common.
+//! Exchange of points in time between two instances whose clocks are unrelated.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 const NANOS_PER_MS: u128 = 1_000_000;
 
-/// A moment in milliseconds from when its sender received a question; negative before that.
+/// Point in time in milliseconds from when its sender received a request; negative before that.
 ///
-/// The asker counts it from when it sent the question, which was earlier. So what is told never
-/// looks newer than it is, however long question and answer were under way, and one question can
-/// be answered more than once.
+/// The requester adds it to the time at which it sent the request, which was earlier. The result is
+/// therefore never later than the actual time, however long request and response were in transit,
+/// and one request can get several responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct QuestionOffset(i64);
 
 impl QuestionOffset {
-    /// The offset of `moment`, rounded down; none for a moment that never was.
+    /// Returns the offset of `moment`, rounded down; `None` for zero, which stands for a time that
+    /// never occurred.
     pub(crate) fn of(moment: Duration, received_at: Duration) -> Option<Self> {
         if moment.is_zero() {
             return None;
@@ -24,7 +25,8 @@
         Some(Self(moment_ms.saturating_sub(received_ms)))
     }
 
-    /// The moment by the clock of the instance that sent the question at `asked_at`, or earlier.
+    /// Returns the point in time, or an earlier one, by the clock of the instance that sent the
+    /// request at `asked_at`.
     pub(crate) fn since(self, asked_at: Duration) -> Duration {
         let offset = Duration::from_millis(self.0.unsigned_abs());
         if self.0 < 0 { asked_at.saturating_sub(offset) } else { asked_at.saturating_add(offset) }
--- a/crates/rudder-engine/src/peers/readers.rs
+++ b/crates/rudder-engine/src/peers/readers.rs
@@ -1,28 +1,30 @@
-//! Which instances watch the primaries, and which one of them asks the store for all.
+//! Choice of the readers: the instances that probe the primaries, one of which polls the store for
+//! the whole fleet.
 //!
-//! Load pattern: a fleet asks the store whether its records have changed. Each call is paid for,
-//! and the store's rate grows more slowly than the fleet. So one reader asks the store, the readers
-//! of the other failure domains have its word from it, and their neighbours from them, with one
-//! message a domain over the long links.
+//! Load pattern: a fleet polls the store for changes of its records. Each call is paid for, and the
+//! store's rate grows more slowly than the fleet. Therefore one reader polls the store, the readers
+//! of the other failure domains receive the state from it, and the other instances from the reader
+//! of their domain, with one message per domain over the long links.
 
 use rudder_core::{DomainName, InstanceName};
 use std::net::SocketAddr;
 
-/// The fewest readers. With three, two that cannot reach a primary are more than half, and one cut
-/// link is not.
+/// Minimum number of readers. With three, two that cannot reach a primary are more than half, and
+/// one with a cut link is not.
 const READERS_MIN: usize = 3;
 
-/// Instances of a failure domain that heartbeat to all of it. At least [`READERS_MIN`], as all of those
-/// may stand in one domain; two of them may be lost at once before anybody has to look for more.
+/// Maximum number of hubs: instances of a failure domain that exchange heartbeats with all of it.
+/// At least [`READERS_MIN`], as all readers may be in one domain. Two of them may fail at once
+/// before other instances have to be found.
 const DOMAIN_HUBS_MAX: usize = READERS_MIN;
 
-/// An instance that may be a reader; the address is none for this one.
+/// Instance that may be a reader; the address is `None` for this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReaderCandidate {
     pub(crate) instance: InstanceName,
     pub(crate) domain: DomainName,
     pub(crate) address: Option<SocketAddr>,
-    /// Whether the store does not answer it.
+    /// Whether the store does not respond to it.
     pub(crate) store_unreachable: bool,
 }
 
@@ -30,13 +32,14 @@
     xxhash_rust::xxh3::xxh3_64(candidate.instance.as_str().as_bytes())
 }
 
-/// The reader that asks the store for all: one that the store answers, the first by a hash.
+/// Returns the reader that polls the store for the whole fleet: the first by a hash among those
+/// that the store responds to, or among all if it responds to none.
 pub(crate) fn first_reader(readers: &[ReaderCandidate]) -> Option<&ReaderCandidate> {
     readers.iter().min_by_key(|reader| (reader.store_unreachable, rank(reader)))
 }
 
-/// The first few of a domain, who hear from all of it and tell all of it that they live. One of them
-/// is its reader, and when that one is gone the next is known to all.
+/// Returns the hubs of a domain, which exchange heartbeats with all of it. One of them is the
+/// domain's reader, and if that one fails, the next one is known to all.
 pub(crate) fn choose_domain_hubs(
     mut all: Vec<ReaderCandidate>,
     domain: &DomainName,
@@ -47,10 +50,12 @@
     all
 }
 
-/// The first of each domain by a hash of their names, [`READERS_MIN`] in all if there are as many.
+/// Returns the first instances of each domain by a hash of their names, [`READERS_MIN`] in all if
+/// there are as many.
 ///
-/// `domains` is how many the deployment has. An instance that hears from none but its own domain
-/// must not think that there is no other, and take itself for one of three readers there.
+/// `domains` is the number of domains of the deployment. An instance that receives heartbeats only
+/// from its own domain must not conclude that there is no other, and consider itself one of three
+/// readers there.
 pub(crate) fn choose_readers(
     mut all: Vec<ReaderCandidate>,
     domains: usize,
--- a/crates/rudder-engine/src/peers/requests.rs
+++ b/crates/rudder-engine/src/peers/requests.rs
@@ -1,14 +1,14 @@
-//! This instance's requests to its peers, and who responders them.
+//! Requests of this instance to its peers, and the instances that responded.
 
 use crate::lead::LeaderEpoch;
 use rudder_core::{InstanceName, ServiceName};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Questions whose answers are still taken; some seconds' worth.
+/// Maximum number of requests whose responses are still accepted; covers several seconds.
 const REQUESTS_MAX: usize = 32;
 
-/// How many instances confirmed one version of a record.
+/// Number of instances that confirmed one version of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct RecordTally {
     service: ServiceName,
@@ -16,25 +16,26 @@
     count: usize,
 }
 
-/// A request and what came of it.
+/// Request and the responses to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct SentRequest {
     request_id: u64,
     sent_at: Duration,
-    /// Who responders, sorted.
+    /// Instances that responded, sorted.
     responders: Vec<InstanceName>,
     /// Sorted by service and version.
     tallies: Vec<RecordTally>,
 }
 
-/// Questions of this instance's own, oldest first.
+/// Requests of this instance, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RequestLog {
     requests: VecDeque<SentRequest>,
 }
 
 impl RequestLog {
-    /// Takes in that a request is sent at `now`; one that is sent again counts from the first time.
+    /// Records that a request is sent at `now`. A request that is sent again counts from the first
+    /// time.
     pub(crate) fn note_question(&mut self, request_id: u64, now: Duration) {
         if self.find(request_id).is_some() {
             return;
@@ -46,13 +47,13 @@
         self.requests.push_back(SentRequest { request_id, sent_at: now, responders, tallies });
     }
 
-    /// When a request was sent; several peers may answer the same one.
+    /// Returns when a request was sent. Several peers may respond to the same one.
     pub(crate) fn asked_at(&self, request_id: u64) -> Option<Duration> {
         let request = self.requests.iter().find(|known| known.request_id == request_id);
         request.map(|known| known.sent_at)
     }
 
-    /// Takes in that an instance responders a request; returns whether it is its first answer.
+    /// Records that an instance responded to a request. Returns whether it is its first response.
     pub(crate) fn note_answer(&mut self, request_id: u64, instance: &InstanceName) -> bool {
         let Some(request) = self.find(request_id) else { return false };
         match request.responders.binary_search(instance) {
@@ -64,14 +65,14 @@
         }
     }
 
-    /// How many instances have responders a request.
+    /// Returns the number of instances that responded to a request.
     pub(crate) fn answer_count(&self, request_id: u64) -> usize {
         let request = self.requests.iter().find(|known| known.request_id == request_id);
         request.map_or(0, |known| known.responders.len())
     }
 
-    /// Counts an instance's first answer to a request; returns how many instances have confirmed the
-    /// same version, this one included.
+    /// Counts an instance's first response to a request. Returns how many instances have confirmed
+    /// the same version, including this one.
     pub(crate) fn count_confirmation(
         &mut self,
         request_id: u64,
--- a/crates/rudder-engine/src/peers/subscribers.rs
+++ b/crates/rudder-engine/src/peers/subscribers.rs
@@ -1,42 +1,42 @@
-//! Who is to be told whenever there is newer knowledge of the records.
+//! Instances that receive a response whenever newer state of the records is known.
 //!
 //! Load pattern: hundreds of instances need proof several times a second that the records of all
-//! primaries are unchanged. If each asks for it, questions and answers double the datagrams, and
-//! at each step from the store down an instance waits for its next question; a lease then ends
-//! after a single lost datagram.
+//! primaries are unchanged. If each polled for it, requests and responses would double the
+//! datagrams, and at each hop from the store an instance would wait for its next request; a lease
+//! would then end after a single lost datagram.
 
 use super::digest::RecordsDigest;
 use rudder_core::InstanceName;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a question is answered again. An instance asks anew several times in it.
+/// Duration of a subscription. An instance renews it several times within that.
 const SUBSCRIPTION_TIME: Duration = Duration::from_millis(2500);
 
-/// The most instances that are told by one.
+/// Maximum number of subscribers of one instance.
 const SUBSCRIBERS_MAX: usize = 1024;
 
-/// An instance that is told.
+/// Instance that subscribed to the records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RecordsSubscriber {
     pub(crate) address: SocketAddr,
     pub(crate) instance: InstanceName,
-    /// The number of its question.
+    /// Number of its request.
     pub(crate) question: u64,
-    /// When the question came.
+    /// Time at which the request was received.
     pub(crate) received_at: Duration,
-    /// The versions that it knew then.
+    /// Versions that the subscriber knew then.
     pub(crate) digest: RecordsDigest,
 }
 
-/// Those who are told, sorted by address.
+/// Subscribers, sorted by address.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SubscriberList {
     subscribers: Vec<RecordsSubscriber>,
 }
 
 impl SubscriberList {
-    /// Takes in a question; it replaces the one before of the same instance.
+    /// Adds a subscription, which replaces the previous one of the same instance.
     pub(crate) fn subscribe(&mut self, subscriber: RecordsSubscriber) {
         let found =
             self.subscribers.binary_search_by(|known| known.address.cmp(&subscriber.address));
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Those who are still to be told at `now`.
+    /// Returns the subscriptions that are still valid at `now`.
     pub(crate) fn live(&mut self, now: Duration) -> Vec<RecordsSubscriber> {
         self.subscribers.retain(|known| now < known.received_at + SUBSCRIPTION_TIME);
         self.subscribers.clone()
--- a/crates/rudder-engine/src/peers/tests/entries.rs
+++ b/crates/rudder-engine/src/peers/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Instances that are lost leave the list.
+//! Removal of failed instances from the list.
 
 use crate::peers::entries::{EntryLedger, EntryVerdict, LISTED_LIFE};
 use rudder_core::InstanceName;
@@ -14,8 +14,8 @@
 
 #[test]
 fn an_instance_that_stays_silent_is_marked_and_then_removed() {
-    // After some days of replaced machines a change of primary takes ten seconds in place of two:
-    // most of those listed are lost, and are asked whether they have stopped.
+    // If the entries of replaced machines stayed for days, a change of primary would take ten
+    // seconds instead of two: it would wait for stop notices of instances that no longer run.
     let mut ledger = EntryLedger::default();
     let lost = lost();
 
@@ -34,8 +34,8 @@
 
 #[test]
 fn an_instance_that_rewrites_its_marked_entry_is_kept() {
-    // A link between two instances is cut for minutes. The one marks the other, which reads the
-    // store, sees the mark, and writes its entry anew; it must not be removed for the old mark.
+    // A link between two instances is cut for minutes. One marks the entry of the other, which
+    // reads the store, sees the mark and rewrites its entry; the old mark must not cause a removal.
     let mut ledger = EntryLedger::default();
     let lost = lost();
     ledger.judge(&lost, "7", false, None, at(100));
@@ -49,8 +49,9 @@
 
 #[test]
 fn an_instance_loses_its_leases_before_its_entry_is_removed() {
-    // An instance that cannot read the list goes on leading on its peers' word. If its entry went
-    // first, a change of primary would not wait for it, and both primaries would be answered for.
+    // An instance that cannot read the list keeps leading by its peers' confirmations. If its entry
+    // were removed first, a change of primary would not wait for it, and both primaries would be
+    // served.
     let mut ledger = EntryLedger::default();
     let lost = lost();
     ledger.judge(&lost, "7", false, None, at(100));
--- a/crates/rudder-engine/src/peers/tests/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/tests/fleet_copy.rs
@@ -1,11 +1,11 @@
-//! What copies between instances hold and weigh.
+//! Contents and size of copies between instances.
 
 use crate::peers::FleetCopy;
 use crate::peers::fleet_copy::{decode_copy, encode_copy};
 use crate::settings::{DatabaseName, FleetSettings, RouteKind, RouteRule, SettingsVersion};
 use std::time::Duration;
 
-/// The most bytes for a thousand databases: names that are drawn at random take most of it.
+/// Maximum size for a thousand databases; most of it are random names.
 const BYTES_MAX: usize = 16_000;
 
 fn route(number: u64) -> RouteRule {
@@ -36,7 +36,7 @@
     assert_eq!(decode_copy(&bytes).expect("it can be read"), copy);
 }
 
-/// Guards against settings that fill the links of a failure domain when they change.
+/// A change of settings must not fill the links of a failure domain.
 #[test]
 fn a_copy_of_a_thousand_databases_is_small() {
     let bytes = encode_copy(&copy(1000)).expect("it can be written");
@@ -44,7 +44,7 @@
     assert!(bytes.len() <= BYTES_MAX, "{} bytes", bytes.len());
 }
 
-/// Guards against a peer whose bytes fill the memory or end the process.
+/// Bytes from a peer must not fill the memory or end the process.
 #[test]
 fn malformed_bytes_are_an_error() {
     for bytes in [&b""[..], b"GET / HTTP/1.1\r\n", &[0xff; 4096]] {
--- a/crates/rudder-engine/src/peers/tests/list_change.rs
+++ b/crates/rudder-engine/src/peers/tests/list_change.rs
@@ -1,4 +1,4 @@
-//! Lists that are copied by their changes.
+//! Incremental copies of lists.
 
 use crate::peers::list_change::{CopiedList, ListDigest, ListHistory};
 use crate::peers::{PeerEntry, PeerMessage};
@@ -23,7 +23,8 @@
     postcard::to_stdvec(copy).expect("it can be written").len()
 }
 
-/// Guards against copies that differ after items came, changed and went, in any order of fetches.
+/// Copies must not differ from the list after items were added, changed and removed, whenever they
+/// are fetched.
 #[test]
 fn a_follower_that_fetches_at_random_times_has_the_same_list() {
     for seed in 0..200 {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Guards against a change that is put on top of another list than it was made for.
+/// A change must not be applied to another list than the one that it was made for.
 #[test]
 fn a_change_of_another_list_is_rejected() {
     let mut history = ListHistory::default();
@@ -61,7 +62,8 @@
     assert_eq!(copy.resolve(&list(0..5)), Some(list(0..6)));
 }
 
-/// Guards against an instance that is far behind, or knows a list that never was, and gets nothing.
+/// An instance that lags far behind, or has a list that never existed, must still receive the
+/// newest list.
 #[test]
 fn an_unknown_base_list_gets_the_whole_list() {
     let mut history = ListHistory::default();
@@ -75,7 +77,7 @@
     }
 }
 
-/// Guards against a start whose copies grow with the square of the fleet: each is one change long.
+/// During a start, copies must not grow with the square of the fleet: each holds one change.
 #[test]
 fn the_copy_of_one_change_does_not_grow_with_the_list() {
     let sizes = [10, 300].map(|count| {
--- a/crates/rudder-engine/src/peers/tests/message.rs
+++ b/crates/rudder-engine/src/peers/tests/message.rs
@@ -1,4 +1,4 @@
-//! How large messages between instances are.
+//! Sizes of messages between instances.
 
 use crate::peers::list_change::ListDigest;
 use crate::peers::{
@@ -8,14 +8,14 @@
 use rudder_core::LogStamp;
 use std::time::Duration;
 
-/// The longest datagram that is sent.
+/// Maximum size of a datagram.
 const DATAGRAM_MAX: usize = 16_384;
 
 fn offset(ms: u64) -> Option<QuestionOffset> {
     QuestionOffset::of(Duration::from_millis(100_000 + ms), Duration::from_millis(100_000))
 }
 
-/// An answer to an instance that knows the records of so many services.
+/// Returns a response to an instance that knows the records of `services` services.
 fn response(services: usize) -> PeerMessage {
     let sample = SampleCopy { stamp: LogStamp::new(3, 120_000), sent: offset(400) };
     let timing = RecordTiming { confirmed: offset(450), anchor: offset(450), sample: Some(sample) };
@@ -39,7 +39,7 @@
     postcard::to_stdvec(message).expect("a message is written").len()
 }
 
-/// Guards against word of the records that fills the links of a large fleet.
+/// Responses with records must not fill the links of a large fleet.
 #[test]
 fn a_response_for_twenty_services_is_short() {
     let bytes = size(&response(20));
@@ -47,7 +47,7 @@
     assert!(bytes < 400, "{bytes}");
 }
 
-/// Guards against a fleet that hears nothing of its records, as the datagram is too long.
+/// If the response exceeded a datagram, the fleet would receive no records.
 #[test]
 fn a_response_for_all_planned_services_fits_a_datagram() {
     let bytes = size(&response(780));
--- a/crates/rudder-engine/src/peers/tests/mod.rs
+++ b/crates/rudder-engine/src/peers/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of what instances know of each other.
+//! Tests of the state that instances exchange.
 
 mod entries;
 mod fleet_copy;
--- a/crates/rudder-engine/src/peers/tests/offset.rs
+++ b/crates/rudder-engine/src/peers/tests/offset.rs
@@ -1,4 +1,4 @@
-//! Moments received between instances.
+//! Points in time that instances exchange.
 
 use crate::peers::QuestionOffset;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     assert_eq!(late.map(|offset| offset.since(ASKED_AT)), Some(Duration::from_millis(499_699)));
 }
 
-/// Guards against a lease from a record that no store confirmed, received by a machine that just started.
+/// A record that the store never confirmed must not grant a lease, if its sender has just started.
 #[test]
 fn an_unconfirmed_record_has_no_moment() {
     assert_eq!(received(Duration::ZERO), None);
--- a/crates/rudder-engine/src/peers/tests/readers.rs
+++ b/crates/rudder-engine/src/peers/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store for all.
+//! Choice of the readers.
 
 use crate::peers::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, first_reader};
 
@@ -30,8 +30,8 @@
 
 #[test]
 fn an_instance_that_sees_only_its_own_domain_makes_the_same_choice() {
-    // Followers hear from no other domain. Taking their own for the only one, two more of them
-    // read the store, and the fleet's calls to it double.
+    // Followers receive heartbeats only from their own domain. If they assumed that it is the only
+    // one, two more of them would read the store, and the fleet's calls to it would double.
     let whole = chosen(&FLEET, 3);
 
     let own = chosen(&FLEET[..3], 3);
@@ -41,7 +41,7 @@
 
 #[test]
 fn fewer_domains_have_more_readers_each() {
-    // With one reader in all, its own cut link would be the word of everybody.
+    // With a single reader, its cut link alone would decide that a primary is unreachable.
     assert_eq!(chosen(&FLEET[..3], 1).len(), 3);
     assert_eq!(chosen(&FLEET[..6], 2).len(), 4);
 }
@@ -66,7 +66,7 @@
     assert!(readers.contains(first));
 }
 
-/// Guards against a fleet that gets no word of the store because the store turns one instance away.
+/// The fleet must receive the store's state although the store does not respond to one instance.
 #[test]
 fn a_reader_without_the_store_is_not_the_first_reader() {
     let mut readers = choose_readers(entries(&FLEET), 3);
@@ -80,7 +80,7 @@
     assert_ne!(next.instance, first);
 }
 
-/// Guards against an outage of the store in which nobody asks whether it is back.
+/// During a store outage, one instance must keep polling to detect its end.
 #[test]
 fn a_first_reader_exists_while_the_store_responds_to_none() {
     let mut readers = choose_readers(entries(&FLEET), 3);
@@ -89,7 +89,7 @@
     assert!(first_reader(&readers).is_some());
 }
 
-/// Guards against a fleet whose heartbeats fill the links of a large failure domain.
+/// Heartbeats must not fill the links of a large failure domain.
 #[test]
 fn a_large_domain_has_three_hubs() {
     let names: Vec<String> = (0..80).map(|number| format!("n-{number}")).collect();
@@ -103,7 +103,7 @@
     assert_eq!(hubs[0].instance, reader[0].instance);
 }
 
-/// Guards against a reader that its followers do not hear, as they take another one for it.
+/// Followers must choose the reader that sends heartbeats to them.
 #[test]
 fn an_instance_that_sees_only_the_hubs_makes_the_same_choice() {
     let names: Vec<String> = (0..80).map(|number| format!("n-{number}")).collect();
--- a/crates/rudder-engine/src/peers/tests/subscribers.rs
+++ b/crates/rudder-engine/src/peers/tests/subscribers.rs
@@ -1,4 +1,4 @@
-//! Who is told of the records.
+//! Subscriptions to the records.
 
 use crate::peers::subscribers::SubscriberList;
 use crate::peers::{RecordsDigest, RecordsSubscriber};
@@ -29,7 +29,7 @@
     assert_eq!(request_ids(&mut list, Duration::from_secs(11)), [10, 21]);
 }
 
-/// Guards against datagrams to instances that are gone.
+/// Instances that no longer run must not receive datagrams.
 #[test]
 fn a_subscription_expires_without_further_requests() {
     let mut list = SubscriberList::default();
