--- a/crates/rudder-engine/src/lead/tests/lease_table.rs
+++ b/crates/rudder-engine/src/lead/tests/lease_table.rs
@@ -43,7 +43,7 @@
 
     assert!(leases.lease(ms(30)).is_none());
     assert!(leases.holds(&lease, ms(30)));
-    assert!(!leases.stop(false), "a statement is under way");
+    assert!(!leases.stop(false), "a statement is running");
     leases.leave();
     assert!(leases.stop(false));
     assert!(!leases.holds(&lease, ms(31)));
--- a/crates/rudder-engine/src/lead/tests/model.rs
+++ b/crates/rudder-engine/src/lead/tests/model.rs
@@ -404,7 +404,7 @@
         self.acknowledgments += 1;
         if lease.epoch.0 < self.promoted {
             return Err(format!(
-                "instance {index} answered for epoch {} at {now:?} after the promotion of epoch {}",
+                "instance {index} responded for epoch {} at {now:?} after the promotion of epoch {}",
                 lease.epoch, self.promoted
             ));
         }
--- a/crates/rudder-engine/src/lead/tests/schedules.rs
+++ b/crates/rudder-engine/src/lead/tests/schedules.rs
@@ -56,7 +56,7 @@
     // peer responses and announcements are lost or seconds late, machines freeze at any step, and
     // several instances try to change the primary.
     let (acknowledgments, promotions) =
-        run_schedules(schedules(), ListChanges::Nothing).expect("no broken promise");
+        run_schedules(schedules(), ListChanges::Nothing).expect("no violated guarantee");
 
     assert!(
         acknowledgments > schedules() && promotions * 4 > schedules(),
@@ -86,7 +86,7 @@
     // or after the change reads the list. Responses of the store and of peers that it requested
     // earlier may arrive after its registration.
     let (acknowledgments, promotions) =
-        run_schedules(schedules(), ListChanges::Replaced).expect("no broken promise");
+        run_schedules(schedules(), ListChanges::Replaced).expect("no violated guarantee");
 
     assert!(
         acknowledgments > schedules() && promotions * 4 > schedules(),
@@ -103,7 +103,7 @@
         REGISTRATION_SEED,
     );
 
-    assert!(outcome.is_err(), "the guard is not needed by seed {REGISTRATION_SEED}");
+    assert!(outcome.is_err(), "the check is not needed by seed {REGISTRATION_SEED}");
 }
 
 /// A response that was delayed on its way to the instance must not extend a lease.
@@ -113,7 +113,7 @@
     for seed in 0..schedules() {
         let model =
             Model::new(DisabledCheck::Nothing, ListChanges::Replaced).with_repeated_responses();
-        let model = run_model(model, seed).expect("no broken promise");
+        let model = run_model(model, seed).expect("no violated guarantee");
         acknowledgments += u64::from(model.acknowledgments);
         promotions += u64::from(model.promotions);
     }
@@ -132,5 +132,5 @@
 
     let outcome = run_model(model, REPEATED_RESPONSE_SEED);
 
-    assert!(outcome.is_err(), "the guard is not needed by seed {REPEATED_RESPONSE_SEED}");
+    assert!(outcome.is_err(), "the check is not needed by seed {REPEATED_RESPONSE_SEED}");
 }
