--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -37,10 +37,11 @@
         let now = boot_time();
         let mut state = self.limits().state();
         if now >= joined_until {
-            state.lost_at = Some(now);
+            state.contact_since = Some(now);
             return FleetContact::Lost;
         }
-        let settled_at = state.lost_at.get_or_insert(now).saturating_add(self.settling_time());
+        let settled_at =
+            state.contact_since.get_or_insert(now).saturating_add(self.settling_time());
         if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
     }
 
@@ -55,7 +56,7 @@
     pub(super) async fn judge_claim(&self, account: &AccountName, counts: bool) -> ClaimVerdict {
         // The claiming instance knows a limit. If this instance knows none yet, another one counts.
         let Some(limit) = self.operation_limit(account) else { return ClaimVerdict::NotOwner };
-        let Some((place, role)) = self.role_for(account).await else {
+        let Some((rank, role)) = self.role_for(account).await else {
             return ClaimVerdict::NotOwner;
         };
         if !counts {
@@ -65,7 +66,7 @@
         let bounds = self.identity().limit_bounds;
         let mut state = self.limits().state();
         let before = state.ledger.role(account);
-        let verdict = state.ledger.claim(account, limit, bounds, role, place, boot_time());
+        let verdict = state.ledger.claim(account, limit, bounds, role, rank, boot_time());
         drop(state);
         if before != role {
             log::info!(
@@ -89,13 +90,13 @@
             return None;
         }
         let owners = self.limit_owners(account);
-        let place = owners.iter().position(|owner| owner.instance == *own)?;
+        let rank = owners.iter().position(|owner| owner.instance == *own)?;
         let mut standings = Vec::new();
         let mut probes = Vec::new();
         {
             let now = boot_time();
             let mut state = self.limits().state();
-            for owner in &owners[..place] {
+            for owner in &owners[..rank] {
                 if state.watch.probe_is_due(account, &owner.instance, now) {
                     let request_id = state.begin_probe(account, &owner.instance);
                     probes.extend(owner.address.map(|address| (request_id, address)));
@@ -109,7 +110,7 @@
                 exchange.send(&PeerMessage::Claim(claim), address).await;
             }
         }
-        Some((place, OwnerRole::of(self.fleet_contact(), &standings)))
+        Some((rank, OwnerRole::of(self.fleet_contact(), &standings)))
     }
 
     /// Applies the response to a claim or to a probe of this instance.
--- a/crates/rudder-engine/src/limits/state.rs
+++ b/crates/rudder-engine/src/limits/state.rs
@@ -43,7 +43,7 @@
     /// Accounts for whose claims no owner recently responded.
     pub(super) unanswered: RecentNotes<AccountName>,
     /// Time since when this instance has been in continuous contact with the fleet.
-    pub(super) lost_at: Option<Duration>,
+    pub(super) contact_since: Option<Duration>,
     /// Sorted by request.
     claims: Vec<PendingClaim>,
     /// Sorted by request.
@@ -58,7 +58,7 @@
             watch: OwnerWatch::default(),
             silent_owners: RecentNotes::new(SILENT_OWNER_TIME),
             unanswered: RecentNotes::new(UNANSWERED_TIME),
-            lost_at: None,
+            contact_since: None,
             claims: Vec::new(),
             probes: Vec::new(),
             last_request_id: 0,
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -120,7 +120,7 @@
     assert_eq!(
         granted_claims(&engine, 1).await,
         0,
-        "it may be the only one that has registered yet"
+        "it may be the only instance that has registered so far"
     );
     tokio::time::sleep(UNANSWERED_BACKOFF).await;
     let owners = ["own", "other"].map(entry);
