--- a/crates/rudder-engine/src/own_entry/tests.rs
+++ b/crates/rudder-engine/src/own_entry/tests.rs
@@ -80,9 +80,9 @@
     entry.show(second(10), second(11));
 
     let older = entry.miss(second(11));
-    let stood = entry.may_lead_by(second(12), second(13));
+    let may_lead = entry.may_lead_by(second(12), second(13));
     let later = entry.miss(second(14));
 
-    assert!(!older && stood, "a list of before the entry says nothing");
+    assert!(!older && may_lead, "a list from before the registration is ignored");
     assert!(later && !entry.may_lead_by(second(15), second(15)));
 }
