--- a/crates/rudder-engine/src/store_snapshot/tests.rs
+++ b/crates/rudder-engine/src/store_snapshot/tests.rs
@@ -74,7 +74,10 @@
     assert!(silent.is_told(timeout, extended_timeout, at(12_600)));
     assert!(!silent.is_told(timeout, extended_timeout, at(14_000)));
     assert!(responding.is_told(timeout, extended_timeout, at(14_000)));
-    assert!(!responding.is_told(timeout, extended_timeout, at(15_000)), "not for ever");
+    assert!(
+        !responding.is_told(timeout, extended_timeout, at(15_000)),
+        "the extended timeout ends"
+    );
 }
 
 /// An instance whose peers know no more than itself must still poll the store.
