--- a/crates/rudder-engine/src/peers/exchange.rs
+++ b/crates/rudder-engine/src/peers/exchange.rs
@@ -30,11 +30,11 @@
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) if bytes.len() <= DATAGRAM_MAX => bytes,
             Ok(bytes) => {
-                log::error!(bytes = bytes.len(); "a datagram to a peer is too long");
+                log::error!(bytes = bytes.len(); "a datagram to a peer exceeds the maximum size");
                 return;
             }
             Err(error) => {
-                log::error!(reason:% = error; "a datagram to a peer cannot be written");
+                log::error!(reason:% = error; "a datagram to a peer could not be serialized");
                 return;
             }
         };
@@ -58,11 +58,11 @@
                 Ok((length, from)) => match postcard::from_bytes(&bytes[..length]) {
                     Ok(message) => return (message, from),
                     Err(error) => {
-                        log::debug!(peer:% = from, reason:% = error; "a datagram is unreadable");
+                        log::debug!(peer:% = from, reason:% = error; "a datagram is malformed");
                     }
                 },
                 // The receiver of an earlier datagram refused it; the socket remains usable.
-                Err(error) => log::debug!(reason:% = error; "a datagram was refused"),
+                Err(error) => log::debug!(reason:% = error; "a datagram was rejected"),
             }
         }
     }
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -117,8 +117,8 @@
         tokio::spawn(async move {
             match tokio::time::timeout(COPY_TIMEOUT, serve_copy(&engine, stream)).await {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => log::info!(peer:% = peer, reason:% = error; "a peer had no copy"),
-                Err(_) => log::info!(peer:% = peer, reason = "timeout"; "a peer had no copy"),
+                Ok(Err(error)) => log::info!(peer:% = peer, reason:% = error; "copy was not sent"),
+                Err(_) => log::info!(peer:% = peer, reason = "timeout"; "copy was not sent"),
             }
         });
     }
@@ -203,7 +203,7 @@
     let copy = match encode_copy(&engine.fleet_copy(query.request, boot_time())) {
         Ok(bytes) => (bytes.len() <= DATAGRAM_BYTES_MAX).then_some(bytes),
         Err(error) => {
-            log::error!(reason:% = error; "a copy cannot be written");
+            log::error!(reason:% = error; "a copy could not be encoded");
             None
         }
     };
@@ -221,7 +221,7 @@
     if let Some(bytes) = request_by_datagram(engine, peer, request).await {
         match decode_copy(&bytes) {
             Ok(copy) => return Some(copy),
-            Err(error) => log::warn!(peer:% = peer, reason:% = error; "a copy is unreadable"),
+            Err(error) => log::warn!(peer:% = peer, reason:% = error; "a copy is malformed"),
         }
     }
     fetch_by_connection(peer, request).await
@@ -243,9 +243,9 @@
     match tokio::time::timeout(COPY_TIMEOUT, request_by_connection(peer, request)).await {
         Ok(Ok(copy)) => return Some(copy),
         Ok(Err(error)) => {
-            log::info!(peer:% = peer, reason:% = error; "a peer's copy was not had");
+            log::info!(peer:% = peer, reason:% = error; "fetching a copy failed");
         }
-        Err(_) => log::info!(peer:% = peer, reason = "timeout"; "a peer's copy was not had"),
+        Err(_) => log::info!(peer:% = peer, reason = "timeout"; "fetching a copy failed"),
     }
     None
 }
--- a/crates/rudder-engine/src/peers/list_change.rs
+++ b/crates/rudder-engine/src/peers/list_change.rs
@@ -53,7 +53,7 @@
         match postcard::to_stdvec(items) {
             Ok(bytes) => Self(xxhash_rust::xxh3::xxh3_64(&bytes)),
             Err(error) => {
-                log::error!(reason:% = error; "a list cannot be written");
+                log::error!(reason:% = error; "a list could not be serialized");
                 Self(0)
             }
         }
@@ -81,7 +81,7 @@
             Self::Change { base, put, removed } => (base, put, removed),
         };
         if base != ListDigest::of(known) {
-            log::info!("a change of a list is of another one than is known");
+            log::info!("a list change does not apply to the known list");
             return None;
         }
         let mut items = known.to_vec();
--- a/crates/rudder-engine/src/peers/subscribers.rs
+++ b/crates/rudder-engine/src/peers/subscribers.rs
@@ -47,7 +47,7 @@
             }
             Err(_) => log::warn!(
                 instance:% = subscriber.instance, subscribers = SUBSCRIBERS_MAX;
-                "an instance is not told of the records, as too many are"
+                "a subscription was rejected: too many subscribers"
             ),
         }
     }
--- a/crates/rudder-engine/src/peers/tests/entries.rs
+++ b/crates/rudder-engine/src/peers/tests/entries.rs
@@ -4,8 +4,8 @@
 use rudder_core::InstanceName;
 use std::time::Duration;
 
-fn lost() -> InstanceName {
-    "gone".parse().expect("a name")
+fn failed_instance() -> InstanceName {
+    "failed".parse().expect("a name")
 }
 
 fn at(seconds: u64) -> Duration {
@@ -17,15 +17,15 @@
     // If the entries of replaced machines stayed for days, a change of primary would take ten
     // seconds instead of two: it would wait for stop notices of instances that no longer run.
     let mut ledger = EntryLedger::default();
-    let lost = lost();
+    let failed_instance = failed_instance();
 
     let decisions = [
-        ledger.judge(&lost, "7", false, Some(at(100)), at(100)),
-        ledger.judge(&lost, "7", false, Some(at(100)), at(159)),
-        ledger.judge(&lost, "7", false, Some(at(100)), at(160)),
-        ledger.judge(&lost, "8", true, Some(at(100)), at(164)),
-        ledger.judge(&lost, "8", true, Some(at(100)), at(223)),
-        ledger.judge(&lost, "8", true, Some(at(100)), at(224)),
+        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(100)),
+        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(159)),
+        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(160)),
+        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(164)),
+        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(223)),
+        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(224)),
     ];
 
     use EntryVerdict::{Keep, Mark, Remove};
@@ -37,12 +37,12 @@
     // A link between two instances is cut for minutes. One marks the entry of the other, which
     // reads the store, sees the mark and rewrites its entry; the old mark must not cause a removal.
     let mut ledger = EntryLedger::default();
-    let lost = lost();
-    ledger.judge(&lost, "7", false, None, at(100));
-    ledger.judge(&lost, "8", true, None, at(165));
+    let failed_instance = failed_instance();
+    ledger.judge(&failed_instance, "7", false, None, at(100));
+    ledger.judge(&failed_instance, "8", true, None, at(165));
 
-    let rewritten = ledger.judge(&lost, "9", false, None, at(190));
-    let later = ledger.judge(&lost, "9", false, None, at(249));
+    let rewritten = ledger.judge(&failed_instance, "9", false, None, at(190));
+    let later = ledger.judge(&failed_instance, "9", false, None, at(249));
 
     assert_eq!((rewritten, later), (EntryVerdict::Keep, EntryVerdict::Keep));
 }
@@ -53,14 +53,14 @@
     // were removed first, a change of primary would not wait for it, and both primaries would be
     // served.
     let mut ledger = EntryLedger::default();
-    let lost = lost();
-    ledger.judge(&lost, "7", false, None, at(100));
+    let failed_instance = failed_instance();
+    ledger.judge(&failed_instance, "7", false, None, at(100));
     let last_unmarked_read = at(160);
-    let marked = ledger.judge(&lost, "7", false, None, last_unmarked_read);
-    ledger.judge(&lost, "8", true, None, last_unmarked_read);
+    let marked = ledger.judge(&failed_instance, "7", false, None, last_unmarked_read);
+    ledger.judge(&failed_instance, "8", true, None, last_unmarked_read);
 
     let lease_ends = last_unmarked_read + LISTED_LIFE;
-    let decision = ledger.judge(&lost, "8", true, None, lease_ends + at(10));
+    let decision = ledger.judge(&failed_instance, "8", true, None, lease_ends + at(10));
 
     assert_eq!(marked, EntryVerdict::Mark);
     assert_eq!(decision, EntryVerdict::Keep);
