--- a/crates/rudder-engine/src/lead/suspicion.rs
+++ b/crates/rudder-engine/src/lead/suspicion.rs
@@ -14,7 +14,7 @@
 /// Entries that expired during a store outage reappear within two seconds of its end.
 const ABSENT_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// Time for which the roles reported by two members must contradict the record.
+/// Time for which the roles that two members report must contradict the record.
 const ROLE_CONFLICT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time for which this instance's own probes of the primary must fail. Longer than the
@@ -118,7 +118,7 @@
         since.map(|since| since + timeout).filter(|due_at| now >= *due_at)
     };
     if let Some(due_at) = due_after(signs.silent_since, UNREACHABLE_TIMEOUT)
-        && suspected_by_majority(votes)
+        && suspected_by_most(votes)
     {
         return Some((ChangeCause::Unreachable, due_at));
     }
@@ -133,7 +133,7 @@
 ///
 /// A primary must not be replaced because only one instance's or one domain's link to it is cut, as
 /// all others can still reach it.
-fn suspected_by_majority(votes: &[PeerVote]) -> bool {
+fn suspected_by_most(votes: &[PeerVote]) -> bool {
     let count = votes.iter().filter(|vote| vote.suspects).count();
     let domains_all = domains_of(votes.iter());
     let domains_suspecting = domains_of(votes.iter().filter(|vote| vote.suspects));
