--- a/crates/rudder-engine/src/peers/subscribers.rs
+++ b/crates/rudder-engine/src/peers/subscribers.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Duration of a subscription. An instance renews it several times within that.
+/// Duration of a subscription. An instance renews it several times within this time.
 const SUBSCRIPTION_TIME: Duration = Duration::from_millis(2500);
 
 /// Maximum number of subscribers of one instance.
@@ -21,11 +21,11 @@
 pub(crate) struct RecordsSubscriber {
     pub(crate) address: SocketAddr,
     pub(crate) instance: InstanceName,
-    /// Number of its request.
+    /// Number of the request that subscribed.
     pub(crate) question: u64,
     /// Time at which the request was received.
     pub(crate) received_at: Duration,
-    /// Versions that the subscriber knew then.
+    /// Versions that the subscriber knew at that time.
     pub(crate) digest: RecordsDigest,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the subscriptions that are still valid at `now`.
+    /// Returns the subscriptions that are still valid at `now`, and removes the others.
     pub(crate) fn live(&mut self, now: Duration) -> Vec<RecordsSubscriber> {
         self.subscribers.retain(|known| now < known.received_at + SUBSCRIPTION_TIME);
         self.subscribers.clone()
--- a/crates/rudder-engine/src/peers/tests/offset.rs
+++ b/crates/rudder-engine/src/peers/tests/offset.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 const RECEIVED_AT: Duration = Duration::from_millis(1_000);
-const ASKED_AT: Duration = Duration::from_millis(500_000);
+const REQUEST_SENT_AT: Duration = Duration::from_millis(500_000);
 
 fn received(moment: Duration) -> Option<Duration> {
-    QuestionOffset::of(moment, RECEIVED_AT).map(|offset| offset.since(ASKED_AT))
+    QuestionOffset::of(moment, RECEIVED_AT).map(|offset| offset.since(REQUEST_SENT_AT))
 }
 
 #[test]
@@ -25,10 +25,14 @@
     let late = QuestionOffset::of(Duration::from_millis(700), Duration::from_micros(1_000_100));
 
     assert_eq!(moment, Some(Duration::from_millis(499_700)));
-    assert_eq!(late.map(|offset| offset.since(ASKED_AT)), Some(Duration::from_millis(499_699)));
+    assert_eq!(
+        late.map(|offset| offset.since(REQUEST_SENT_AT)),
+        Some(Duration::from_millis(499_699))
+    );
 }
 
-/// A record that the store never confirmed must not grant a lease, if its sender has just started.
+/// A record that the store never confirmed must not grant a lease. On a sender that has just
+/// started, a time of zero would appear recent.
 #[test]
 fn an_unconfirmed_record_has_no_moment() {
     assert_eq!(received(Duration::ZERO), None);
