--- a/crates/rudder-engine/src/peers/subscribers.rs
+++ b/crates/rudder-engine/src/peers/subscribers.rs
@@ -36,7 +36,7 @@
 }
 
 impl SubscriberList {
-    /// Adds a subscription, which replaces the previous one of the same instance.
+    /// Adds a subscription, which replaces the previous one from the same address.
     pub(crate) fn subscribe(&mut self, subscriber: RecordsSubscriber) {
         let found =
             self.subscribers.binary_search_by(|known| known.address.cmp(&subscriber.address));
