--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -1,6 +1,6 @@
 //! Questions between instances about the records of primaries, and their answers.
 
-use super::heartbeat::catch_up_if_behind;
+use super::heartbeat::fetch_copy_if_behind;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::group::ServiceGroup;
@@ -14,35 +14,35 @@
 use std::time::Duration;
 
 /// Asks instances for the records that they know.
-pub(super) async fn ask(
+pub(super) async fn request_records(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
     receivers: &[SocketAddr],
     subscribes: bool,
 ) {
-    ask_again(engine, exchange, receivers, rand::random(), subscribes).await;
+    send_records_request(engine, exchange, receivers, rand::random(), subscribes).await;
 }
 
 /// Asks a question, or the same one again; its answers count together.
-pub(super) async fn ask_again(
+pub(super) async fn send_records_request(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
     receivers: &[SocketAddr],
-    question: u64,
+    request_id: u64,
     subscribes: bool,
 ) {
-    engine.membership().questions().note_question(question, boot_time());
+    engine.membership().questions().note_question(request_id, boot_time());
     let instance = engine.identity().name.clone();
     let digest = digest_of(&engine.known_records());
-    let question = RecordsQuestion { instance, question, digest, subscribes };
-    exchange.send_all(&PeerMessage::Ask(question), receivers).await;
+    let request = RecordsQuestion { instance, question: request_id, digest, subscribes };
+    exchange.send_all(&PeerMessage::Ask(request), receivers).await;
 }
 
 /// Answers a peer's question, and notes that it is to be told more.
-pub(super) async fn answer_question(
+pub(super) async fn handle_request(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
-    question: RecordsQuestion,
+    request: RecordsQuestion,
     from: SocketAddr,
 ) {
     if engine.groups().iter().any(|group| group.newest_sample().is_none()) {
@@ -51,34 +51,34 @@
     }
     let subscriber = RecordsSubscriber {
         address: from,
-        instance: question.instance,
-        question: question.question,
+        instance: request.instance,
+        question: request.question,
         received_at: boot_time(),
-        digest: question.digest,
+        digest: request.digest,
     };
-    let answer = compose_answer(engine, &subscriber);
-    if question.subscribes {
+    let response = compose_response(engine, &subscriber);
+    if request.subscribes {
         engine.membership().subscribers().subscribe(subscriber);
     }
-    exchange.send(&PeerMessage::Records(answer), from).await;
+    exchange.send(&PeerMessage::Records(response), from).await;
 }
 
 /// Tells those who asked for it what is known by now.
-pub(super) async fn tell_subscribers(engine: &ProxyEngine, exchange: &PeerExchange) {
+pub(super) async fn notify_subscribers(engine: &ProxyEngine, exchange: &PeerExchange) {
     let subscribers = engine.membership().subscribers().live(boot_time());
     for subscriber in subscribers {
-        let answer = compose_answer(engine, &subscriber);
-        exchange.send(&PeerMessage::Records(answer), subscriber.address).await;
+        let response = compose_response(engine, &subscriber);
+        exchange.send(&PeerMessage::Records(response), subscriber.address).await;
     }
 }
 
 /// What this instance knows, in moments counted from a question.
-fn compose_answer(engine: &ProxyEngine, subscriber: &RecordsSubscriber) -> RecordsAnswer {
+fn compose_response(engine: &ProxyEngine, subscriber: &RecordsSubscriber) -> RecordsAnswer {
     let received_at = subscriber.received_at;
     let offset = |moment: Option<Duration>| QuestionOffset::of(moment?, received_at);
     let groups = engine.groups();
     let known: Vec<(RecordCopy, RecordTiming)> =
-        groups.iter().filter_map(|group| copy_record(group, received_at)).collect();
+        groups.iter().filter_map(|group| record_with_timing(group, received_at)).collect();
     let (records, timings): (Vec<_>, _) = known.into_iter().unzip();
     let digest = digest_of(&records);
     let (entries, entries_at) = engine.membership().entries_version();
@@ -86,7 +86,7 @@
         instance: engine.identity().name.clone(),
         question: subscriber.question,
         listed: offset(engine.membership().listed_at(&subscriber.instance)),
-        read: offset(engine.records_status().known_at()),
+        read: offset(engine.records_status().latest_read_at()),
         version: engine.copy_version(),
         current: offset(engine.store_confirmed_at()),
         entries,
@@ -104,7 +104,10 @@
     RecordsDigest::of(records.iter().map(|copy| (&copy.service, copy.record.epoch)))
 }
 
-fn copy_record(group: &ServiceGroup, received_at: Duration) -> Option<(RecordCopy, RecordTiming)> {
+fn record_with_timing(
+    group: &ServiceGroup,
+    received_at: Duration,
+) -> Option<(RecordCopy, RecordTiming)> {
     let (leases, newest) = group.knowledge();
     let record = leases.record()?.clone();
     let offset = |moment| QuestionOffset::of(moment, received_at);
@@ -119,49 +122,53 @@
 }
 
 /// Takes in the answer to a question of this instance's own, and passes on what is new in it.
-pub(super) async fn take_answer(
+pub(super) async fn handle_response(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
-    answer: RecordsAnswer,
+    response: RecordsAnswer,
     from: SocketAddr,
 ) {
-    if take_in(engine, answer, from) {
-        tell_subscribers(engine, exchange).await;
+    if apply_response(engine, response, from) {
+        notify_subscribers(engine, exchange).await;
     }
 }
 
 /// Takes in an answer; returns whether it says of a later moment than was known that the records
 /// were in place. Two instances that tell each other come to an end by that, as no answer is newer
 /// than what it was made from.
-fn take_in(engine: &Arc<ProxyEngine>, answer: RecordsAnswer, from: SocketAddr) -> bool {
-    let question = answer.question;
-    let Some(asked_at) = engine.membership().questions().asked_at(question) else { return false };
-    let moment = |offset: QuestionOffset| offset.since(asked_at);
-    let first = engine.membership().questions().note_answer(question, &answer.instance);
-    if let Some(listed) = answer.listed {
-        engine.renew_listed(moment(listed));
+fn apply_response(engine: &Arc<ProxyEngine>, response: RecordsAnswer, from: SocketAddr) -> bool {
+    let request_id = response.question;
+    let Some(requested_at) = engine.membership().questions().asked_at(request_id) else {
+        return false;
+    };
+    let moment = |offset: QuestionOffset| offset.since(requested_at);
+    let first = engine.membership().questions().note_answer(request_id, &response.instance);
+    if let Some(listed) = response.listed {
+        engine.renew_registration(moment(listed));
     }
-    let mut renewed = answer.read.is_some_and(|read| engine.note_records_told(moment(read)));
-    engine.note_told(answer.version, answer.current.map(moment));
-    let read = answer.entries_read.map(moment);
-    let lists = read.is_some_and(|at| engine.membership().renew_entries(answer.entries, at));
-    catch_up_if_behind(engine, answer.version, lists.then_some(from));
-    let records = answer.records.unwrap_or_else(|| engine.known_records());
-    if digest_of(&records) != answer.digest {
+    let mut renewed =
+        response.read.is_some_and(|read| engine.record_peer_records_read(moment(read)));
+    engine.record_peer_confirmation(response.version, response.current.map(moment));
+    let entries_read_at = response.entries_read.map(moment);
+    let has_newer_list =
+        entries_read_at.is_some_and(|at| engine.membership().renew_entries(response.entries, at));
+    fetch_copy_if_behind(engine, response.version, has_newer_list.then_some(from));
+    let records = response.records.unwrap_or_else(|| engine.known_records());
+    if digest_of(&records) != response.digest {
         // The versions changed here meanwhile; the next question names them.
         return renewed;
     }
-    if records.len() != answer.timings.len() {
-        log::warn!(instance:% = answer.instance; "an answer of a peer is incomplete");
+    if records.len() != response.timings.len() {
+        log::warn!(instance:% = response.instance; "an answer of a peer is incomplete");
         return renewed;
     }
     // Guards against a few that take themselves for most, as they have not seen the whole list.
     let counts = first
-        && answer.confirms
+        && response.confirms
         && engine.has_read_records()
         && engine.membership().has_entry(&engine.identity().name);
     let instances = if counts { engine.membership().known_count() } else { 0 };
-    for (copy, timing) in records.iter().zip(&answer.timings) {
+    for (copy, timing) in records.iter().zip(&response.timings) {
         let confirmed_at = timing.confirmed.map_or(Duration::ZERO, moment);
         renewed |= engine.observe(&copy.service, &copy.record, confirmed_at);
         let epoch = copy.record.epoch;
@@ -170,10 +177,10 @@
         }
         if counts {
             let mut questions = engine.membership().questions();
-            let count = questions.count_confirmation(question, &copy.service, epoch);
+            let count = questions.count_confirmation(request_id, &copy.service, epoch);
             drop(questions);
             if is_quorum(count, instances) {
-                renewed |= engine.confirm_by_majority(&copy.service, epoch, asked_at);
+                renewed |= engine.confirm_by_majority(&copy.service, epoch, requested_at);
             }
         }
         if let Some(SampleCopy { stamp, sent: Some(sent) }) = timing.sample {
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -8,14 +8,14 @@
 //! Each write is conditional on the version before, and names the writer by a mark, so that an
 //! answer that was lost is cleared up by reading back. An instance that dies on the way is
 //! replaced by another one after `CHANGE_PATIENCE`; until then nobody else acts, and after
-//! [`HOLD_TIME`] this one does not act any more.
+//! [`INTENT_VALIDITY`] this one does not act any more.
 
-use super::answers::{ask_again, tell_subscribers};
+use super::answers::{notify_subscribers, send_records_request};
 use super::control::{MemberReport, step_down};
-use super::heartbeat::stop_answering;
+use super::heartbeat::stop_leases;
 use super::records::read_record;
-use super::registry::{CALL_LIMIT, limited, read_entries};
-use super::status::StatusDesk;
+use super::registry::{CALL_TIMEOUT, read_entries, with_timeout};
+use super::status::StatusClients;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::group::ServiceGroup;
@@ -30,23 +30,23 @@
 
 /// How long an intent entitles its writer to order a promotion: a lease's life and a second for
 /// questions and repeated orders. Below `CHANGE_PATIENCE` by more than an order's time.
-pub(super) const HOLD_TIME: Duration = Duration::from_millis(2600);
+pub(super) const INTENT_VALIDITY: Duration = Duration::from_millis(2600);
 
 /// The pause between two announcements to those who have not answered.
-const ANNOUNCE_GAP: Duration = Duration::from_millis(60);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// How long most instances' answers are awaited: some round trips between regions.
-const HEARD_LIMIT: Duration = Duration::from_millis(250);
+const QUORUM_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The pause between two looks whether members have got as far as they must.
-pub(super) const LOOK_GAP: Duration = Duration::from_millis(50);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long the answer to one write of a record is awaited before the store is asked what became
 /// of it. The store answers in milliseconds, and in a third of a second when it is slow.
-const WRITE_LIMIT: Duration = Duration::from_millis(450);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// How often one write is sent: with half of all answers lost, one change in thirty fails.
-const WRITE_TRIES: u32 = 5;
+const WRITE_ATTEMPTS: u32 = 5;
 
 /// Why a primary was not changed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
@@ -78,18 +78,18 @@
     pub(super) record: LeadRecord,
     pub(super) version: ObjectVersion,
     /// When the answer came, so that the write had taken effect by then.
-    pub(super) done_at: Duration,
+    pub(super) acknowledged_at: Duration,
 }
 
 /// A change that was found to be due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct JudgedChange {
+pub(super) struct ChangeDecision {
     /// Why.
     pub(super) cause: ChangeCause,
     /// The version of the record on which that was judged.
     pub(super) epoch: LeaderEpoch,
     /// Whether it has been due for so long that most instances need not be heard.
-    pub(super) alone: bool,
+    pub(super) skips_quorum: bool,
 }
 
 /// One change under way.
@@ -97,7 +97,7 @@
     pub(super) engine: &'a Arc<ProxyEngine>,
     pub(super) exchange: &'a PeerExchange,
     pub(super) group: &'a Arc<ServiceGroup>,
-    pub(super) desk: Mutex<StatusDesk>,
+    pub(super) clients: Mutex<StatusClients>,
 }
 
 impl<'a> ChangeRun<'a> {
@@ -106,7 +106,7 @@
         exchange: &'a PeerExchange,
         group: &'a Arc<ServiceGroup>,
     ) -> Self {
-        Self { engine, exchange, group, desk: Mutex::default() }
+        Self { engine, exchange, group, clients: Mutex::default() }
     }
 }
 
@@ -115,11 +115,11 @@
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
     group: &Arc<ServiceGroup>,
-    judged: JudgedChange,
+    decision: ChangeDecision,
 ) -> Result<(), ChangeError> {
     let run = ChangeRun::new(engine, exchange, group);
-    let cause = judged.cause;
-    let (before, version) = run.read_current(judged.epoch).await?;
+    let cause = decision.cause;
+    let (before, version) = run.read_current(decision.epoch).await?;
     // Guards against acknowledged commits that are lost when the instance that hands over a leaving
     // primary dies: whoever takes the change over must wait for the successor as well, although it
     // only sees a change that was not finished. A primary that has ended meanwhile gives no
@@ -133,14 +133,14 @@
     // Guards against a service without any primary: while no other member answers, the present
     // one is better than none.
     let unfinished = cause == ChangeCause::Unfinished;
-    let candidates = run.ask_candidates(previous.as_ref(), unfinished);
-    let (candidates, heard) = tokio::join!(candidates, run.hears_most());
+    let candidates = run.fetch_candidate_reports(previous.as_ref(), unfinished);
+    let (candidates, has_quorum) = tokio::join!(candidates, run.reaches_quorum());
     if candidates.is_empty() {
         return Err(ChangeError::NoCandidate);
     }
     // Guards against a few instances on the store's side of a partition that stop the others, who
     // go on serving with the primary on theirs.
-    if !heard && !unfinished && !judged.alone {
+    if !has_quorum && !unfinished && !decision.skips_quorum {
         return Err(ChangeError::NoQuorum);
     }
     log::info!(
@@ -151,19 +151,19 @@
     let process = engine.process();
     let phase = LeadPhase::Changing { holder, process, previous: previous.clone(), planned };
     let intent = run.write(before.epoch.next(), phase, Some(&version)).await?;
-    run.stop_all(&intent).await?;
+    run.wait_all_stopped(&intent).await?;
     let leader = run.promote(&intent, previous.as_ref(), planned, unfinished).await?;
     run.settle(&intent, &leader, previous.as_ref()).await
 }
 
 /// Writes the first record of a service: the member that says it leads.
-pub(super) async fn record_first(
+pub(super) async fn write_first_record(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
     group: &Arc<ServiceGroup>,
 ) -> Result<(), ChangeError> {
     let run = ChangeRun::new(engine, exchange, group);
-    let reports = StatusDesk::default().ask_all(engine, &group.members()).await;
+    let reports = StatusClients::default().fetch_all(engine, &group.members()).await;
     let leads = |report: &&MemberReport| report.status.role == MemberRole::Primary;
     let leader = reports.iter().filter(leads).max_by_key(|report| report.status.accepted);
     let leader = leader.ok_or(ChangeError::NoCandidate)?;
@@ -184,30 +184,37 @@
     /// which this one would cut short, and both would promote.
     async fn read_current(
         &self,
-        judged: LeaderEpoch,
+        decision: LeaderEpoch,
     ) -> Result<(LeadRecord, ObjectVersion), ChangeError> {
         let store = &self.engine.borders().store;
         let sent_at = boot_time();
         let get = store.get(ObjectKind::PrimaryRecord, self.group.service().as_str());
-        let object = limited(CALL_LIMIT, get).await?.ok_or(ChangeError::Overtaken)?;
+        let object = with_timeout(CALL_TIMEOUT, get).await?.ok_or(ChangeError::Overtaken)?;
         let (_, record) = read_record(&object).ok_or(ChangeError::Overtaken)?;
         self.engine.observe(self.group.service(), &record, sent_at);
-        if record.epoch != judged {
+        if record.epoch != decision {
             return Err(ChangeError::Overtaken);
         }
         Ok((record, object.version))
     }
 
     /// Whether most instances answer.
-    async fn hears_most(&self) -> bool {
+    async fn reaches_quorum(&self) -> bool {
         let membership = self.engine.membership();
-        let question = rand::random::<u64>();
-        let until = boot_time() + HEARD_LIMIT;
+        let request_id = rand::random::<u64>();
+        let until = boot_time() + QUORUM_TIMEOUT;
         while boot_time() < until {
-            ask_again(self.engine, self.exchange, &membership.addresses(), question, false).await;
-            tokio::time::sleep(LOOK_GAP).await;
+            send_records_request(
+                self.engine,
+                self.exchange,
+                &membership.addresses(),
+                request_id,
+                false,
+            )
+            .await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             if is_quorum(
-                membership.questions().answer_count(question) + 1,
+                membership.questions().answer_count(request_id) + 1,
                 membership.known_count(),
             ) {
                 return true;
@@ -230,8 +237,8 @@
         let sent_at = boot_time();
         let version = self.write_until_known(&record, &spec, expected).await?;
         self.engine.observe(self.group.service(), &record, sent_at);
-        tell_subscribers(self.engine, self.exchange).await;
-        Ok(WrittenRecord { record, version, done_at: boot_time() })
+        notify_subscribers(self.engine, self.exchange).await;
+        Ok(WrittenRecord { record, version, acknowledged_at: boot_time() })
     }
 
     /// Sends a write until it is known to have taken effect, or never to do so.
@@ -247,14 +254,14 @@
     ) -> Result<ObjectVersion, ChangeError> {
         let store = &self.engine.borders().store;
         let name = self.group.service().as_str();
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..WRITE_ATTEMPTS {
             let put = store.put(ObjectKind::PrimaryRecord, name, expected, spec.clone());
-            match limited(WRITE_LIMIT, put).await {
+            match with_timeout(WRITE_TIMEOUT, put).await {
                 Ok(object) => return Ok(object.version),
                 Err(StoreError::Conflict | StoreError::Unresolved) => {}
                 Err(error) => return Err(error.into()),
             }
-            if let Some(version) = self.find_own(record, expected).await? {
+            if let Some(version) = self.find_own_write(record, expected).await? {
                 return Ok(version);
             }
             log::info!(
@@ -267,14 +274,14 @@
 
     /// The version that a write of this instance brought about; none while it has not taken effect
     /// and still may.
-    async fn find_own(
+    async fn find_own_write(
         &self,
         record: &LeadRecord,
         expected: Option<&ObjectVersion>,
     ) -> Result<Option<ObjectVersion>, ChangeError> {
         let store = &self.engine.borders().store;
         let get = store.get(ObjectKind::PrimaryRecord, self.group.service().as_str());
-        let found = limited(CALL_LIMIT, get).await?;
+        let found = with_timeout(CALL_TIMEOUT, get).await?;
         let own = |object: &StoredObject| {
             read_record(object).is_some_and(|(_, found)| found.mark == record.mark)
         };
@@ -286,13 +293,13 @@
     }
 
     /// Returns once no instance answers for the version before `intent`.
-    async fn stop_all(&self, intent: &WrittenRecord) -> Result<(), ChangeError> {
+    async fn wait_all_stopped(&self, intent: &WrittenRecord) -> Result<(), ChangeError> {
         let service = self.group.service();
         // Those known so far need not wait for the list.
         self.announce(&intent.record).await;
         // Read after the intent was written: an instance that registers later reads the intent.
         let (listed, _) =
-            tokio::join!(read_entries(self.engine), stop_answering(self.engine, service));
+            tokio::join!(read_entries(self.engine), stop_leases(self.engine, service));
         if let Err(error) = &listed {
             log::info!(reason:% = error; "the list of instances was not read");
         }
@@ -300,45 +307,45 @@
         let mut most_since = None;
         loop {
             let all = self.engine.membership().listed_count() + 1;
-            let left = self.engine.membership().not_stopped(service, intent.record.epoch);
+            let remaining = self.engine.membership().not_stopped(service, intent.record.epoch);
             let now = boot_time();
-            if listed && is_quorum(all - left.len(), all) {
+            if listed && is_quorum(all - remaining.len(), all) {
                 most_since.get_or_insert(now);
             }
             let changing_since = self.group.with_leases(|leases| leases.changing_since());
             let progress = StopProgress {
-                written_by: intent.done_at,
-                changing_since: changing_since.unwrap_or(intent.done_at),
+                written_by: intent.acknowledged_at,
+                changing_since: changing_since.unwrap_or(intent.acknowledged_at),
                 listed,
-                unheard: left.len(),
+                unheard: remaining.len(),
                 most_since,
             };
             if progress.is_over(now) {
                 log::info!(
-                    service:% = service, epoch:% = intent.record.epoch, unheard = left.len(),
-                    listed = listed, waited_ms = now.saturating_sub(intent.done_at).as_millis();
+                    service:% = service, epoch:% = intent.record.epoch, unheard = remaining.len(),
+                    listed = listed, waited_ms = now.saturating_sub(intent.acknowledged_at).as_millis();
                     "no instance answers for the old primary any more"
                 );
                 return Ok(());
             }
-            if now >= intent.done_at + HOLD_TIME {
+            if now >= intent.acknowledged_at + INTENT_VALIDITY {
                 return Err(ChangeError::TooLate);
             }
-            let receivers: Vec<_> = left.iter().map(|entry| entry.address).collect();
-            let message = PeerMessage::Announce(self.copy_of(&intent.record));
+            let receivers: Vec<_> = remaining.iter().map(|entry| entry.address).collect();
+            let message = PeerMessage::Announce(self.record_copy(&intent.record));
             self.exchange.send_all(&message, &receivers).await;
-            let wait = progress.expires_at().saturating_sub(now).min(ANNOUNCE_GAP);
+            let wait = progress.expires_at().saturating_sub(now).min(ANNOUNCE_INTERVAL);
             self.engine.membership().wait_stopped(wait).await;
         }
     }
 
-    fn copy_of(&self, record: &LeadRecord) -> RecordCopy {
+    fn record_copy(&self, record: &LeadRecord) -> RecordCopy {
         RecordCopy { service: self.group.service().clone(), record: record.clone() }
     }
 
     async fn announce(&self, record: &LeadRecord) {
         let receivers = self.engine.membership().addresses();
-        let message = PeerMessage::Announce(self.copy_of(record));
+        let message = PeerMessage::Announce(self.record_copy(record));
         self.exchange.send_all(&message, &receivers).await;
     }
 
@@ -357,7 +364,7 @@
         log::info!(
             service:% = self.group.service(), epoch:% = epoch, member:% = leader.member,
             term:% = term, position:% = leader.status.received,
-            took_ms = boot_time().saturating_sub(intent.done_at).as_millis();
+            took_ms = boot_time().saturating_sub(intent.acknowledged_at).as_millis();
             "the primary was changed"
         );
         let old = previous.filter(|name| **name != leader.member);
--- a/crates/rudder-engine/src/duty/control.rs
+++ b/crates/rudder-engine/src/duty/control.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// The most time for a question: two round trips between regions, and a busy member's slot.
-pub(super) const STATUS_LIMIT: Duration = Duration::from_millis(500);
+pub(super) const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The priority of such work among callers' statements.
-const FIRST: u8 = 0;
+const CONTROL_RANK: u8 = 0;
 
 plain_data! {
     /// What a member said of itself.
@@ -22,15 +22,15 @@
 }
 
 /// Asks one member.
-pub(super) async fn ask_status(
+pub(super) async fn fetch_status(
     engine: &ProxyEngine,
     member: &GroupMember,
 ) -> Result<MemberReport, LinkError> {
-    let reply = order(engine, member, MemberCommand::Status).await?;
-    read_report(engine, member, &reply)
+    let reply = send_command(engine, member, MemberCommand::Status).await?;
+    parse_report(engine, member, &reply)
 }
 
-pub(super) fn read_report(
+pub(super) fn parse_report(
     engine: &ProxyEngine,
     member: &GroupMember,
     reply: &StatementReply,
@@ -43,7 +43,7 @@
 
 /// Makes a superseded primary a replica.
 pub(super) async fn step_down(engine: &ProxyEngine, member: &GroupMember, term: LogTerm) {
-    let outcome = order(engine, member, MemberCommand::StepDown(term)).await;
+    let outcome = send_command(engine, member, MemberCommand::StepDown(term)).await;
     let outcome =
         outcome.map_or_else(|error| error.to_string(), |reply| format!("{:?}", reply.outcome));
     log::info!(
@@ -51,20 +51,20 @@
     );
 }
 
-async fn order(
+async fn send_command(
     engine: &ProxyEngine,
     member: &GroupMember,
     command: MemberCommand,
 ) -> Result<StatementReply, LinkError> {
-    let talk = async {
+    let call = async {
         match dial(engine, member).await {
             Err(LinkError::Refused(StatementError::ConnectionLimit)) => {
-                order_on_pooled(member, command).await
+                send_on_pooled(member, command).await
             }
             dialed => exchange(dialed?.as_mut(), command).await,
         }
     };
-    tokio::time::timeout(STATUS_LIMIT, talk).await.unwrap_or(Err(LinkError::Silent))
+    tokio::time::timeout(STATUS_TIMEOUT, call).await.unwrap_or(Err(LinkError::Silent))
 }
 
 pub(super) async fn dial(
@@ -72,38 +72,38 @@
     member: &GroupMember,
 ) -> Result<Box<dyn MemberLink>, LinkError> {
     let dial = engine.borders().dialer.dial(member.pool().target(), None);
-    tokio::time::timeout(STATUS_LIMIT, dial).await.unwrap_or(Err(LinkError::Silent))
+    tokio::time::timeout(STATUS_TIMEOUT, dial).await.unwrap_or(Err(LinkError::Silent))
 }
 
 pub(super) async fn exchange(
     link: &mut dyn MemberLink,
     command: MemberCommand,
 ) -> Result<StatementReply, LinkError> {
-    let talk = async {
+    let call = async {
         link.send(&[command]).await?;
         link.receive().await
     };
-    tokio::time::timeout(STATUS_LIMIT, talk).await.unwrap_or(Err(LinkError::Silent))
+    tokio::time::timeout(STATUS_TIMEOUT, call).await.unwrap_or(Err(LinkError::Silent))
 }
 
 /// Asks on a connection that callers use as well.
 ///
 /// Guards against a change of primary that overlooks the most advanced member: it takes no more
 /// connections, and a member that gives no status is no candidate.
-pub(super) async fn order_on_pooled(
+pub(super) async fn send_on_pooled(
     member: &GroupMember,
     command: MemberCommand,
 ) -> Result<StatementReply, LinkError> {
-    let talk = async {
-        let request = LinkRequest { user: LinkUser::Control, rank: FIRST };
-        let acquired = member.pool().acquire(&request, STATUS_LIMIT).await;
+    let call = async {
+        let request = LinkRequest { user: LinkUser::Control, rank: CONTROL_RANK };
+        let acquired = member.pool().acquire(&request, STATUS_TIMEOUT).await;
         let mut link = acquired.map_err(|error| match error {
             AcquireError::WaitOver => LinkError::Silent,
             AcquireError::Down(reason) => reason,
         })?;
-        let answer = link.exchange(&[command], STATUS_LIMIT).await;
-        let mut replies = answer.map_err(|error| error.reason)?;
+        let result = link.exchange(&[command], STATUS_TIMEOUT).await;
+        let mut replies = result.map_err(|error| error.reason)?;
         replies.pop().ok_or(LinkError::Silent)
     };
-    tokio::time::timeout(STATUS_LIMIT, talk).await.unwrap_or(Err(LinkError::Silent))
+    tokio::time::timeout(STATUS_TIMEOUT, call).await.unwrap_or(Err(LinkError::Silent))
 }
--- a/crates/rudder-engine/src/duty/drain.rs
+++ b/crates/rudder-engine/src/duty/drain.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 /// The part of the grace time after which open transactions are given up.
-const TRANSACTION_PART: f64 = 0.5;
+const TRANSACTION_GRACE_FRACTION: f64 = 0.5;
 
 /// The part of the grace time after which the process ends, whatever is still open. What is left
 /// serves for the end itself, on a slow machine.
-const END_PART: f64 = 0.85;
+const END_GRACE_FRACTION: f64 = 0.85;
 
 /// Leads an instance to its end: callers are asked to go elsewhere as their work ends, open
 /// transactions have half of the grace time, and the rest ends a little before it is over.
@@ -28,15 +28,15 @@
 /// ```
 pub async fn stop_engine(engine: &Arc<ProxyEngine>, timing: EngineTiming, idle: impl Fn() -> bool) {
     let began_at = tokio::time::Instant::now();
-    engine.set_drain(DrainPhase::Leaving);
+    engine.set_drain_phase(DrainPhase::Leaving);
     log::info!(grace_ms = timing.grace.as_millis(); "this instance stops");
-    let closing_at = began_at + timing.grace.mul_f64(TRANSACTION_PART);
-    let end_at = began_at + timing.grace.mul_f64(END_PART);
+    let closing_at = began_at + timing.grace.mul_f64(TRANSACTION_GRACE_FRACTION);
+    let end_at = began_at + timing.grace.mul_f64(END_GRACE_FRACTION);
     tokio::time::sleep_until(closing_at).await;
-    engine.set_drain(DrainPhase::Closing);
-    let look_gap = timing.grace / 100;
-    while !idle() && tokio::time::Instant::now() + look_gap < end_at {
-        tokio::time::sleep(look_gap).await;
+    engine.set_drain_phase(DrainPhase::Closing);
+    let poll_interval = timing.grace / 100;
+    while !idle() && tokio::time::Instant::now() + poll_interval < end_at {
+        tokio::time::sleep(poll_interval).await;
     }
     deregister(engine).await;
     log::info!(idle = idle(); "this instance ends");
--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -1,6 +1,6 @@
 //! Signs of life between instances, and the answers to peers' questions.
 
-use super::answers::{answer_question, ask, take_answer};
+use super::answers::{handle_request, handle_response, request_records};
 use super::schedule::HeartbeatSchedule;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
@@ -18,42 +18,42 @@
 use std::time::{Duration, Instant};
 
 /// The pause between two heartbeats while nothing changes.
-const HEARTBEAT_GAP: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// How often a change is looked for that is worth a heartbeat of its own.
-const LOOK_GAP: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long statements under way may hold up this instance's word that it has stopped. Nearly
 /// all commits are answered within it; the rest is answered as unknown.
-const STOP_WAIT: Duration = Duration::from_millis(250);
+const STOP_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long an instance that asks the store itself awaits its word before it asks a peer that has
 /// it already.
-const OWN_READ_WAIT: Duration = Duration::from_millis(400);
+const OWN_READ_DELAY: Duration = Duration::from_millis(400);
 
 /// The pause between two looks whether statements are still under way.
-const STOP_LOOK: Duration = Duration::from_millis(5);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sends heartbeats: regularly, and at once when there is something new in them.
 pub(crate) async fn send(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
-    let mut told: Option<PeerHeartbeat> = None;
+    let mut last_sent: Option<PeerHeartbeat> = None;
     let (mut near_schedule, mut far_schedule) =
         (HeartbeatSchedule::default(), HeartbeatSchedule::default());
     loop {
-        let heartbeat = compose(&engine);
-        let news = told.as_ref() != Some(&heartbeat);
+        let heartbeat = compose_heartbeat(&engine);
+        let has_changed = last_sent.as_ref() != Some(&heartbeat);
         let now = Instant::now();
         let near = engine.membership().near_receivers();
         let far = engine.membership().far_receivers();
-        let mut receivers = near_schedule.due(near, news, HEARTBEAT_GAP, now);
-        receivers.extend(far_schedule.due(far, news, HEARTBEAT_GAP, now));
+        let mut receivers = near_schedule.due(near, has_changed, HEARTBEAT_INTERVAL, now);
+        receivers.extend(far_schedule.due(far, has_changed, HEARTBEAT_INTERVAL, now));
         exchange.send_all(&PeerMessage::Heartbeat(heartbeat.clone()), &receivers).await;
-        told = Some(heartbeat);
-        tokio::time::sleep(LOOK_GAP).await;
+        last_sent = Some(heartbeat);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn compose(engine: &ProxyEngine) -> PeerHeartbeat {
+fn compose_heartbeat(engine: &ProxyEngine) -> PeerHeartbeat {
     // The others' words on the primaries do not count.
     let reads = engine.membership().is_reader();
     let doubted = |group: &Arc<ServiceGroup>| reads && group.silent_since().is_some();
@@ -77,56 +77,56 @@
     loop {
         let (message, from) = exchange.receive().await;
         match message {
-            PeerMessage::Heartbeat(heartbeat) => take_heartbeat(&engine, heartbeat, from),
-            PeerMessage::Announce(copy) => take_announcement(&engine, &exchange, copy, from).await,
-            PeerMessage::Stopped(word) => engine.membership().note_stopped(word),
-            PeerMessage::Ask(question) => answer_question(&engine, &exchange, question, from).await,
-            PeerMessage::Records(answer) => take_answer(&engine, &exchange, answer, from).await,
+            PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&engine, heartbeat, from),
+            PeerMessage::Announce(copy) => handle_announce(&engine, &exchange, copy, from).await,
+            PeerMessage::Stopped(notice) => engine.membership().note_stopped(notice),
+            PeerMessage::Ask(request) => handle_request(&engine, &exchange, request, from).await,
+            PeerMessage::Records(reply) => handle_response(&engine, &exchange, reply, from).await,
             PeerMessage::Claim(claim) => answer_claim(&engine, &exchange, claim, from).await,
-            PeerMessage::ClaimAnswer(answer) => engine.take_claim_answer(answer, from),
-            PeerMessage::AskCopy(question) => answer_copy(&engine, &exchange, question, from).await,
-            PeerMessage::Copy(answer) => engine.pending_copy().take(answer),
+            PeerMessage::ClaimAnswer(response) => engine.take_claim_answer(response, from),
+            PeerMessage::AskCopy(request) => answer_copy(&engine, &exchange, request, from).await,
+            PeerMessage::Copy(response) => engine.pending_copy().take(response),
         }
     }
 }
 
-fn take_heartbeat(engine: &Arc<ProxyEngine>, heartbeat: PeerHeartbeat, from: SocketAddr) {
+fn handle_heartbeat(engine: &Arc<ProxyEngine>, heartbeat: PeerHeartbeat, from: SocketAddr) {
     let version = heartbeat.version;
     engine.membership().note_heartbeat(heartbeat, from);
-    catch_up_if_behind(engine, version, None);
+    fetch_copy_if_behind(engine, version, None);
 }
 
-/// Fetches what a peer knows, if this instance knows less than `version`, or if `lists` has a newer
+/// Fetches what a peer knows, if this instance knows less than `version`, or if `list_source` has a newer
 /// list of instances.
-pub(super) fn catch_up_if_behind(
+pub(super) fn fetch_copy_if_behind(
     engine: &Arc<ProxyEngine>,
     version: CopyVersion,
-    lists: Option<SocketAddr>,
+    list_source: Option<SocketAddr>,
 ) {
-    let behind = engine.copy_version().lacks(version) || lists.is_some();
-    if behind && engine.may_fetch_copy() {
-        tokio::spawn(catch_up(Arc::clone(engine), lists));
+    let behind = engine.copy_version().lacks(version) || list_source.is_some();
+    if behind && engine.try_start_copy_fetch() {
+        tokio::spawn(fetch_newer_copy(Arc::clone(engine), list_source));
     }
 }
 
 /// Fetches what a peer knows and this instance does not.
-async fn catch_up(engine: Arc<ProxyEngine>, lists: Option<SocketAddr>) {
-    if !engine.is_fed() && lists.is_none() {
-        tokio::time::sleep(OWN_READ_WAIT).await;
+async fn fetch_newer_copy(engine: Arc<ProxyEngine>, list_source: Option<SocketAddr>) {
+    if !engine.is_fed() && list_source.is_none() {
+        tokio::time::sleep(OWN_READ_DELAY).await;
     }
-    let peer = engine.membership().newer_copy(engine.copy_version()).or(lists);
-    let asked_at = boot_time();
+    let peer = engine.membership().newer_copy(engine.copy_version()).or(list_source);
+    let requested_at = boot_time();
     if let Some(peer) = peer
         && let Some(copy) = fetch_copy(&engine, peer, engine.copy_request()).await
     {
         log::info!(peer:% = peer; "a copy was had from a peer");
-        engine.apply_copy(copy, asked_at);
+        engine.apply_copy(copy, requested_at);
     }
-    engine.end_fetch_copy();
+    engine.finish_copy_fetch();
 }
 
 /// A peer has written a new version of a record.
-async fn take_announcement(
+async fn handle_announce(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
     copy: RecordCopy,
@@ -138,28 +138,28 @@
         let engine = Arc::clone(engine);
         let exchange = exchange.clone();
         tokio::spawn(async move {
-            let epoch = stop_answering(&engine, &service).await;
+            let epoch = stop_leases(&engine, &service).await;
             let instance = engine.identity().name.clone();
             let notice = StopNotice { instance, service, epoch };
             exchange.send(&PeerMessage::Stopped(notice), from).await;
         });
     } else if engine.membership().is_reader() {
         // A datagram does not say how old it is; a question's answer does.
-        ask(engine, exchange, &[from], false).await;
+        request_records(engine, exchange, &[from], false).await;
     }
 }
 
 /// Lets statements under way end, for a moment; then this instance answers for no version of the
 /// record before the one it returns.
-pub(super) async fn stop_answering(engine: &ProxyEngine, service: &ServiceName) -> LeaderEpoch {
+pub(super) async fn stop_leases(engine: &ProxyEngine, service: &ServiceName) -> LeaderEpoch {
     let group = engine.group(service);
-    let until = Instant::now() + STOP_WAIT;
+    let until = Instant::now() + STOP_TIMEOUT;
     loop {
         let force = Instant::now() >= until;
         let (stopped, epoch) = group.with_leases(|leases| (leases.stop(force), leases.epoch()));
         if stopped {
             return epoch;
         }
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
--- a/crates/rudder-engine/src/duty/keeper.rs
+++ b/crates/rudder-engine/src/duty/keeper.rs
@@ -1,6 +1,6 @@
 //! Decides for each service whether its primary is to be changed, and deals out connections.
 
-use super::change::{self, JudgedChange};
+use super::change::{self, ChangeDecision};
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::group::{GroupMember, MemberState, ServiceGroup};
@@ -13,144 +13,148 @@
 use std::time::Duration;
 
 /// How often the signs are judged.
-const LOOK_GAP: Duration = Duration::from_millis(50);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Looks between two deals of connections.
-const LOOKS_PER_DEAL: u32 = 5;
+const EVALUATIONS_PER_SHARE_UPDATE: u32 = 5;
 
 /// The age of the list of members from which on an entry that is missing in it says nothing.
-const LIST_AGE_MAX: Duration = Duration::from_millis(3000);
+const MEMBER_LIST_MAX_AGE: Duration = Duration::from_millis(3000);
 
 /// The pause after a change that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+const CHANGE_START_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Since when signs have been seen that must last before they count.
 #[derive(Clone, Debug, Default)]
-struct LastingSigns {
+struct SignOnsets {
     absent_since: Option<Duration>,
-    usurped_since: Option<Duration>,
+    superseded_since: Option<Duration>,
 }
 
-struct GroupWatch {
+struct GroupMonitor {
     service: ServiceName,
-    signs: LastingSigns,
+    signs: SignOnsets,
     /// No change is tried before this moment.
-    pause_until: Duration,
+    next_change_at: Duration,
 }
 
 /// Services with a change under way on this instance.
-type Busy = Arc<Mutex<Vec<ServiceName>>>;
+type RunningChanges = Arc<Mutex<Vec<ServiceName>>>;
 
 /// Judges all services again and again.
-pub(crate) async fn keep(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
-    let busy = Busy::default();
-    let mut watches: Vec<GroupWatch> = Vec::new();
-    let mut looks = 0_u32;
+pub(crate) async fn run_keeper(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
+    let running = RunningChanges::default();
+    let mut monitors: Vec<GroupMonitor> = Vec::new();
+    let mut evaluations = 0_u32;
     loop {
-        tokio::time::sleep(LOOK_GAP).await;
-        looks = looks.wrapping_add(1);
+        tokio::time::sleep(EVALUATION_INTERVAL).await;
+        evaluations = evaluations.wrapping_add(1);
         let serves = engine.drain_phase() == DrainPhase::Serving;
         let may_act = serves && engine.membership().is_reader();
         for group in engine.groups() {
             group.drop_unlisted();
-            let watch = watch_of(&mut watches, group.service());
+            let monitor = monitor_of(&mut monitors, group.service());
             if may_act {
-                look(&engine, &exchange, &group, watch, &busy);
+                evaluate(&engine, &exchange, &group, monitor, &running);
             } else {
-                watch.signs = LastingSigns::default();
+                monitor.signs = SignOnsets::default();
             }
         }
-        if looks.is_multiple_of(LOOKS_PER_DEAL) {
-            deal_connections(&engine);
+        if evaluations.is_multiple_of(EVALUATIONS_PER_SHARE_UPDATE) {
+            update_connection_shares(&engine);
         }
     }
 }
 
-fn watch_of<'a>(watches: &'a mut Vec<GroupWatch>, service: &ServiceName) -> &'a mut GroupWatch {
-    let index = match watches.binary_search_by(|watch| watch.service.cmp(service)) {
+fn monitor_of<'a>(
+    monitors: &'a mut Vec<GroupMonitor>,
+    service: &ServiceName,
+) -> &'a mut GroupMonitor {
+    let index = match monitors.binary_search_by(|monitor| monitor.service.cmp(service)) {
         Ok(index) => index,
         Err(index) => {
-            let signs = LastingSigns::default();
-            let pause_until = Duration::ZERO;
-            watches.insert(index, GroupWatch { service: service.clone(), signs, pause_until });
+            let signs = SignOnsets::default();
+            let next_change_at = Duration::ZERO;
+            monitors
+                .insert(index, GroupMonitor { service: service.clone(), signs, next_change_at });
             index
         }
     };
-    &mut watches[index]
+    &mut monitors[index]
 }
 
-fn look(
+fn evaluate(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
     group: &Arc<ServiceGroup>,
-    watch: &mut GroupWatch,
-    busy: &Busy,
+    monitor: &mut GroupMonitor,
+    running: &RunningChanges,
 ) {
     let now = boot_time();
-    if now < watch.pause_until {
+    if now < monitor.next_change_at {
         return;
     }
     let leases = group.with_leases(|leases| leases.clone());
     let epoch = leases.epoch();
-    let signs = read_signs(engine, group, &leases, &mut watch.signs, now);
+    let signs = read_signs(engine, group, &leases, &mut monitor.signs, now);
     let votes = engine.membership().votes(group.service(), epoch, signs.silent_since.is_some());
     let cause = judge_change(&leases, &signs, &engine.identity().name, &votes, now);
     // Guards against a first record for a service that has one: the list that lacked it may have
     // been read before another instance wrote it.
-    let unrecorded = leases.record().is_none() && engine.is_recordless(group.service());
+    let lacks_record = leases.record().is_none() && engine.lacks_record(group.service());
     let may_record = engine.membership().is_first_reader() && !group.members().is_empty();
-    let first = unrecorded && may_record;
-    if cause.is_none() && !first {
+    let writes_first_record = lacks_record && may_record;
+    if cause.is_none() && !writes_first_record {
         return;
     }
     {
-        let mut busy = lock(busy);
-        if busy.contains(group.service()) {
+        let mut running = lock(running);
+        if running.contains(group.service()) {
             return;
         }
-        busy.push(group.service().clone());
+        running.push(group.service().clone());
     }
-    watch.pause_until = now + FAILED_PAUSE;
-    let since = [signs.silent_since, signs.absent_since, signs.usurped_since];
-    let since = since.into_iter().flatten().min().unwrap_or(now);
+    monitor.next_change_at = now + CHANGE_START_INTERVAL;
+    let onsets = [signs.silent_since, signs.absent_since, signs.usurped_since];
+    let since = onsets.into_iter().flatten().min().unwrap_or(now);
     // Nobody who knows that the primary leaves sends it work by then, so there is nothing to stop.
     let primary = leases.record().and_then(|record| record.primary());
-    let left = primary.and_then(|primary| group.member(primary));
-    let left = left.is_some_and(|member| member.has_left(engine.leave_limit()));
-    let alone = left || now >= since + QUORUM_REACH;
-    let judged = cause.map(|cause| JudgedChange { cause, epoch, alone });
-    spawn_change(engine, exchange, group, judged, busy);
+    let primary = primary.and_then(|primary| group.member(primary));
+    let has_left = primary.is_some_and(|member| member.has_left(engine.leaving_use_limit()));
+    let skips_quorum = has_left || now >= since + QUORUM_REACH;
+    let decision = cause.map(|cause| ChangeDecision { cause, epoch, skips_quorum });
+    spawn_change(engine, exchange, group, decision, running);
 }
 
 fn spawn_change(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
     group: &Arc<ServiceGroup>,
-    judged: Option<JudgedChange>,
-    busy: &Busy,
+    decision: Option<ChangeDecision>,
+    running: &RunningChanges,
 ) {
     let engine = Arc::clone(engine);
     let exchange = exchange.clone();
     let group = Arc::clone(group);
-    let busy = Arc::clone(busy);
+    let running = Arc::clone(running);
     tokio::spawn(async move {
-        let word = judged.map_or("first", |judged| judged.cause.word());
-        let outcome = match judged {
-            Some(judged) => change::change_primary(&engine, &exchange, &group, judged).await,
-            None => change::record_first(&engine, &exchange, &group).await,
+        let label = decision.map_or("first", |decision| decision.cause.word());
+        let outcome = match decision {
+            Some(decision) => change::change_primary(&engine, &exchange, &group, decision).await,
+            None => change::write_first_record(&engine, &exchange, &group).await,
         };
         match outcome {
             Ok(()) => log::info!(
-                service:% = group.service(), cause = word, outcome = "done";
+                service:% = group.service(), cause = label, outcome = "done";
                 "a change of primary ended"
             ),
             Err(error) => log::warn!(
-                service:% = group.service(), cause = word, outcome = "not_done", reason:% = error;
+                service:% = group.service(), cause = label, outcome = "not_done", reason:% = error;
                 "a change of primary ended"
             ),
         }
-        let mut busy = lock(&busy);
-        busy.retain(|service| service != group.service());
+        let mut running = lock(&running);
+        running.retain(|service| service != group.service());
     });
 }
 
@@ -158,25 +162,26 @@
     engine: &ProxyEngine,
     group: &ServiceGroup,
     leases: &LeaseTable,
-    lasting: &mut LastingSigns,
+    onsets: &mut SignOnsets,
     now: Duration,
 ) -> GroupSigns {
     let members = group.members();
     let primary = leases.record().and_then(|record| record.primary().cloned());
     let present = primary.as_ref().and_then(|primary| group.member(primary));
-    let listed = engine.members_confirmed_at().is_some_and(|at| now < at + LIST_AGE_MAX);
-    let gone = present.as_ref().is_none_or(|primary| !primary.is_listed());
-    let absent = listed && primary.is_some() && gone;
-    let usurped = present.as_deref().is_some_and(|primary| is_usurped(primary, &members));
-    lasting.absent_since = lasting_since(lasting.absent_since, absent, now);
-    lasting.usurped_since = lasting_since(lasting.usurped_since, usurped, now);
+    let list_is_current =
+        engine.members_confirmed_at().is_some_and(|at| now < at + MEMBER_LIST_MAX_AGE);
+    let unlisted = present.as_ref().is_none_or(|primary| !primary.is_listed());
+    let absent = list_is_current && primary.is_some() && unlisted;
+    let superseded = present.as_deref().is_some_and(|primary| is_superseded(primary, &members));
+    onsets.absent_since = onset_of(onsets.absent_since, absent, now);
+    onsets.superseded_since = onset_of(onsets.superseded_since, superseded, now);
     GroupSigns {
         silent_since: group.silent_since(),
-        absent_since: lasting.absent_since,
-        usurped_since: lasting.usurped_since,
+        absent_since: onsets.absent_since,
+        usurped_since: onsets.superseded_since,
         draining: present.is_some_and(|primary| !primary.serves_reads()),
         holder_ended: has_ended(engine, leases),
-        replaceable: members.iter().any(|member| is_successor(member, primary.as_ref())),
+        replaceable: members.iter().any(|member| can_succeed(member, primary.as_ref())),
     }
 }
 
@@ -191,22 +196,22 @@
     engine.membership().has_restarted(holder, *process, leases.seen_at())
 }
 
-fn lasting_since(since: Option<Duration>, seen: bool, now: Duration) -> Option<Duration> {
-    seen.then(|| since.unwrap_or(now))
+fn onset_of(since: Option<Duration>, present: bool, now: Duration) -> Option<Duration> {
+    present.then(|| since.unwrap_or(now))
 }
 
 /// Whether the primary says that it does not lead, and another member says that it does.
-fn is_usurped(primary: &GroupMember, members: &[Arc<GroupMember>]) -> bool {
+fn is_superseded(primary: &GroupMember, members: &[Arc<GroupMember>]) -> bool {
     let leads = |member: &GroupMember| member.entry().role == MemberRole::Primary;
     let other = members.iter().any(|member| member.name() != primary.name() && leads(member));
     other && !leads(primary)
 }
 
-fn is_successor(member: &GroupMember, primary: Option<&MemberName>) -> bool {
+fn can_succeed(member: &GroupMember, primary: Option<&MemberName>) -> bool {
     Some(member.name()) != primary && member.entry().state == MemberState::Ready
 }
 
-fn deal_connections(engine: &ProxyEngine) {
+fn update_connection_shares(engine: &ProxyEngine) {
     let Some(settings) = engine.settings() else { return };
     let own = &engine.identity().name;
     let all = engine.membership().known();
--- a/crates/rudder-engine/src/duty/promote.rs
+++ b/crates/rudder-engine/src/duty/promote.rs
@@ -1,7 +1,7 @@
 //! Chooses the member that takes over, and has it promoted.
 
-use super::change::{ChangeError, ChangeRun, HOLD_TIME, LOOK_GAP, WrittenRecord};
-use super::control::{MemberReport, ask_status};
+use super::change::{ChangeError, ChangeRun, INTENT_VALIDITY, POLL_INTERVAL, WrittenRecord};
+use super::control::{MemberReport, fetch_status};
 use crate::border::{PromotionError, PromotionOrder};
 use crate::clock::boot_time;
 use crate::group::{GroupMember, MemberState};
@@ -10,30 +10,30 @@
 use std::time::Duration;
 
 /// How long a planned change waits for its successor to receive the primary's last commits.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(800);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The pause before a promotion is ordered again that was not accepted.
-const ORDER_PAUSE: Duration = Duration::from_millis(80);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// The most time for an order to promote.
-const ORDER_LIMIT: Duration = Duration::from_millis(600);
+const PROMOTION_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long a promoted member may take to lead: promoting takes up to a second.
-const LEAD_LIMIT: Duration = Duration::from_millis(2500);
+const LEADERSHIP_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl ChangeRun<'_> {
     /// The members that may take over, with what they say of themselves.
-    pub(super) async fn ask_candidates(
+    pub(super) async fn fetch_candidate_reports(
         &self,
         previous: Option<&MemberName>,
-        previous_too: bool,
+        includes_previous: bool,
     ) -> Vec<MemberReport> {
         let mut members = self.group.members();
         members.retain(|member| {
             let ready = member.entry().state == MemberState::Ready;
-            ready && (previous_too || Some(member.name()) != previous)
+            ready && (includes_previous || Some(member.name()) != previous)
         });
-        self.desk.lock().await.ask_all(self.engine, &members).await
+        self.clients.lock().await.fetch_all(self.engine, &members).await
     }
 
     /// Promotes a member; returns its name, term and position as a primary.
@@ -49,7 +49,7 @@
         }
         let mut rejected: Vec<MemberName> = Vec::new();
         loop {
-            let mut reports = self.ask_candidates(previous, unfinished).await;
+            let mut reports = self.fetch_candidate_reports(previous, unfinished).await;
             // An earlier holder's order may have come into effect.
             if let Some(leader) = newest_leader(&reports, previous) {
                 return Ok(leader.clone());
@@ -62,7 +62,7 @@
             let candidates = order_candidates(positions);
             // Checked right before the order: a holder that was suspended must not promote after
             // another one took over.
-            if boot_time() >= intent.done_at + HOLD_TIME {
+            if boot_time() >= intent.acknowledged_at + INTENT_VALIDITY {
                 return Err(ChangeError::TooLate);
             }
             if self.group.with_leases(|leases| leases.epoch()) != intent.record.epoch {
@@ -70,13 +70,13 @@
             }
             let Some((candidate, _)) = candidates.first() else {
                 rejected.clear();
-                tokio::time::sleep(LOOK_GAP).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             };
             let before = reports.iter().map(|report| report.status.accepted).max();
             match self.order(intent, candidate).await {
                 // For a member that leads already the platform changes nothing.
-                Ok(()) if let Some(leader) = leading(&reports, candidate, before) => {
+                Ok(()) if let Some(leader) = find_leading(&reports, candidate, before) => {
                     return Ok(leader.clone());
                 }
                 Ok(()) | Err(PromotionError::Unanswered) => {
@@ -86,7 +86,7 @@
                     }
                 }
                 Err(PromotionError::Rejected) => rejected.push(candidate.clone()),
-                Err(PromotionError::TurnedAway(_)) => tokio::time::sleep(ORDER_PAUSE).await,
+                Err(PromotionError::TurnedAway(_)) => tokio::time::sleep(ORDER_RETRY_DELAY).await,
             }
         }
     }
@@ -103,7 +103,7 @@
             token: intent.record.epoch.0,
         };
         let call = self.engine.borders().promotion.promote(&order);
-        let outcome = tokio::time::timeout(ORDER_LIMIT, call).await;
+        let outcome = tokio::time::timeout(PROMOTION_CALL_TIMEOUT, call).await;
         let outcome = outcome.unwrap_or(Err(PromotionError::Unanswered));
         log::info!(
             service:% = order.service, member:% = candidate, token = order.token,
@@ -115,17 +115,17 @@
     /// Waits until the member leads a newer term than `before`.
     async fn await_leader(&self, candidate: &MemberName, before: LogTerm) -> Option<MemberReport> {
         let member = self.group.member(candidate)?;
-        let mut watch = self.desk.lock().await.take(self.engine, &member);
-        let until = boot_time() + LEAD_LIMIT;
+        let mut client = self.clients.lock().await.take(self.engine, &member);
+        let until = boot_time() + LEADERSHIP_TIMEOUT;
         while boot_time() < until {
-            match watch.ask().await {
+            match client.fetch().await {
                 Ok(report) if leads_since(&report, before) => return Some(report),
                 Ok(_) => {}
                 Err(error) => {
                     log::info!(member:% = candidate, reason:% = error; "a promoted member is silent");
                 }
             }
-            tokio::time::sleep(LOOK_GAP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
@@ -135,17 +135,17 @@
     /// Nobody writes there any more, so its position is final; promoting before a successor has
     /// got there would lose acknowledged commits.
     async fn await_catch_up(&self, primary: &GroupMember) {
-        let Ok(last) = ask_status(self.engine, primary).await else {
+        let Ok(last) = fetch_status(self.engine, primary).await else {
             log::warn!(member:% = primary.name(); "a leaving primary gives no position");
             return;
         };
-        let until = boot_time() + CATCH_UP_LIMIT;
+        let until = boot_time() + CATCH_UP_TIMEOUT;
         while boot_time() < until {
-            let reports = self.ask_candidates(Some(primary.name()), false).await;
+            let reports = self.fetch_candidate_reports(Some(primary.name()), false).await;
             if reports.iter().any(|report| report.status.received >= last.status.received) {
                 return;
             }
-            tokio::time::sleep(LOOK_GAP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         log::warn!(
             member:% = primary.name(), position:% = last.status.received;
@@ -155,7 +155,7 @@
 }
 
 /// The report of a candidate that leads the newest term.
-fn leading<'a>(
+fn find_leading<'a>(
     reports: &'a [MemberReport],
     candidate: &MemberName,
     newest: Option<LogTerm>,
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -12,30 +12,30 @@
 use std::time::Duration;
 
 /// The pause between two reads of the list by the first reader, from whom the others have it.
-const FIRST_READER_GAP: Duration = Duration::from_secs(10);
+const LIST_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The same while the list changes, as when a fleet starts.
-const CHANGING_GAP: Duration = Duration::from_millis(500);
+const CHANGING_LIST_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The pause between two looks of a reader for entries of its failure domain that are left over.
-const JUDGE_GAP: Duration = Duration::from_secs(30);
+const STALE_ENTRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
 /// How long an instance that nobody tells of its own entry goes without a look at the list. Below
 /// [`LISTED_LIFE`] by some reads that fail.
-const UNTOLD_TIME: Duration = Duration::from_secs(20);
+const UNCONFIRMED_ENTRY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The pause before a first read or entry that failed is tried again.
-const AGAIN_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The pause between two looks whether a read is due.
-const LOOK_GAP: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The pause between writing the entry and the next read. Instances that start at the same moment
 /// have written theirs by then, so that each knows its neighbours.
-const ENTERED_GAP: Duration = Duration::from_millis(150);
+const CONTACT_READ_DELAY: Duration = Duration::from_millis(150);
 
 /// The most time for one call.
-pub(super) const CALL_LIMIT: Duration = Duration::from_millis(1000);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// What the store keeps of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,20 +58,20 @@
 
 /// What a look at the list found of the own entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EntryFinding {
+pub(super) enum RegistrationCheck {
     /// It stood there without a mark.
-    Stood,
+    Present,
     /// It did not, and was written.
-    Entered,
+    Registered,
     /// It did not, and stays away, as this instance stops.
-    Left,
+    Stopping,
 }
 
 /// When the list was last read, and by which calls.
 #[derive(Debug, Default)]
 struct ListState {
     read_at: Option<Duration>,
-    judged_at: Option<Duration>,
+    checked_at: Option<Duration>,
     /// Whether the last read showed another list than the one before.
     changing: bool,
     ledger: EntryLedger,
@@ -81,23 +81,23 @@
 ///
 /// The list itself is read by the first reader, and handed on from instance to instance.
 pub(crate) async fn keep_registered(engine: Arc<ProxyEngine>) {
-    let (_, found) = tokio::join!(enter(&engine), find_contacts(&engine));
+    let (_, found) = tokio::join!(register_until_accepted(&engine), find_contacts(&engine));
     if !found {
-        tokio::time::sleep(ENTERED_GAP).await;
-        meet_newcomers(&engine).await;
+        tokio::time::sleep(CONTACT_READ_DELAY).await;
+        retry_contacts(&engine).await;
     }
     let mut state = ListState::default();
     loop {
-        tokio::time::sleep(LOOK_GAP).await;
-        if let Err(error) = look_if_due(&engine, &mut state).await {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        if let Err(error) = read_list_if_due(&engine, &mut state).await {
             log::info!(reason:% = error; "the list of instances was not read or written");
-            tokio::time::sleep(AGAIN_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Writes this instance's entry until it stands.
-async fn enter(engine: &ProxyEngine) {
+async fn register_until_accepted(engine: &ProxyEngine) {
     while engine.drain_phase() == DrainPhase::Serving {
         match register(engine).await {
             Ok(()) => {
@@ -106,7 +106,7 @@
             }
             Err(error) => {
                 log::info!(reason:% = error; "the list of instances was not written");
-                tokio::time::sleep(AGAIN_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -118,7 +118,7 @@
 /// said before, and a call that need not be exact is cheap.
 async fn find_contacts(engine: &ProxyEngine) -> bool {
     let list = engine.borders().store.list_cached(ObjectKind::InstanceRecord);
-    match limited(CALL_LIMIT, list).await {
+    match with_timeout(CALL_TIMEOUT, list).await {
         Ok(objects) => {
             let contacts: Vec<PeerEntry> = objects.iter().filter_map(read_entry).collect();
             let own = &engine.identity().name;
@@ -134,7 +134,7 @@
 }
 
 /// Learns of those who have started at the same time, for the first time.
-async fn meet_newcomers(engine: &ProxyEngine) {
+async fn retry_contacts(engine: &ProxyEngine) {
     if find_contacts(engine).await {
         return;
     }
@@ -144,53 +144,56 @@
 }
 
 /// Reads the list if it is this instance's turn.
-async fn look_if_due(engine: &ProxyEngine, state: &mut ListState) -> Result<(), StoreError> {
+async fn read_list_if_due(engine: &ProxyEngine, state: &mut ListState) -> Result<(), StoreError> {
     let now = boot_time();
     let is_over = |at: Option<Duration>, gap| at.is_none_or(|at| now >= at + gap);
-    let gap = if state.changing { CHANGING_GAP } else { FIRST_READER_GAP };
+    let gap = if state.changing { CHANGING_LIST_READ_INTERVAL } else { LIST_READ_INTERVAL };
     let reads = engine.membership().is_first_reader() && is_over(state.read_at, gap);
-    let untold = engine.is_unlisted_for(UNTOLD_TIME) && is_over(state.read_at, CHANGING_GAP);
-    if reads || untold {
+    let unconfirmed = engine.is_unregistered_for(UNCONFIRMED_ENTRY_TIMEOUT)
+        && is_over(state.read_at, CHANGING_LIST_READ_INTERVAL);
+    if reads || unconfirmed {
         let (before, _) = engine.membership().entries_version();
         state.read_at = Some(now);
-        follow_list(engine).await?;
+        ensure_registered(engine).await?;
         state.changing = before != engine.membership().entries_version().0;
     }
-    if engine.membership().is_reader() && is_over(state.judged_at, JUDGE_GAP) {
-        let first = state.judged_at.is_none();
-        state.judged_at = Some(now);
+    if engine.membership().is_reader() && is_over(state.checked_at, STALE_ENTRY_CHECK_INTERVAL) {
+        let first = state.checked_at.is_none();
+        state.checked_at = Some(now);
         // What an instance has just learnt of tells nothing of how long it has been silent.
         if !first {
-            judge_neighbours(engine, &mut state.ledger).await?;
+            check_stale_entries(engine, &mut state.ledger).await?;
         }
     }
     Ok(())
 }
 
 /// Reads the list, and keeps this instance in it.
-pub(super) async fn follow_list(engine: &ProxyEngine) -> Result<EntryFinding, StoreError> {
+pub(super) async fn ensure_registered(
+    engine: &ProxyEngine,
+) -> Result<RegistrationCheck, StoreError> {
     let entries = read_entries(engine).await?;
     if entries.iter().any(|entry| is_own(engine, entry) && !entry.marked) {
-        return Ok(EntryFinding::Stood);
+        return Ok(RegistrationCheck::Present);
     }
     if engine.drain_phase() != DrainPhase::Serving {
         // Guards against an instance that stops and enters the list again, which nobody would take
         // out for two minutes, with a lease's wait in each change of primary.
-        return Ok(EntryFinding::Left);
+        return Ok(RegistrationCheck::Stopping);
     }
     log::info!(instance:% = engine.identity().name; "this instance is not in the list, or marked there");
     register(engine).await?;
-    Ok(EntryFinding::Entered)
+    Ok(RegistrationCheck::Registered)
 }
 
 /// Takes instances of the own failure domain out of the list that are gone. The list that is looked
 /// at may be old: each change names the version of the entry that was seen.
-async fn judge_neighbours(
+async fn check_stale_entries(
     engine: &ProxyEngine,
     ledger: &mut EntryLedger,
 ) -> Result<(), StoreError> {
     let list = engine.borders().store.list_cached(ObjectKind::InstanceRecord);
-    let objects = limited(CALL_LIMIT, list).await?;
+    let objects = with_timeout(CALL_TIMEOUT, list).await?;
     let entries: Vec<(PeerEntry, ObjectVersion)> = objects
         .iter()
         .filter_map(|object| Some((read_entry(object)?, object.version.clone())))
@@ -206,8 +209,8 @@
         let now = boot_time();
         match ledger.judge(&entry.instance, &version.0, entry.marked, heard_at, now) {
             EntryVerdict::Keep => {}
-            EntryVerdict::Mark => mark(engine, entry, version).await?,
-            EntryVerdict::Remove => remove(engine, &entry.instance, version).await?,
+            EntryVerdict::Mark => mark_entry(engine, entry, version).await?,
+            EntryVerdict::Remove => remove_entry(engine, &entry.instance, version).await?,
         }
     }
     Ok(())
@@ -221,7 +224,7 @@
         && entry.domain == identity.domain
 }
 
-async fn mark(
+async fn mark_entry(
     engine: &ProxyEngine,
     entry: &PeerEntry,
     version: &ObjectVersion,
@@ -237,10 +240,10 @@
     let kind = ObjectKind::InstanceRecord;
     let put = store.put(kind, entry.instance.as_str(), Some(version), spec);
     log::info!(instance:% = entry.instance; "an instance is not heard any more, and is marked");
-    limited(CALL_LIMIT, put).await.map(|_| ())
+    with_timeout(CALL_TIMEOUT, put).await.map(|_| ())
 }
 
-async fn remove(
+async fn remove_entry(
     engine: &ProxyEngine,
     instance: &InstanceName,
     version: &ObjectVersion,
@@ -248,13 +251,13 @@
     log::info!(instance:% = instance; "an instance that is gone is taken out of the list");
     let store = &engine.borders().store;
     let kind = ObjectKind::InstanceRecord;
-    limited(CALL_LIMIT, store.delete(kind, instance.as_str(), version)).await
+    with_timeout(CALL_TIMEOUT, store.delete(kind, instance.as_str(), version)).await
 }
 
 async fn register(engine: &ProxyEngine) -> Result<(), StoreError> {
     let sent_at = boot_time();
     let version = write_entry(engine).await?;
-    engine.note_entry_version(version);
+    engine.record_entry_version(version);
     engine.set_listed(Some(sent_at));
     Ok(())
 }
@@ -276,11 +279,12 @@
     let store = &engine.borders().store;
     let name = identity.name.as_str();
     let kind = ObjectKind::InstanceRecord;
-    let known = limited(CALL_LIMIT, store.create_or_get(kind, name, spec.clone())).await?;
+    let known = with_timeout(CALL_TIMEOUT, store.create_or_get(kind, name, spec.clone())).await?;
     if known.spec == spec {
         return Ok(known.version);
     }
-    let written = limited(CALL_LIMIT, store.put(kind, name, Some(&known.version), spec)).await?;
+    let written =
+        with_timeout(CALL_TIMEOUT, store.put(kind, name, Some(&known.version), spec)).await?;
     Ok(written.version)
 }
 
@@ -288,7 +292,7 @@
 pub(super) async fn read_entries(engine: &ProxyEngine) -> Result<Vec<PeerEntry>, StoreError> {
     let sent_at = boot_time();
     let list = engine.borders().store.list(ObjectKind::InstanceRecord);
-    let objects = limited(CALL_LIMIT, list).await?;
+    let objects = with_timeout(CALL_TIMEOUT, list).await?;
     let entries: Vec<PeerEntry> = objects.iter().filter_map(read_entry).collect();
     let own = entries.iter().find(|entry| is_own(engine, entry));
     match own {
@@ -314,31 +318,31 @@
 
 /// Removes this instance from the list.
 pub(super) async fn deregister(engine: &ProxyEngine) {
-    engine.leave_list();
+    engine.begin_deregistration();
     let Some(version) = engine.entry_version() else { return };
-    if let Err(error) = remove_own(engine, &version).await {
+    if let Err(error) = remove_own_entry(engine, &version).await {
         // A change of primary then waits for a lease's life instead of for this one's word.
         log::warn!(reason:% = error; "this instance stays in the list of instances");
     }
 }
 
-async fn remove_own(engine: &ProxyEngine, version: &ObjectVersion) -> Result<(), StoreError> {
+async fn remove_own_entry(engine: &ProxyEngine, version: &ObjectVersion) -> Result<(), StoreError> {
     let store = &engine.borders().store;
     let name = engine.identity().name.as_str();
     let kind = ObjectKind::InstanceRecord;
-    let removed = limited(CALL_LIMIT, store.delete(kind, name, version)).await;
+    let removed = with_timeout(CALL_TIMEOUT, store.delete(kind, name, version)).await;
     if removed != Err(StoreError::Conflict) {
         return removed;
     }
     // Another instance has marked the entry.
-    match limited(CALL_LIMIT, store.get(kind, name)).await? {
-        Some(known) => limited(CALL_LIMIT, store.delete(kind, name, &known.version)).await,
+    match with_timeout(CALL_TIMEOUT, store.get(kind, name)).await? {
+        Some(known) => with_timeout(CALL_TIMEOUT, store.delete(kind, name, &known.version)).await,
         None => Ok(()),
     }
 }
 
 /// A call to the store with a bound; what came of a call without an answer is not known.
-pub(super) async fn limited<T>(
+pub(super) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
--- a/crates/rudder-engine/src/duty/schedule.rs
+++ b/crates/rudder-engine/src/duty/schedule.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeartbeatSchedule {
     /// When all were told last.
-    told_at: Option<Instant>,
+    sent_at: Option<Instant>,
     /// Who has been told since they were receivers, sorted.
-    told: Vec<SocketAddr>,
+    known_receivers: Vec<SocketAddr>,
 }
 
 impl HeartbeatSchedule {
@@ -22,18 +22,19 @@
     pub(super) fn due(
         &mut self,
         receivers: Vec<SocketAddr>,
-        news: bool,
-        gap: Duration,
+        has_changed: bool,
+        interval: Duration,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        let over = self.told_at.is_none_or(|at| now.saturating_duration_since(at) >= gap);
+        let interval_elapsed =
+            self.sent_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
         let mut due = receivers.clone();
-        if news || over {
-            self.told_at = Some(now);
+        if has_changed || interval_elapsed {
+            self.sent_at = Some(now);
         } else {
-            due.retain(|receiver| self.told.binary_search(receiver).is_err());
+            due.retain(|receiver| self.known_receivers.binary_search(receiver).is_err());
         }
-        self.told = receivers;
+        self.known_receivers = receivers;
         due
     }
 }
--- a/crates/rudder-engine/src/duty/start.rs
+++ b/crates/rudder-engine/src/duty/start.rs
@@ -31,13 +31,13 @@
     let engine = ProxyEngine::new(identity, borders);
     let exchange = PeerExchange::bind(address).await?;
     let listener = TcpListener::bind(address).await?;
-    engine.connect(exchange.clone());
+    engine.set_exchange(exchange.clone());
     tokio::spawn(serve_copies(Arc::clone(&engine), listener));
     tokio::spawn(heartbeat::receive(Arc::clone(&engine), exchange.clone()));
     tokio::spawn(heartbeat::send(Arc::clone(&engine), exchange.clone()));
     tokio::spawn(registry::keep_registered(Arc::clone(&engine)));
     tokio::spawn(records::follow(Arc::clone(&engine), exchange.clone()));
     tokio::spawn(watch::supervise(Arc::clone(&engine)));
-    tokio::spawn(keeper::keep(Arc::clone(&engine), exchange));
+    tokio::spawn(keeper::run_keeper(Arc::clone(&engine), exchange));
     Ok(engine)
 }
--- a/crates/rudder-engine/src/duty/tests/change.rs
+++ b/crates/rudder-engine/src/duty/tests/change.rs
@@ -1,8 +1,8 @@
 //! Changes of primary against a store in memory.
 
-use super::fixture::{FakeMembers, RecordStore, WriteFate, engine, engine_with_drain, stamp};
+use super::fixture::{FakeMembers, RecordStore, WriteOutcome, engine, engine_with_drain, stamp};
 use crate::clock::boot_time;
-use crate::duty::change::{ChangeError, JudgedChange, change_primary};
+use crate::duty::change::{ChangeDecision, ChangeError, change_primary};
 use crate::lead::{ChangeCause, LeadPhase, LeadRecord, LeaderEpoch};
 use crate::peers::PeerExchange;
 use rudder_core::{LogTerm, MemberName, ServiceName};
@@ -19,8 +19,8 @@
     "records".parse().expect("a name")
 }
 
-fn unfinished(epoch: u64) -> JudgedChange {
-    JudgedChange { cause: ChangeCause::Unfinished, epoch: LeaderEpoch(epoch), alone: true }
+fn unfinished(epoch: u64) -> ChangeDecision {
+    ChangeDecision { cause: ChangeCause::Unfinished, epoch: LeaderEpoch(epoch), skips_quorum: true }
 }
 
 async fn exchange() -> PeerExchange {
@@ -33,7 +33,7 @@
     // see it. The successor begins anew, and its announcement reaches the other one between its
     // judgement and its look at the store. If that one goes on, two instances promote in turn.
     let newer = changing(3, None, false);
-    let store = RecordStore::new(&newer, &[WriteFate::Refused]);
+    let store = RecordStore::new(&newer, &[WriteOutcome::Refused]);
     let engine = engine(&store, None);
     let exchange = exchange().await;
     let group = engine.group(&service());
@@ -63,8 +63,8 @@
     engine.apply_members(&members.entries(), 1);
     engine.observe(&service(), &record, Duration::ZERO);
     let group = engine.group(&service());
-    let judged = unfinished(record.epoch.0);
-    let outcome = change_primary(&engine, &exchange().await, &group, judged).await;
+    let decision = unfinished(record.epoch.0);
+    let outcome = change_primary(&engine, &exchange().await, &group, decision).await;
     (outcome, members)
 }
 
@@ -75,7 +75,7 @@
     // one takes over while the successor still lacks the last commits. It saw a change that was not
     // finished, not that the old primary was there to be waited for, and promoted at once.
     let record = changing(3, Some("a".parse().expect("a name")), true);
-    let store = RecordStore::new(&record, &[WriteFate::Done]);
+    let store = RecordStore::new(&record, &[WriteOutcome::Done]);
 
     let (outcome, members) = take_over(&store, &[("a", 100), ("b", 95), ("c", 90)]).await;
 
@@ -90,7 +90,7 @@
     // of a record without a word; the change gave up each time and began anew, with a new version
     // of the record for which all instances had to stop again.
     let record = changing(3, Some("a".parse().expect("a name")), false);
-    let store = RecordStore::new(&record, &[WriteFate::Lost, WriteFate::Done]);
+    let store = RecordStore::new(&record, &[WriteOutcome::Lost, WriteOutcome::Done]);
 
     let (outcome, members) = take_over(&store, &[("a", 100), ("b", 95), ("c", 90)]).await;
 
@@ -100,12 +100,12 @@
 }
 
 #[tokio::test]
-async fn a_change_asks_its_candidates_on_one_connection_each() {
+async fn change_uses_one_connection_per_candidate() {
     // Crews wait two seconds for a new primary that takes 0.3 to promote. The change asks the
     // candidates twice and then looks at the promoted one, and opened a connection each time, which
     // waited for a slot of members that were busy with the lost primary's reads.
     let record = changing(3, Some("a".parse().expect("a name")), false);
-    let store = RecordStore::new(&record, &[WriteFate::Done]);
+    let store = RecordStore::new(&record, &[WriteOutcome::Done]);
 
     let (outcome, members) = take_over(&store, &[("a", 100), ("b", 100), ("c", 90)]).await;
 
@@ -115,14 +115,14 @@
 }
 
 #[tokio::test]
-async fn a_candidate_whose_connection_went_silent_is_asked_on_a_new_one() {
+async fn silent_connection_to_a_candidate_is_replaced() {
     // The last sheets of a lost primary are gone although a replica had them. Something between the
     // two ends lost track of the connection on which it was asked a moment before; without an answer
     // it was no candidate, and a member behind it was promoted.
     let record = changing(3, Some("a".parse().expect("a name")), false);
-    let store = RecordStore::new(&record, &[WriteFate::Done]);
+    let store = RecordStore::new(&record, &[WriteOutcome::Done]);
     let members = FakeMembers::new(&[("a", 80), ("b", 100), ("c", 90)]);
-    members.fall_silent_later("b");
+    members.silence_after_first_reply("b");
 
     let (outcome, members) = take_over_from(&store, members).await;
 
@@ -131,11 +131,11 @@
 }
 
 /// Whether the primary may be sent work that has just said that it leaves.
-fn is_led(member_drain: Duration) -> bool {
+fn gets_statements(member_drain: Duration) -> bool {
     let phase =
         LeadPhase::Settled { primary: "a".parse().expect("a name"), term: LogTerm(1), base: None };
     let record = LeadRecord { epoch: LeaderEpoch(1), mark: "m1".to_owned(), phase };
-    let store = RecordStore::new(&record, &[WriteFate::Done]);
+    let store = RecordStore::new(&record, &[WriteOutcome::Done]);
     let members = FakeMembers::new(&[("a", 100), ("b", 100)]);
     let engine = engine_with_drain(&store, Some(Arc::clone(&members)), member_drain);
     engine.set_listed(Some(boot_time()));
@@ -150,9 +150,9 @@
     // Statements reach a leaving primary until it ends, and what is under way then is lost. Three
     // instances are cut off and a fourth is gone, so that no majority is heard, and the change of
     // primary waits for the cut to heal; meanwhile nothing took the primary out of use.
-    let while_it_may = is_led(Duration::from_secs(60));
-    let afterwards = is_led(Duration::from_secs(2));
+    let within_limit = gets_statements(Duration::from_secs(60));
+    let past_limit = gets_statements(Duration::from_secs(2));
 
-    assert!(while_it_may);
-    assert!(!afterwards);
+    assert!(within_limit);
+    assert!(!past_limit);
 }
--- a/crates/rudder-engine/src/duty/tests/fixture.rs
+++ b/crates/rudder-engine/src/duty/tests/fixture.rs
@@ -31,7 +31,7 @@
 
 /// What becomes of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum WriteFate {
+pub(super) enum WriteOutcome {
     /// It is done and answered.
     Done,
     /// It is refused.
@@ -44,15 +44,15 @@
 pub(super) struct RecordStore {
     record: Mutex<(u32, Value)>,
     /// What becomes of the writes to come, by turns.
-    fates: Vec<WriteFate>,
+    outcomes: Vec<WriteOutcome>,
     writes: AtomicU32,
 }
 
 impl RecordStore {
-    pub(super) fn new(record: &LeadRecord, fates: &[WriteFate]) -> Arc<Self> {
+    pub(super) fn new(record: &LeadRecord, outcomes: &[WriteOutcome]) -> Arc<Self> {
         let spec = serde_json::to_value(record).expect("a record is written");
         let record = Mutex::new((1, spec));
-        Arc::new(Self { record, fates: fates.to_vec(), writes: AtomicU32::new(0) })
+        Arc::new(Self { record, outcomes: outcomes.to_vec(), writes: AtomicU32::new(0) })
     }
 
     /// How many writes were tried.
@@ -87,10 +87,10 @@
         spec: Value,
     ) -> Result<StoredObject, StoreError> {
         let turn = self.writes.fetch_add(1, Ordering::Relaxed) as usize;
-        match self.fates[turn % self.fates.len()] {
-            WriteFate::Done => {}
-            WriteFate::Refused => return Err(StoreError::Unavailable),
-            WriteFate::Lost => return Err(StoreError::Unresolved),
+        match self.outcomes[turn % self.outcomes.len()] {
+            WriteOutcome::Done => {}
+            WriteOutcome::Refused => return Err(StoreError::Unavailable),
+            WriteOutcome::Lost => return Err(StoreError::Unresolved),
         }
         let mut record = self.record.lock().expect("no holder panics");
         if expected.is_none_or(|version| version.0 != record.0.to_string()) {
@@ -124,7 +124,7 @@
     promoted: Mutex<Vec<(MemberName, LogStamp)>>,
     dials: AtomicU32,
     /// The member whose connections answer once only, and are silent from then on.
-    silent_later: Mutex<Option<MemberName>>,
+    silenced: Mutex<Option<MemberName>>,
 }
 
 impl FakeMembers {
@@ -143,7 +143,7 @@
             members,
             promoted: Mutex::default(),
             dials: AtomicU32::new(0),
-            silent_later: Mutex::default(),
+            silenced: Mutex::default(),
         })
     }
 
@@ -153,13 +153,13 @@
     }
 
     /// From now on connections to this member answer once only.
-    pub(super) fn fall_silent_later(&self, member: &str) {
+    pub(super) fn silence_after_first_reply(&self, member: &str) {
         let member = member.parse().expect("a member's name");
-        *self.silent_later.lock().expect("no holder panics") = Some(member);
+        *self.silenced.lock().expect("no holder panics") = Some(member);
     }
 
-    fn falls_silent(&self, member: &MemberName) -> bool {
-        self.silent_later.lock().expect("no holder panics").as_ref() == Some(member)
+    fn is_silenced(&self, member: &MemberName) -> bool {
+        self.silenced.lock().expect("no holder panics").as_ref() == Some(member)
     }
 
     /// How many connections were opened.
@@ -212,7 +212,7 @@
 
     async fn receive(&mut self) -> Result<StatementReply, LinkError> {
         self.asked += 1;
-        if self.asked > 1 && self.group.falls_silent(&self.member) {
+        if self.asked > 1 && self.group.is_silenced(&self.member) {
             std::future::pending::<()>().await;
         }
         let rows = vec![status_row(&self.group.answer(&self.member))];
--- a/crates/rudder-engine/src/duty/tests/schedule.rs
+++ b/crates/rudder-engine/src/duty/tests/schedule.rs
@@ -11,28 +11,28 @@
 }
 
 #[test]
-fn a_neighbour_that_is_new_is_told_at_once() {
+fn new_receiver_gets_a_heartbeat_at_once() {
     // After a loss of power all instances read the store, and their callers are refused for want of
     // a confirmed primary. Each sent its first heartbeat before it had read who its neighbours are,
     // and the next one only a second later, so nobody knew who reads for the others.
     let start = Instant::now();
-    let mut turn = HeartbeatSchedule::default();
-    turn.due(peers(&[]), true, GAP, start);
+    let mut schedule = HeartbeatSchedule::default();
+    schedule.due(peers(&[]), true, GAP, start);
 
-    let due = turn.due(peers(&[1, 2]), false, GAP, start + GAP / 10);
+    let due = schedule.due(peers(&[1, 2]), false, GAP, start + GAP / 10);
 
     assert_eq!(due, peers(&[1, 2]));
 }
 
 #[test]
-fn those_who_were_told_wait_for_their_turn() {
+fn known_receivers_wait_for_the_interval() {
     let start = Instant::now();
-    let mut turn = HeartbeatSchedule::default();
-    turn.due(peers(&[1, 2]), true, GAP, start);
+    let mut schedule = HeartbeatSchedule::default();
+    schedule.due(peers(&[1, 2]), true, GAP, start);
 
-    let between = turn.due(peers(&[1, 2, 3]), false, GAP, start + GAP / 2);
-    let again = turn.due(peers(&[1, 2, 3]), false, GAP, start + GAP / 2);
-    let over = turn.due(peers(&[1, 2, 3]), false, GAP, start + GAP);
+    let between = schedule.due(peers(&[1, 2, 3]), false, GAP, start + GAP / 2);
+    let again = schedule.due(peers(&[1, 2, 3]), false, GAP, start + GAP / 2);
+    let over = schedule.due(peers(&[1, 2, 3]), false, GAP, start + GAP);
 
     assert_eq!(between, peers(&[3]));
     assert!(again.is_empty());
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn news_go_to_all() {
+fn changed_heartbeat_goes_to_all_receivers() {
     let start = Instant::now();
-    let mut turn = HeartbeatSchedule::default();
-    turn.due(peers(&[1, 2]), true, GAP, start);
+    let mut schedule = HeartbeatSchedule::default();
+    schedule.due(peers(&[1, 2]), true, GAP, start);
 
-    let due = turn.due(peers(&[1, 2]), true, GAP, start + GAP / 10);
+    let due = schedule.due(peers(&[1, 2]), true, GAP, start + GAP / 10);
 
     assert_eq!(due, peers(&[1, 2]));
 }
--- a/crates/rudder-engine/src/duty/tests/settings.rs
+++ b/crates/rudder-engine/src/duty/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that arrive from several sides.
 
-use super::fixture::{RecordStore, WriteFate, engine, first_record};
+use super::fixture::{RecordStore, WriteOutcome, engine, first_record};
 use crate::settings::{FleetSettings, SettingsVersion};
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 fn the_greatest_version_stays_whoever_brings_it() {
     // A route that was dropped is served again. The store's word and a peer's copy arrive on two
     // threads, each looks which version is in force, and the older one is put in last.
-    let engine = engine(&RecordStore::new(&first_record(), &[WriteFate::Refused]), None);
+    let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
 
     std::thread::scope(|scope| {
         for thread in 0..THREADS {
--- a/crates/rudder-engine/src/duty/watch.rs
+++ b/crates/rudder-engine/src/duty/watch.rs
@@ -14,29 +14,29 @@
 
 /// The age of the newest sample from which on the primary is asked. A bounded read needs one
 /// within its bound (a second and more), and a lost primary is to be noticed within half a second.
-const WATCH_GAP: Duration = Duration::from_millis(250);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The most time for an answer: the longest round trip between regions, and a resent packet.
-const ANSWER_LIMIT: Duration = Duration::from_millis(350);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// The pause after a failure.
-const AGAIN_PAUSE: Duration = Duration::from_millis(80);
+const RETRY_DELAY: Duration = Duration::from_millis(80);
 
 /// The pause between two looks for new services.
-const LOOK_GAP: Duration = Duration::from_millis(200);
+const SERVICE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Keeps one watch a service.
 pub(crate) async fn supervise(engine: Arc<ProxyEngine>) {
-    let mut watched: Vec<ServiceName> = Vec::new();
+    let mut monitored: Vec<ServiceName> = Vec::new();
     loop {
         for group in engine.groups() {
-            if let Err(index) = watched.binary_search(group.service()) {
-                watched.insert(index, group.service().clone());
-                tokio::spawn(watch(Arc::clone(&engine), group));
+            if let Err(index) = monitored.binary_search(group.service()) {
+                monitored.insert(index, group.service().clone());
+                tokio::spawn(monitor_primary(Arc::clone(&engine), group));
             }
         }
         // A caller of a service that is new here does not wait for the next look.
-        engine.position_wanted(LOOK_GAP).await;
+        engine.wait_position_request(SERVICE_POLL_INTERVAL).await;
     }
 }
 
@@ -47,13 +47,13 @@
     link: Box<dyn MemberLink>,
 }
 
-async fn watch(engine: Arc<ProxyEngine>, group: Arc<ServiceGroup>) {
+async fn monitor_primary(engine: Arc<ProxyEngine>, group: Arc<ServiceGroup>) {
     let mut link: Option<WatchLink> = None;
     let mut failing_since: Option<Duration> = None;
     loop {
-        let gap = if failing_since.is_some() { AGAIN_PAUSE } else { WATCH_GAP };
+        let gap = if failing_since.is_some() { RETRY_DELAY } else { SAMPLE_INTERVAL };
         tokio::select! {
-            () = engine.position_wanted(gap) => {}
+            () = engine.wait_position_request(gap) => {}
             () = group.wait_changed(gap) => {}
         }
         if !engine.membership().is_reader() {
@@ -75,10 +75,10 @@
         }
         let sampled = group.newest_sample().map(|sample| sample.sent_at);
         let now = boot_time();
-        if failing_since.is_none() && sampled.is_some_and(|at| now < at + WATCH_GAP * 4 / 5) {
+        if failing_since.is_none() && sampled.is_some_and(|at| now < at + SAMPLE_INTERVAL * 4 / 5) {
             continue;
         }
-        match ask(&engine, &member, &mut link).await {
+        match sample_position(&engine, &member, &mut link).await {
             Ok(Some(stamp)) => {
                 failing_since = None;
                 let lease = group.with_leases(|leases| leases.lease(boot_time()));
@@ -103,12 +103,12 @@
     }
 }
 
-async fn ask(
+async fn sample_position(
     engine: &ProxyEngine,
     member: &GroupMember,
     link: &mut Option<WatchLink>,
 ) -> Result<Option<LogStamp>, LinkError> {
-    let talk = async {
+    let call = async {
         if link.is_none() {
             let dialed = engine.borders().dialer.dial(member.pool().target(), None).await?;
             *link = Some(WatchLink { member: member.name().clone(), link: dialed });
@@ -118,9 +118,9 @@
         open.link.send(&[MemberCommand::Reset]).await?;
         Ok(open.link.receive().await?.position)
     };
-    match tokio::time::timeout(ANSWER_LIMIT, talk).await {
+    match tokio::time::timeout(RESPONSE_TIMEOUT, call).await {
         Ok(Err(LinkError::Refused(_))) => Ok(None),
-        Ok(answer) => answer,
+        Ok(result) => result,
         Err(_) => Err(LinkError::Silent),
     }
 }
--- a/crates/rudder-engine/src/engine.rs
+++ b/crates/rudder-engine/src/engine.rs
@@ -25,14 +25,14 @@
 
 /// How long a new caller waits for the first settings of an instance that just started. Callers
 /// give up after two seconds.
-const FIRST_SETTINGS_WAIT: Duration = Duration::from_millis(1500);
+const FIRST_SETTINGS_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// What is taken off the time for which a leaving member may be sent work: an instance learns up to
 /// 1.2 s later that it leaves, and a statement is some hundred ms under way.
-const LEAVE_MARGIN: Duration = Duration::from_millis(2000);
+const LEAVING_USE_MARGIN: Duration = Duration::from_millis(2000);
 
 /// Idle time of transactions before the settings say it.
-const TRANSACTION_IDLE: Duration = Duration::from_secs(3);
+const DEFAULT_TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 plain_data! {
     /// What a caller may use.
@@ -55,21 +55,21 @@
     store_snapshot: Mutex<StoreSnapshot>,
     membership: MembershipView,
     drain: watch::Sender<DrainPhase>,
-    position_wanted: Notify,
+    wait_position_request: Notify,
     own_entry: Mutex<OwnEntry>,
     /// The version of the own entry as it was written or found.
     entry_version: Mutex<Option<ObjectVersion>>,
     /// Tells that this instance has entered the list.
-    list_entered: Notify,
+    wait_registered: Notify,
     /// Whether a peer's copy is being fetched.
-    fetching: AtomicBool,
+    copy_fetch_running: AtomicBool,
     records_status: Mutex<RecordsStatus>,
     limits: AccountLimits,
     /// Datagrams to other instances, once this one has started.
     exchange: OnceLock<PeerExchange>,
     pending_copy: PendingCopy,
     /// Tells that callers wait for word of the primaries.
-    records_wanted: Notify,
+    wait_records_request: Notify,
 }
 
 impl ProxyEngine {
@@ -83,16 +83,16 @@
             groups: Mutex::default(),
             store_snapshot: Mutex::default(),
             drain: watch::Sender::new(DrainPhase::Serving),
-            position_wanted: Notify::new(),
+            wait_position_request: Notify::new(),
             own_entry: Mutex::default(),
             entry_version: Mutex::default(),
-            list_entered: Notify::new(),
-            fetching: AtomicBool::new(false),
+            wait_registered: Notify::new(),
+            copy_fetch_running: AtomicBool::new(false),
             records_status: Mutex::default(),
             limits: AccountLimits::default(),
             exchange: OnceLock::new(),
             pending_copy: PendingCopy::default(),
-            records_wanted: Notify::new(),
+            wait_records_request: Notify::new(),
         })
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Lets datagrams be sent to other instances.
-    pub(crate) fn connect(&self, exchange: PeerExchange) {
+    pub(crate) fn set_exchange(&self, exchange: PeerExchange) {
         if self.exchange.set(exchange).is_err() {
             log::error!("an instance was connected to its peers twice");
         }
@@ -163,7 +163,7 @@
         self.drain.subscribe()
     }
 
-    pub(crate) fn set_drain(&self, phase: DrainPhase) {
+    pub(crate) fn set_drain_phase(&self, phase: DrainPhase) {
         self.drain.send_replace(phase);
     }
 
@@ -208,7 +208,9 @@
 
     pub(crate) fn transaction_idle(&self) -> Duration {
         let settings = self.settings.borrow();
-        settings.as_ref().map_or(TRANSACTION_IDLE, |settings| settings.transaction_idle)
+        settings
+            .as_ref()
+            .map_or(DEFAULT_TRANSACTION_IDLE_TIMEOUT, |settings| settings.transaction_idle)
     }
 
     /// The primary of a group, if it may be sent work, and the permission to answer for it.
@@ -217,12 +219,12 @@
     /// hear each other to change it, nothing else takes it out of use, and statements under way as
     /// it ends are lost.
     pub(crate) fn leader(&self, group: &ServiceGroup) -> Option<(Arc<GroupMember>, LeaderLease)> {
-        group.leader().filter(|(member, _)| !member.has_left(self.leave_limit()))
+        group.leader().filter(|(member, _)| !member.has_left(self.leaving_use_limit()))
     }
 
     /// How long a member that says it is leaving is sent work.
-    pub(crate) fn leave_limit(&self) -> Duration {
-        self.identity.member_drain.saturating_sub(LEAVE_MARGIN)
+    pub(crate) fn leaving_use_limit(&self) -> Duration {
+        self.identity.member_drain.saturating_sub(LEAVING_USE_MARGIN)
     }
 
     /// The group of a service; made if it is new.
@@ -244,12 +246,12 @@
 
     /// Asks the watches of the primaries for positions now.
     pub(crate) fn want_position(&self) {
-        self.position_wanted.notify_waiters();
+        self.wait_position_request.notify_waiters();
     }
 
     /// Waits until a position is wanted, at most until `limit` is over.
-    pub(crate) async fn position_wanted(&self, limit: Duration) {
-        let wanted = self.position_wanted.notified();
+    pub(crate) async fn wait_position_request(&self, limit: Duration) {
+        let wanted = self.wait_position_request.notified();
         // Over means that nobody asked; the caller looks again in either case.
         let _ = tokio::time::timeout(limit, wanted).await;
     }
@@ -269,7 +271,7 @@
     ) -> Result<CallerSession, StatementError> {
         let mut settings = self.settings.subscribe();
         let known = settings.wait_for(Option::is_some);
-        match tokio::time::timeout(FIRST_SETTINGS_WAIT, known).await {
+        match tokio::time::timeout(FIRST_SETTINGS_TIMEOUT, known).await {
             Ok(Ok(_)) => {}
             Ok(Err(_)) | Err(_) => return Err(StatementError::Busy),
         }
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -14,14 +14,14 @@
 /// The age of what peers say of settings and members from which on a reader asks the store itself.
 /// The first reader's watch is answered every 1.2 s, and its word passed on every 0.5 s; settings
 /// must be in force within 3 s, also where the first reader has just died.
-const READER_PATIENCE: Duration = Duration::from_millis(2200);
+const READER_CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(2200);
 
 /// The same for the other instances, by when their reader has asked the store.
-const FOLLOWER_PATIENCE: Duration = Duration::from_millis(2700);
+const FOLLOWER_CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(2700);
 
 /// The same while their reader answers: then it asks the store, and an outage of the store is not
 /// filled with the calls of a whole fleet.
-const HEARD_PATIENCE: Duration = Duration::from_millis(5000);
+const FOLLOWER_FALLBACK_MAX_AGE: Duration = Duration::from_millis(5000);
 
 impl ProxyEngine {
     /// Takes in a version of the settings; an older one than is in force is dropped.
@@ -53,7 +53,7 @@
         self.confirm_members();
         let changed = lock(&self.store_snapshot).take_members(entries, revision);
         if changed {
-            self.spread_members(entries, "store");
+            self.update_groups(entries, "store");
         }
     }
 
@@ -64,12 +64,12 @@
         let changed = snapshot.is_blank() && snapshot.take_members(entries, 0);
         drop(snapshot);
         if changed {
-            self.spread_members(entries, "cache");
+            self.update_groups(entries, "cache");
         }
     }
 
-    /// Takes in what a peer knows, as far as it is newer, by its answer to a request of `asked_at`.
-    pub(crate) fn apply_copy(&self, copy: FleetCopy, asked_at: Duration) {
+    /// Takes in what a peer knows, as far as it is newer, by its answer to a request of `requested_at`.
+    pub(crate) fn apply_copy(&self, copy: FleetCopy, requested_at: Duration) {
         if let Some(settings) = copy.settings {
             self.apply_settings(settings);
         }
@@ -79,14 +79,14 @@
             let members = members.filter(|members| snapshot.take_copy(members, copy.version));
             drop(snapshot);
             if let Some(members) = members {
-                self.spread_members(&members, "peer");
+                self.update_groups(&members, "peer");
             }
         }
         if let Some(EntriesCopy { list, read: Some(read) }) = copy.entries
             && let Some(entries) = list.resolve(&self.membership.entries().0)
         {
             log::info!(instances = entries.len(); "the list of instances was had from a peer");
-            let read_at = read.since(asked_at);
+            let read_at = read.since(requested_at);
             let own = &self.identity.name;
             if !entries.iter().any(|entry| entry.instance == *own)
                 && lock(&self.own_entry).miss(read_at)
@@ -122,12 +122,12 @@
     }
 
     /// Whether this caller is the one to fetch a peer's copy.
-    pub(crate) fn may_fetch_copy(&self) -> bool {
-        !self.fetching.swap(true, Ordering::AcqRel)
+    pub(crate) fn try_start_copy_fetch(&self) -> bool {
+        !self.copy_fetch_running.swap(true, Ordering::AcqRel)
     }
 
-    pub(crate) fn end_fetch_copy(&self) {
-        self.fetching.store(false, Ordering::Release);
+    pub(crate) fn finish_copy_fetch(&self) {
+        self.copy_fetch_running.store(false, Ordering::Release);
     }
 
     /// The versions of settings and members that are known.
@@ -136,7 +136,7 @@
         CopyVersion { settings, members: lock(&self.store_snapshot).members().1 }
     }
 
-    fn spread_members(&self, entries: &[MemberEntry], source: &str) {
+    fn update_groups(&self, entries: &[MemberEntry], source: &str) {
         log::info!(members = entries.len(), source = source; "the list of members changed");
         let mut services: Vec<ServiceName> =
             entries.iter().map(|entry| entry.target.service.clone()).collect();
@@ -174,7 +174,7 @@
 
     /// Takes in a peer's word that settings and members were current at `moment`, in its versions;
     /// none if it does not know.
-    pub(crate) fn note_told(&self, version: CopyVersion, moment: Option<Duration>) {
+    pub(crate) fn record_peer_confirmation(&self, version: CopyVersion, moment: Option<Duration>) {
         let current = !self.copy_version().lacks(version);
         let mut snapshot = lock(&self.store_snapshot);
         snapshot.note_heard(boot_time());
@@ -186,11 +186,11 @@
     /// Whether peers tell this instance in time of what the store says, so that it need not ask.
     #[must_use]
     pub fn is_fed(&self) -> bool {
-        let (patience, longer) = match self.membership.is_reader() {
+        let (max_age, longer_max_age) = match self.membership.is_reader() {
             true if self.membership.is_first_reader() => return false,
-            true => (READER_PATIENCE, READER_PATIENCE),
-            false => (FOLLOWER_PATIENCE, HEARD_PATIENCE),
+            true => (READER_CONFIRMATION_MAX_AGE, READER_CONFIRMATION_MAX_AGE),
+            false => (FOLLOWER_CONFIRMATION_MAX_AGE, FOLLOWER_FALLBACK_MAX_AGE),
         };
-        lock(&self.store_snapshot).is_told(patience, longer, boot_time())
+        lock(&self.store_snapshot).is_told(max_age, longer_max_age, boot_time())
     }
 }
--- a/crates/rudder-engine/src/engine/leadership.rs
+++ b/crates/rudder-engine/src/engine/leadership.rs
@@ -23,12 +23,12 @@
             }
         };
         if entered {
-            self.list_entered.notify_one();
+            self.wait_registered.notify_one();
         }
     }
 
     /// Takes in the version of the own entry.
-    pub(crate) fn note_entry_version(&self, version: ObjectVersion) {
+    pub(crate) fn record_entry_version(&self, version: ObjectVersion) {
         *lock(&self.entry_version) = Some(version);
     }
 
@@ -38,37 +38,37 @@
     }
 
     /// Takes in that this process removes its entry and ends.
-    pub(crate) fn leave_list(&self) {
+    pub(crate) fn begin_deregistration(&self) {
         lock(&self.own_entry).leave();
     }
 
     /// Takes in a peer's word that the list showed this instance at `listed_at`. It renews what the
     /// store itself has said before, and does not stand in for it.
-    pub(crate) fn renew_listed(&self, listed_at: Duration) {
+    pub(crate) fn renew_registration(&self, listed_at: Duration) {
         lock(&self.own_entry).renew(listed_at);
     }
 
     /// Whether the list was last known to show this instance longer than `time` ago, or not at all.
-    pub(crate) fn is_unlisted_for(&self, time: Duration) -> bool {
+    pub(crate) fn is_unregistered_for(&self, time: Duration) -> bool {
         lock(&self.own_entry).is_unconfirmed_for(time, boot_time())
     }
 
     /// Waits until this instance has entered the list.
-    pub(crate) async fn list_entered(&self) {
-        self.list_entered.notified().await;
+    pub(crate) async fn wait_registered(&self) {
+        self.wait_registered.notified().await;
     }
 
-    /// Takes in which services have a record, by this process's own question of `asked_at`.
-    pub(crate) fn note_records_read(&self, recorded: &[ServiceName], asked_at: Duration) {
+    /// Takes in which services have a record, by this process's own question of `requested_at`.
+    pub(crate) fn note_records_read(&self, recorded: &[ServiceName], requested_at: Duration) {
         let services = self.groups().into_iter().map(|group| group.service().clone());
         let without = services.filter(|service| !recorded.contains(service)).collect();
-        lock(&self.records_status).note_read(without, asked_at);
+        lock(&self.records_status).record_own_read(without, requested_at);
     }
 
     /// Takes in a peer's word that the store was asked for all records at `read_at`; returns whether
     /// that is later than was known.
-    pub(crate) fn note_records_told(&self, read_at: Duration) -> bool {
-        lock(&self.records_status).note_told(read_at)
+    pub(crate) fn record_peer_records_read(&self, read_at: Duration) -> bool {
+        lock(&self.records_status).record_peer_read(read_at)
     }
 
     /// All records that are known, sorted by service.
@@ -87,17 +87,17 @@
 
     /// Whether this process has read the records from the store itself.
     pub(crate) fn has_read_records(&self) -> bool {
-        lock(&self.records_status).read_at().is_some()
+        lock(&self.records_status).own_read_at().is_some()
     }
 
     /// Asks for word of the primaries now.
     pub(crate) fn want_records(&self) {
-        self.records_wanted.notify_one();
+        self.wait_records_request.notify_one();
     }
 
     /// Waits until word of the primaries is wanted.
-    pub(crate) async fn records_wanted(&self) {
-        self.records_wanted.notified().await;
+    pub(crate) async fn wait_records_request(&self) {
+        self.wait_records_request.notified().await;
     }
 
     /// Whether what the store or a peer said at `said_at` may give this process leases.
@@ -121,8 +121,8 @@
     }
 
     /// Whether the store's last list had no record of a service.
-    pub(crate) fn is_recordless(&self, service: &ServiceName) -> bool {
-        lock(&self.records_status).lacks(service)
+    pub(crate) fn lacks_record(&self, service: &ServiceName) -> bool {
+        lock(&self.records_status).lacks_record(service)
     }
 
     /// Takes in a record that was in place at `confirmed_at` or later.
--- a/crates/rudder-engine/src/records_status.rs
+++ b/crates/rudder-engine/src/records_status.rs
@@ -12,40 +12,44 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RecordsStatus {
     /// Services without a record by this process's last read.
-    without: Vec<ServiceName>,
+    services_without_record: Vec<ServiceName>,
     /// When this process's last read was sent; none before the first one.
-    read_at: Option<Duration>,
+    own_read_at: Option<Duration>,
     /// When a peer had read them, by its own word.
-    told_at: Option<Duration>,
+    peer_read_at: Option<Duration>,
 }
 
 impl RecordsStatus {
-    /// Takes in a read of this process's own that was sent at `asked_at`.
-    pub(crate) fn note_read(&mut self, without: Vec<ServiceName>, asked_at: Duration) {
-        self.without = without;
-        self.read_at = Some(asked_at);
+    /// Takes in a read of this process's own that was sent at `requested_at`.
+    pub(crate) fn record_own_read(
+        &mut self,
+        services_without_record: Vec<ServiceName>,
+        requested_at: Duration,
+    ) {
+        self.services_without_record = services_without_record;
+        self.own_read_at = Some(requested_at);
     }
 
-    /// Takes in a peer's word that they were read at `read_at`; returns whether that is later than
+    /// Takes in a peer's word that they were read at `own_read_at`; returns whether that is later than
     /// was known.
-    pub(crate) fn note_told(&mut self, read_at: Duration) -> bool {
-        let later = Some(read_at) > self.known_at();
-        self.told_at = self.told_at.max(Some(read_at));
+    pub(crate) fn record_peer_read(&mut self, read_at: Duration) -> bool {
+        let later = Some(read_at) > self.latest_read_at();
+        self.peer_read_at = self.peer_read_at.max(Some(read_at));
         later
     }
 
     /// When this process last read them itself.
-    pub(crate) fn read_at(&self) -> Option<Duration> {
-        self.read_at
+    pub(crate) fn own_read_at(&self) -> Option<Duration> {
+        self.own_read_at
     }
 
     /// When they were last read, by this process or by one that told it.
-    pub(crate) fn known_at(&self) -> Option<Duration> {
-        self.read_at.max(self.told_at)
+    pub(crate) fn latest_read_at(&self) -> Option<Duration> {
+        self.own_read_at.max(self.peer_read_at)
     }
 
     /// Whether this process's last read showed no record of a service.
-    pub(crate) fn lacks(&self, service: &ServiceName) -> bool {
-        self.without.contains(service)
+    pub(crate) fn lacks_record(&self, service: &ServiceName) -> bool {
+        self.services_without_record.contains(service)
     }
 }
