--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -159,7 +159,7 @@
         return renewed;
     }
     if records.len() != response.timings.len() {
-        log::warn!(instance:% = response.instance; "an answer of a peer is incomplete");
+        log::warn!(instance:% = response.instance; "a peer's response is incomplete: it has different numbers of records and timings");
         return renewed;
     }
     // Guards against a few that take themselves for most, as they have not seen the whole list.
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -52,15 +52,15 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(super) enum ChangeError {
-    /// another instance was faster
+    /// another instance changed the record first
     Overtaken,
     /// no member can take over
     NoCandidate,
-    /// most instances are not heard, and may serve with the present primary
+    /// no quorum of instances responds, and the others may serve with the present primary
     NoQuorum,
-    /// the time for the change is over
+    /// the deadline of the change has passed
     TooLate,
-    /// the store: {0}
+    /// store error: {0}
     Store(StoreError),
 }
 
@@ -266,7 +266,7 @@
             }
             log::info!(
                 service:% = self.group.service(), epoch:% = record.epoch;
-                "a write of a record got no answer and has not taken effect yet"
+                "a write of a record got no response and has not taken effect yet"
             );
         }
         Err(ChangeError::Store(StoreError::Unresolved))
@@ -324,7 +324,7 @@
                 log::info!(
                     service:% = service, epoch:% = intent.record.epoch, unheard = remaining.len(),
                     listed = listed, waited_ms = now.saturating_sub(intent.acknowledged_at).as_millis();
-                    "no instance answers for the old primary any more"
+                    "no instance holds a lease for the previous primary any more"
                 );
                 return Ok(());
             }
--- a/crates/rudder-engine/src/duty/control.rs
+++ b/crates/rudder-engine/src/duty/control.rs
@@ -37,7 +37,7 @@
 ) -> Result<MemberReport, LinkError> {
     match engine.borders().dialer.read_status(reply) {
         Some(status) => Ok(MemberReport { member: member.name().clone(), status }),
-        None => Err(LinkError::Protocol(format!("unreadable status: {:?}", reply.outcome))),
+        None => Err(LinkError::Protocol(format!("invalid status reply: {:?}", reply.outcome))),
     }
 }
 
@@ -47,7 +47,7 @@
     let outcome =
         outcome.map_or_else(|error| error.to_string(), |reply| format!("{:?}", reply.outcome));
     log::info!(
-        member:% = member.name(), term:% = term, outcome:% = outcome; "a primary was told to step down"
+        member:% = member.name(), term:% = term, outcome:% = outcome; "a previous primary was ordered to step down"
     );
 }
 
--- a/crates/rudder-engine/src/duty/drain.rs
+++ b/crates/rudder-engine/src/duty/drain.rs
@@ -29,7 +29,7 @@
 pub async fn stop_engine(engine: &Arc<ProxyEngine>, timing: EngineTiming, idle: impl Fn() -> bool) {
     let began_at = tokio::time::Instant::now();
     engine.set_drain_phase(DrainPhase::Leaving);
-    log::info!(grace_ms = timing.grace.as_millis(); "this instance stops");
+    log::info!(grace_ms = timing.grace.as_millis(); "this instance begins to shut down");
     let closing_at = began_at + timing.grace.mul_f64(TRANSACTION_GRACE_FRACTION);
     let end_at = began_at + timing.grace.mul_f64(END_GRACE_FRACTION);
     tokio::time::sleep_until(closing_at).await;
--- a/crates/rudder-engine/src/duty/promote.rs
+++ b/crates/rudder-engine/src/duty/promote.rs
@@ -122,7 +122,7 @@
                 Ok(report) if leads_since(&report, before) => return Some(report),
                 Ok(_) => {}
                 Err(error) => {
-                    log::info!(member:% = candidate, reason:% = error; "a promoted member is silent");
+                    log::info!(member:% = candidate, reason:% = error; "a promoted member did not report its status");
                 }
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -136,7 +136,7 @@
     /// got there would lose acknowledged commits.
     async fn await_catch_up(&self, primary: &GroupMember) {
         let Ok(last) = fetch_status(self.engine, primary).await else {
-            log::warn!(member:% = primary.name(); "a leaving primary gives no position");
+            log::warn!(member:% = primary.name(); "a leaving primary did not report its position");
             return;
         };
         let until = boot_time() + CATCH_UP_TIMEOUT;
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -185,7 +185,7 @@
             let reason = reason.or_else(|| service.err().map(|error| error.to_string()));
             log::error!(
                 object:% = object.name, reason:% = reason.unwrap_or_default();
-                "a record of a primary is unreadable"
+                "a record of a primary cannot be parsed"
             );
             None
         }
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -105,7 +105,7 @@
                 return;
             }
             Err(error) => {
-                log::info!(reason:% = error; "the list of instances was not written");
+                log::info!(reason:% = error; "this instance could not be registered; retrying");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
@@ -127,7 +127,7 @@
             found
         }
         Err(error) => {
-            log::info!(reason:% = error; "no neighbours were found");
+            log::info!(reason:% = error; "the cached list of instances was not read");
             false
         }
     }
@@ -239,7 +239,7 @@
     let store = &engine.borders().store;
     let kind = ObjectKind::InstanceRecord;
     let put = store.put(kind, entry.instance.as_str(), Some(version), spec);
-    log::info!(instance:% = entry.instance; "an instance is not heard any more, and is marked");
+    log::info!(instance:% = entry.instance; "marking an unresponsive instance in the list of instances");
     with_timeout(CALL_TIMEOUT, put).await.map(|_| ())
 }
 
@@ -309,7 +309,7 @@
     let instance = object.name.parse::<InstanceName>();
     let entry = serde_json::from_value::<EntryRecord>(object.spec.clone());
     let (Ok(instance), Ok(entry)) = (instance, entry) else {
-        log::warn!(object:% = object.name; "an instance's entry is unreadable");
+        log::warn!(object:% = object.name; "an entry in the list of instances cannot be parsed");
         return None;
     };
     let (domain, address, marked) = (entry.domain, entry.peer_address, entry.marked);
@@ -322,7 +322,7 @@
     let Some(version) = engine.entry_version() else { return };
     if let Err(error) = remove_own_entry(engine, &version).await {
         // A change of primary then waits for a lease's life instead of for this one's word.
-        log::warn!(reason:% = error; "this instance stays in the list of instances");
+        log::warn!(reason:% = error; "this instance was not removed from the list of instances");
     }
 }
 
--- a/crates/rudder-engine/src/duty/status.rs
+++ b/crates/rudder-engine/src/duty/status.rs
@@ -103,9 +103,9 @@
                 }
                 Ok((client, Err(error))) => {
                     let member = client.member.name();
-                    log::info!(member:% = member, reason:% = error; "a member gave no status");
+                    log::info!(member:% = member, reason:% = error; "a member did not report its status");
                 }
-                Err(error) => log::error!(reason:% = error; "a question to a member failed"),
+                Err(error) => log::error!(reason:% = error; "a status request to a member failed"),
             }
         }
         reports.sort_by(|left, right| left.member.cmp(&right.member));
