--- a/crates/rudder-engine/src/border.rs
+++ b/crates/rudder-engine/src/border.rs
@@ -30,7 +30,7 @@
     Refused(StatementError),
     /// the connection broke: {0}
     Broken(String),
-    /// the member said something that is not its protocol: {0}
+    /// the member violated its protocol: {0}
     Protocol(String),
     /// the member did not answer in time
     Silent,
@@ -69,9 +69,9 @@
 pub enum PromotionError {
     /// the member is not running, or the call is superseded
     Rejected,
-    /// the call was turned away; nothing was done: {0}
+    /// the call was rejected and nothing was done: {0}
     TurnedAway(String),
-    /// no answer; the promotion may come into effect
+    /// no response; the promotion may still take effect
     Unanswered,
 }
 
--- a/crates/rudder-engine/src/engine.rs
+++ b/crates/rudder-engine/src/engine.rs
@@ -123,7 +123,7 @@
     /// Lets datagrams be sent to other instances.
     pub(crate) fn set_exchange(&self, exchange: PeerExchange) {
         if self.exchange.set(exchange).is_err() {
-            log::error!("an instance was connected to its peers twice");
+            log::error!("the exchange with peers was set twice");
         }
     }
 
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -85,13 +85,13 @@
         if let Some(EntriesCopy { list, read: Some(read) }) = copy.entries
             && let Some(entries) = list.resolve(&self.membership.entries().0)
         {
-            log::info!(instances = entries.len(); "the list of instances was had from a peer");
+            log::info!(instances = entries.len(); "received the list of instances from a peer");
             let read_at = read.since(requested_at);
             let own = &self.identity.name;
             if !entries.iter().any(|entry| entry.instance == *own)
                 && lock(&self.own_entry).miss(read_at)
             {
-                log::warn!(instance:% = own; "this instance is gone from the list");
+                log::warn!(instance:% = own; "this instance is missing from the list of instances");
             }
             self.membership.set_entries(entries, read_at);
         }
