--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -1,4 +1,4 @@
-//! Questions between instances about the records of primaries, and their answers.
+//! Requests between instances for the records of primaries, and the responses.
 
 use super::heartbeat::fetch_copy_if_behind;
 use crate::clock::boot_time;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Asks instances for the records that they know.
+/// Requests the records that other instances know.
 pub(super) async fn request_records(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -23,7 +23,7 @@
     send_records_request(engine, exchange, receivers, rand::random(), subscribes).await;
 }
 
-/// Asks a question, or the same one again; its answers count together.
+/// Sends a request, or repeats it under the same id; the responses to one id are counted together.
 pub(super) async fn send_records_request(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -38,7 +38,7 @@
     exchange.send_all(&PeerMessage::Ask(request), receivers).await;
 }
 
-/// Answers a peer's question, and notes that it is to be told more.
+/// Responds to a peer's request, and registers the peer as a subscriber if it asks for that.
 pub(super) async fn handle_request(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -46,7 +46,7 @@
     from: SocketAddr,
 ) {
     if engine.groups().iter().any(|group| group.newest_sample().is_none()) {
-        // The asker's callers wait for positions of the primaries, too.
+        // The requesting instance's callers also wait for log positions of the primaries.
         engine.want_position();
     }
     let subscriber = RecordsSubscriber {
@@ -63,7 +63,7 @@
     exchange.send(&PeerMessage::Records(response), from).await;
 }
 
-/// Tells those who asked for it what is known by now.
+/// Sends the current records to all subscribers.
 pub(super) async fn notify_subscribers(engine: &ProxyEngine, exchange: &PeerExchange) {
     let subscribers = engine.membership().subscribers().live(boot_time());
     for subscriber in subscribers {
@@ -72,7 +72,8 @@
     }
 }
 
-/// What this instance knows, in moments counted from a question.
+/// Composes a response from what this instance knows, with all times relative to the receipt of
+/// the subscriber's request.
 fn compose_response(engine: &ProxyEngine, subscriber: &RecordsSubscriber) -> RecordsAnswer {
     let received_at = subscriber.received_at;
     let offset = |moment: Option<Duration>| QuestionOffset::of(moment?, received_at);
@@ -88,11 +89,11 @@
         listed: offset(engine.membership().listed_at(&subscriber.instance)),
         read: offset(engine.records_status().latest_read_at()),
         version: engine.copy_version(),
-        current: offset(engine.store_confirmed_at()),
+        current: offset(engine.copy_confirmed_at()),
         entries,
         entries_read: offset(Some(entries_at)),
-        // Guards against an instance that forgot by a restart that it had stopped: it confirms a
-        // version only once it has read the store itself.
+        // A restarted instance has lost the fact that it had stopped, so it must not confirm a
+        // version before it has read the store itself.
         confirms: engine.has_read_records(),
         digest,
         timings,
@@ -121,7 +122,7 @@
     Some((RecordCopy { service: group.service().clone(), record }, timing))
 }
 
-/// Takes in the answer to a question of this instance's own, and passes on what is new in it.
+/// Applies the response to a request of this instance and notifies subscribers of newer content.
 pub(super) async fn handle_response(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
@@ -133,9 +134,9 @@
     }
 }
 
-/// Takes in an answer; returns whether it says of a later moment than was known that the records
-/// were in place. Two instances that tell each other come to an end by that, as no answer is newer
-/// than what it was made from.
+/// Applies a response. Returns whether it confirms the records for a later time than was known.
+/// Two instances that subscribe to each other stop notifying by this rule, as no response is newer
+/// than the information it was composed from.
 fn apply_response(engine: &Arc<ProxyEngine>, response: RecordsAnswer, from: SocketAddr) -> bool {
     let request_id = response.question;
     let Some(requested_at) = engine.membership().questions().asked_at(request_id) else {
@@ -155,14 +156,18 @@
     fetch_copy_if_behind(engine, response.version, has_newer_list.then_some(from));
     let records = response.records.unwrap_or_else(|| engine.known_records());
     if digest_of(&records) != response.digest {
-        // The versions changed here meanwhile; the next question names them.
+        // The versions known here have changed since the request; the next request names them.
         return renewed;
     }
     if records.len() != response.timings.len() {
-        log::warn!(instance:% = response.instance; "a peer's response is incomplete: it has different numbers of records and timings");
+        log::warn!(
+            instance:% = response.instance;
+            "a peer's response is incomplete: it has different numbers of records and timings"
+        );
         return renewed;
     }
-    // Guards against a few that take themselves for most, as they have not seen the whole list.
+    // An instance that has not seen the whole list could take a minority for a majority, so
+    // confirmations count only while its own entry is in the list.
     let counts = first
         && response.confirms
         && engine.has_read_records()
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -1,14 +1,15 @@
-//! Carries out a change of primary.
+//! Changes the primary of a service.
 //!
-//! 1. Write the intent: nobody gets a new lease for the old primary.
-//! 2. Wait until every instance has said that it stopped, or until the leases have expired.
-//! 3. Ask the members how far their logs go, and promote the most advanced one.
-//! 4. Write the result: from then on leases are given for the new primary.
+//! 1. Write the intent: no instance gets a new lease for the previous primary.
+//! 2. Wait until every instance has confirmed that it stopped, or until the leases have expired.
+//! 3. Request the members' log positions, and promote the most advanced member.
+//! 4. Write the result: from then on leases are granted for the new primary.
 //!
-//! Each write is conditional on the version before, and names the writer by a mark, so that an
-//! answer that was lost is cleared up by reading back. An instance that dies on the way is
-//! replaced by another one after `CHANGE_PATIENCE`; until then nobody else acts, and after
-//! [`INTENT_VALIDITY`] this one does not act any more.
+//! Each write is conditional on the previous version of the record and carries a unique mark, so
+//! that the outcome of a write whose response was lost can be found by reading the record back. If
+//! the instance fails before it is done, another one takes over after a timeout (see
+//! `lead::suspicion`). Until then no other instance acts, and after [`INTENT_VALIDITY`] this one no
+//! longer does.
 
 use super::answers::{notify_subscribers, send_records_request};
 use super::control::{MemberReport, step_down};
@@ -28,27 +29,29 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// How long an intent entitles its writer to order a promotion: a lease's life and a second for
-/// questions and repeated orders. Below `CHANGE_PATIENCE` by more than an order's time.
+/// Time for which an intent entitles its writer to order a promotion: the duration of a lease, and
+/// one second for status requests and repeated orders. Must be below the takeover timeout of an
+/// unfinished change (see `lead::suspicion`) by more than the timeout of one order.
 pub(super) const INTENT_VALIDITY: Duration = Duration::from_millis(2600);
 
-/// The pause between two announcements to those who have not answered.
+/// Interval between announcements to instances that have not responded.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How long most instances' answers are awaited: some round trips between regions.
+/// Maximum time to wait for responses of a majority: several round trips between regions.
 const QUORUM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The pause between two looks whether members have got as far as they must.
+/// Interval between two polls of instances or members.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long the answer to one write of a record is awaited before the store is asked what became
-/// of it. The store answers in milliseconds, and in a third of a second when it is slow.
+/// Timeout of one write of a record, after which the record is read back to find its outcome. The
+/// store responds within milliseconds, and within a third of a second when it is slow.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// How often one write is sent: with half of all answers lost, one change in thirty fails.
+/// Maximum number of attempts at one write. If half of all responses are lost, one change in thirty
+/// fails with this number.
 const WRITE_ATTEMPTS: u32 = 5;
 
-/// Why a primary was not changed.
+/// Reason why a change of primary failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(super) enum ChangeError {
@@ -73,26 +76,26 @@
     }
 }
 
-/// A version of the record that this instance wrote.
+/// Version of the record that this instance wrote.
 pub(super) struct WrittenRecord {
     pub(super) record: LeadRecord,
     pub(super) version: ObjectVersion,
-    /// When the answer came, so that the write had taken effect by then.
+    /// Time at which the response arrived; the write had taken effect by then.
     pub(super) acknowledged_at: Duration,
 }
 
-/// A change that was found to be due.
+/// Decision to change the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ChangeDecision {
-    /// Why.
+    /// Cause of the change.
     pub(super) cause: ChangeCause,
-    /// The version of the record on which that was judged.
+    /// Version of the record that the decision is based on.
     pub(super) epoch: LeaderEpoch,
-    /// Whether it has been due for so long that most instances need not be heard.
+    /// Whether the change may start without responses of a majority of instances.
     pub(super) skips_quorum: bool,
 }
 
-/// One change under way.
+/// Change of primary in progress.
 pub(super) struct ChangeRun<'a> {
     pub(super) engine: &'a Arc<ProxyEngine>,
     pub(super) exchange: &'a PeerExchange,
@@ -110,7 +113,7 @@
     }
 }
 
-/// Changes the primary.
+/// Changes the primary of a group.
 pub(super) async fn change_primary(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
@@ -120,26 +123,25 @@
     let run = ChangeRun::new(engine, exchange, group);
     let cause = decision.cause;
     let (before, version) = run.read_current(decision.epoch).await?;
-    // Guards against acknowledged commits that are lost when the instance that hands over a leaving
-    // primary dies: whoever takes the change over must wait for the successor as well, although it
-    // only sees a change that was not finished. A primary that has ended meanwhile gives no
-    // position, and nothing is waited for.
+    // `planned` is part of the record because an instance that takes over must also wait for the
+    // successor to catch up, or acknowledged commits are lost. A previous primary that has stopped
+    // reports no position, and there is no wait.
     let (previous, planned) = match &before.phase {
         LeadPhase::Settled { primary, .. } => {
             (Some(primary.clone()), cause == ChangeCause::Leaving)
         }
         LeadPhase::Changing { previous, planned, .. } => (previous.clone(), *planned),
     };
-    // Guards against a service without any primary: while no other member answers, the present
-    // one is better than none.
+    // An unfinished change may promote the previous primary again: if no other member responds, the
+    // service would otherwise be left without any primary.
     let unfinished = cause == ChangeCause::Unfinished;
     let candidates = run.fetch_candidate_reports(previous.as_ref(), unfinished);
     let (candidates, has_quorum) = tokio::join!(candidates, run.reaches_quorum());
     if candidates.is_empty() {
         return Err(ChangeError::NoCandidate);
     }
-    // Guards against a few instances on the store's side of a partition that stop the others, who
-    // go on serving with the primary on theirs.
+    // In a network partition, a minority of instances that can reach the store must not stop the
+    // others, which can still serve with the primary on their side.
     if !has_quorum && !unfinished && !decision.skips_quorum {
         return Err(ChangeError::NoQuorum);
     }
@@ -156,7 +158,8 @@
     run.settle(&intent, &leader, previous.as_ref()).await
 }
 
-/// Writes the first record of a service: the member that says it leads.
+/// Writes the first record of a service. It names the member of the newest term that reports the
+/// role of primary.
 pub(super) async fn write_first_record(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
@@ -178,13 +181,11 @@
 }
 
 impl ChangeRun<'_> {
-    /// Reads the record, which must be the version that was judged.
-    ///
-    /// Guards against a change on old grounds: meanwhile another instance may have begun one,
-    /// which this one would cut short, and both would promote.
+    /// Reads the record, which must be the version that the decision is based on. Otherwise this
+    /// change could interrupt one that another instance has begun, and both would promote a member.
     async fn read_current(
         &self,
-        decision: LeaderEpoch,
+        decided_epoch: LeaderEpoch,
     ) -> Result<(LeadRecord, ObjectVersion), ChangeError> {
         let store = &self.engine.borders().store;
         let sent_at = boot_time();
@@ -192,13 +193,13 @@
         let object = with_timeout(CALL_TIMEOUT, get).await?.ok_or(ChangeError::Overtaken)?;
         let (_, record) = read_record(&object).ok_or(ChangeError::Overtaken)?;
         self.engine.observe(self.group.service(), &record, sent_at);
-        if record.epoch != decision {
+        if record.epoch != decided_epoch {
             return Err(ChangeError::Overtaken);
         }
         Ok((record, object.version))
     }
 
-    /// Whether most instances answer.
+    /// Returns whether a majority of the known instances responds in time.
     async fn reaches_quorum(&self) -> bool {
         let membership = self.engine.membership();
         let request_id = rand::random::<u64>();
@@ -223,7 +224,7 @@
         membership.known_count() == 1
     }
 
-    /// Writes a version of the record, on condition that the one before is in place.
+    /// Writes a version of the record, on condition that the previous version is still in place.
     async fn write(
         &self,
         epoch: LeaderEpoch,
@@ -241,11 +242,11 @@
         Ok(WrittenRecord { record, version, acknowledged_at: boot_time() })
     }
 
-    /// Sends a write until it is known to have taken effect, or never to do so.
+    /// Retries a write until it is known to have taken effect, or to be unable to.
     ///
-    /// Guards against a change that starts anew, with all instances stopping again, because the
-    /// store lost one call or its answer. The same write may be sent again: its condition lets it
-    /// take effect once, also if an earlier one arrives late.
+    /// Without retries, a lost store call or response would restart the whole change and stop all
+    /// instances again. Repeating is safe: the condition lets the write take effect only once, even
+    /// if an earlier attempt arrives late.
     async fn write_until_known(
         &self,
         record: &LeadRecord,
@@ -272,8 +273,8 @@
         Err(ChangeError::Store(StoreError::Unresolved))
     }
 
-    /// The version that a write of this instance brought about; none while it has not taken effect
-    /// and still may.
+    /// Returns the version that a write of this instance created; none if it has not taken effect
+    /// but still may.
     async fn find_own_write(
         &self,
         record: &LeadRecord,
@@ -292,12 +293,13 @@
         }
     }
 
-    /// Returns once no instance answers for the version before `intent`.
+    /// Waits until no instance can hold a lease for the version before `intent`.
     async fn wait_all_stopped(&self, intent: &WrittenRecord) -> Result<(), ChangeError> {
         let service = self.group.service();
-        // Those known so far need not wait for the list.
+        // Instances that are already known are notified without waiting for the list.
         self.announce(&intent.record).await;
-        // Read after the intent was written: an instance that registers later reads the intent.
+        // The list is read after the intent was written: an instance that registers later reads the
+        // intent itself.
         let (listed, _) =
             tokio::join!(read_entries(self.engine), stop_leases(self.engine, service));
         if let Err(error) = &listed {
@@ -323,7 +325,8 @@
             if progress.is_over(now) {
                 log::info!(
                     service:% = service, epoch:% = intent.record.epoch, unheard = remaining.len(),
-                    listed = listed, waited_ms = now.saturating_sub(intent.acknowledged_at).as_millis();
+                    listed = listed,
+                    waited_ms = now.saturating_sub(intent.acknowledged_at).as_millis();
                     "no instance holds a lease for the previous primary any more"
                 );
                 return Ok(());
@@ -375,7 +378,7 @@
     }
 }
 
-/// All of the earlier terms that survives at a new primary.
+/// Returns the log position up to which the logs of earlier terms are kept by the new primary.
 fn base_of(leader: &MemberReport) -> LogStamp {
     leader.status.received
 }
--- a/crates/rudder-engine/src/duty/control.rs
+++ b/crates/rudder-engine/src/duty/control.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to members, on connections of their own.
+//! Status requests and control commands to members, on dedicated connections.
 
 use crate::border::{LinkError, MemberLink};
 use crate::engine::ProxyEngine;
@@ -7,21 +7,23 @@
 use rudder_core::{LogTerm, MemberName, MemberStatus, plain_data};
 use std::time::Duration;
 
-/// The most time for a question: two round trips between regions, and a busy member's slot.
+/// Timeout of one status request or command: two round trips between regions, and the wait for a
+/// connection slot of a busy member.
 pub(super) const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The priority of such work among callers' statements.
+/// Rank of control commands among callers' statements in a connection pool; the lowest value goes
+/// first.
 const CONTROL_RANK: u8 = 0;
 
 plain_data! {
-    /// What a member said of itself.
+    /// Status that a member reported.
     pub(super) struct MemberReport {
         pub(super) member: MemberName,
         pub(super) status: MemberStatus,
     }
 }
 
-/// Asks one member.
+/// Requests the status of one member.
 pub(super) async fn fetch_status(
     engine: &ProxyEngine,
     member: &GroupMember,
@@ -41,13 +43,14 @@
     }
 }
 
-/// Makes a superseded primary a replica.
+/// Demotes a superseded primary to a replica.
 pub(super) async fn step_down(engine: &ProxyEngine, member: &GroupMember, term: LogTerm) {
     let outcome = send_command(engine, member, MemberCommand::StepDown(term)).await;
     let outcome =
         outcome.map_or_else(|error| error.to_string(), |reply| format!("{:?}", reply.outcome));
     log::info!(
-        member:% = member.name(), term:% = term, outcome:% = outcome; "a previous primary was ordered to step down"
+        member:% = member.name(), term:% = term, outcome:% = outcome;
+        "a previous primary was ordered to step down"
     );
 }
 
@@ -86,10 +89,9 @@
     tokio::time::timeout(STATUS_TIMEOUT, call).await.unwrap_or(Err(LinkError::Silent))
 }
 
-/// Asks on a connection that callers use as well.
-///
-/// Guards against a change of primary that overlooks the most advanced member: it takes no more
-/// connections, and a member that gives no status is no candidate.
+/// Sends a command on a pooled connection that callers also use, for members that accept no more
+/// connections. A member without a known status is no candidate, so a change of primary could
+/// otherwise overlook the most advanced member.
 pub(super) async fn send_on_pooled(
     member: &GroupMember,
     command: MemberCommand,
--- a/crates/rudder-engine/src/duty/drain.rs
+++ b/crates/rudder-engine/src/duty/drain.rs
@@ -1,4 +1,4 @@
-//! Stopping an instance without cutting what it serves.
+//! Graceful shutdown of an instance.
 
 use super::registry::deregister;
 use super::start::EngineTiming;
@@ -6,17 +6,18 @@
 use crate::identity::DrainPhase;
 use std::sync::Arc;
 
-/// The part of the grace time after which open transactions are given up.
+/// Fraction of the grace time after which open transactions are aborted.
 const TRANSACTION_GRACE_FRACTION: f64 = 0.5;
 
-/// The part of the grace time after which the process ends, whatever is still open. What is left
-/// serves for the end itself, on a slow machine.
+/// Fraction of the grace time after which the process exits, whatever is still open. The rest is
+/// reserved for the exit itself on a slow machine.
 const END_GRACE_FRACTION: f64 = 0.85;
 
-/// Leads an instance to its end: callers are asked to go elsewhere as their work ends, open
-/// transactions have half of the grace time, and the rest ends a little before it is over.
+/// Shuts an instance down: callers are asked to reconnect elsewhere as their statements and
+/// transactions end, open transactions have half of the grace time, and everything else ends
+/// shortly before the grace time is over.
 ///
-/// Returns when the process may end. `idle` tells whether no caller is left.
+/// Returns when the process may exit. `idle` returns whether no caller is left.
 ///
 /// ```no_run
 /// # async fn example(engine: std::sync::Arc<rudder_engine::ProxyEngine>) {
--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Signs of life between instances, and the answers to peers' questions.
+//! Heartbeats between instances, and the handling of peers' datagrams.
 
 use super::answers::{handle_request, handle_response, request_records};
 use super::schedule::HeartbeatSchedule;
@@ -17,24 +17,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The pause between two heartbeats while nothing changes.
+/// Interval between heartbeats while their content does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// How often a change is looked for that is worth a heartbeat of its own.
+/// Interval between checks for changed heartbeat content, which is sent at once.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long statements under way may hold up this instance's word that it has stopped. Nearly
-/// all commits are answered within it; the rest is answered as unknown.
+/// Maximum time for which statements in flight may delay this instance's stop notice. Nearly all
+/// commits complete within it; the outcome of the others is reported as unknown.
 const STOP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an instance that asks the store itself awaits its word before it asks a peer that has
-/// it already.
+/// Time for which an instance that polls the store itself waits for the store before it fetches the
+/// newer version from a peer.
 const OWN_READ_DELAY: Duration = Duration::from_millis(400);
 
-/// The pause between two looks whether statements are still under way.
+/// Interval between checks for statements in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Sends heartbeats: regularly, and at once when there is something new in them.
+/// Sends heartbeats at regular intervals, and at once when their content changes.
 pub(crate) async fn send(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
     let mut last_sent: Option<PeerHeartbeat> = None;
     let (mut near_schedule, mut far_schedule) =
@@ -54,7 +54,7 @@
 }
 
 fn compose_heartbeat(engine: &ProxyEngine) -> PeerHeartbeat {
-    // The others' words on the primaries do not count.
+    // Only readers watch the primaries, so only their doubts count.
     let reads = engine.membership().is_reader();
     let doubted = |group: &Arc<ServiceGroup>| reads && group.silent_since().is_some();
     let doubts = engine.groups().into_iter().filter(doubted).map(|group| PrimaryDoubt {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Takes in peers' datagrams.
+/// Handles peers' datagrams.
 pub(crate) async fn receive(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
     loop {
         let (message, from) = exchange.receive().await;
@@ -96,7 +96,7 @@
     fetch_copy_if_behind(engine, version, None);
 }
 
-/// Fetches what a peer knows, if this instance knows less than `version`, or if `list_source` has a newer
+/// Fetches a peer's copy if this instance lacks `version`, or if the peer `list_source` has a newer
 /// list of instances.
 pub(super) fn fetch_copy_if_behind(
     engine: &Arc<ProxyEngine>,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Fetches what a peer knows and this instance does not.
+/// Fetches and applies what a peer knows beyond this instance.
 async fn fetch_newer_copy(engine: Arc<ProxyEngine>, list_source: Option<SocketAddr>) {
     if !engine.is_fed() && list_source.is_none() {
         tokio::time::sleep(OWN_READ_DELAY).await;
@@ -125,7 +125,7 @@
     engine.finish_copy_fetch();
 }
 
-/// A peer has written a new version of a record.
+/// Applies a new version of a record that a peer announces, and stops if it begins a change.
 async fn handle_announce(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
@@ -144,13 +144,13 @@
             exchange.send(&PeerMessage::Stopped(notice), from).await;
         });
     } else if engine.membership().is_reader() {
-        // A datagram does not say how old it is; a question's answer does.
+        // An announcement has no age, so it cannot renew a lease; the response to a request can.
         request_records(engine, exchange, &[from], false).await;
     }
 }
 
-/// Lets statements under way end, for a moment; then this instance answers for no version of the
-/// record before the one it returns.
+/// Waits a short time for statements in flight, then stops this instance's leases. Returns the
+/// version of the record before which this instance holds no lease any more.
 pub(super) async fn stop_leases(engine: &ProxyEngine, service: &ServiceName) -> LeaderEpoch {
     let group = engine.group(service);
     let until = Instant::now() + STOP_TIMEOUT;
--- a/crates/rudder-engine/src/duty/keeper.rs
+++ b/crates/rudder-engine/src/duty/keeper.rs
@@ -1,4 +1,4 @@
-//! Decides for each service whether its primary is to be changed, and deals out connections.
+//! Decides for each service whether to change its primary, and updates the connection shares.
 
 use super::change::{self, ChangeDecision};
 use crate::clock::boot_time;
@@ -12,19 +12,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often the signs are judged.
+/// Interval between evaluations of all services.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks between two deals of connections.
+/// Number of evaluations between two updates of the connection shares.
 const EVALUATIONS_PER_SHARE_UPDATE: u32 = 5;
 
-/// The age of the list of members from which on an entry that is missing in it says nothing.
+/// Maximum age of the list of members at which a missing entry counts as a sign.
 const MEMBER_LIST_MAX_AGE: Duration = Duration::from_millis(3000);
 
-/// The pause after a change that failed.
+/// Minimum time between the starts of two changes of one service, so that a failed change is not
+/// repeated at once.
 const CHANGE_START_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Since when signs have been seen that must last before they count.
+/// Times since when signs have been present that must last before they count.
 #[derive(Clone, Debug, Default)]
 struct SignOnsets {
     absent_since: Option<Duration>,
@@ -34,14 +35,14 @@
 struct GroupMonitor {
     service: ServiceName,
     signs: SignOnsets,
-    /// No change is tried before this moment.
+    /// Earliest time at which a change may start.
     next_change_at: Duration,
 }
 
-/// Services with a change under way on this instance.
+/// Services with a change in progress on this instance.
 type RunningChanges = Arc<Mutex<Vec<ServiceName>>>;
 
-/// Judges all services again and again.
+/// Evaluates all services at regular intervals.
 pub(crate) async fn run_keeper(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
     let running = RunningChanges::default();
     let mut monitors: Vec<GroupMonitor> = Vec::new();
@@ -99,8 +100,8 @@
     let signs = read_signs(engine, group, &leases, &mut monitor.signs, now);
     let votes = engine.membership().votes(group.service(), epoch, signs.silent_since.is_some());
     let cause = judge_change(&leases, &signs, &engine.identity().name, &votes, now);
-    // Guards against a first record for a service that has one: the list that lacked it may have
-    // been read before another instance wrote it.
+    // Only the first reader writes a first record, and only if the store's records lacked one:
+    // another instance may have written it after they were read.
     let lacks_record = leases.record().is_none() && engine.lacks_record(group.service());
     let may_record = engine.membership().is_first_reader() && !group.members().is_empty();
     let writes_first_record = lacks_record && may_record;
@@ -117,7 +118,8 @@
     monitor.next_change_at = now + CHANGE_START_INTERVAL;
     let onsets = [signs.silent_since, signs.absent_since, signs.usurped_since];
     let since = onsets.into_iter().flatten().min().unwrap_or(now);
-    // Nobody who knows that the primary leaves sends it work by then, so there is nothing to stop.
+    // Instances that know of the shutdown no longer send statements to a primary that has left, so
+    // no quorum is needed to stop them.
     let primary = leases.record().and_then(|record| record.primary());
     let primary = primary.and_then(|primary| group.member(primary));
     let has_left = primary.is_some_and(|member| member.has_left(engine.leaving_use_limit()));
@@ -185,8 +187,8 @@
     }
 }
 
-/// Whether the attempt that began a change is known to have ended: it was this instance's own, of
-/// which only one at a time is under way, or its instance shows another process by now.
+/// Returns whether the attempt that began a change is known to have ended: it was this instance's
+/// own, which runs only one at a time, or its instance runs another process by now.
 fn has_ended(engine: &ProxyEngine, leases: &LeaseTable) -> bool {
     let phase = leases.record().map(|record| &record.phase);
     let Some(LeadPhase::Changing { holder, process, .. }) = phase else { return false };
@@ -200,7 +202,8 @@
     present.then(|| since.unwrap_or(now))
 }
 
-/// Whether the primary says that it does not lead, and another member says that it does.
+/// Returns whether the primary reports that it is a replica while another member reports that it is
+/// the primary.
 fn is_superseded(primary: &GroupMember, members: &[Arc<GroupMember>]) -> bool {
     let leads = |member: &GroupMember| member.entry().role == MemberRole::Primary;
     let other = members.iter().any(|member| member.name() != primary.name() && leads(member));
--- a/crates/rudder-engine/src/duty/mod.rs
+++ b/crates/rudder-engine/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! What an instance does besides serving: its share of the control work.
+//! Background tasks of an instance: heartbeats, registration, records and changes of primary.
 
 mod answers;
 mod change;
--- a/crates/rudder-engine/src/duty/promote.rs
+++ b/crates/rudder-engine/src/duty/promote.rs
@@ -1,4 +1,4 @@
-//! Chooses the member that takes over, and has it promoted.
+//! Selection and promotion of the next primary.
 
 use super::change::{ChangeError, ChangeRun, INTENT_VALIDITY, POLL_INTERVAL, WrittenRecord};
 use super::control::{MemberReport, fetch_status};
@@ -9,20 +9,21 @@
 use rudder_core::{LogTerm, MemberName, MemberRole};
 use std::time::Duration;
 
-/// How long a planned change waits for its successor to receive the primary's last commits.
+/// Maximum time a planned change waits for a successor to receive the primary's last commits.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The pause before a promotion is ordered again that was not accepted.
+/// Delay before a promotion order that was not accepted is sent again.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// The most time for an order to promote.
+/// Timeout of one promotion order.
 const PROMOTION_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a promoted member may take to lead: promoting takes up to a second.
+/// Maximum time until a promoted member reports the role of primary. A promotion takes up to a
+/// second.
 const LEADERSHIP_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl ChangeRun<'_> {
-    /// The members that may take over, with what they say of themselves.
+    /// Returns the status reports of the members that may take over.
     pub(super) async fn fetch_candidate_reports(
         &self,
         previous: Option<&MemberName>,
@@ -36,7 +37,7 @@
         self.clients.lock().await.fetch_all(self.engine, &members).await
     }
 
-    /// Promotes a member; returns its name, term and position as a primary.
+    /// Promotes a member. Returns its status report as primary.
     pub(super) async fn promote(
         &self,
         intent: &WrittenRecord,
@@ -50,7 +51,7 @@
         let mut rejected: Vec<MemberName> = Vec::new();
         loop {
             let mut reports = self.fetch_candidate_reports(previous, unfinished).await;
-            // An earlier holder's order may have come into effect.
+            // The order of an earlier holder may have taken effect.
             if let Some(leader) = newest_leader(&reports, previous) {
                 return Ok(leader.clone());
             }
@@ -60,8 +61,8 @@
                 .map(|report| (report.member.clone(), report.status.received))
                 .collect();
             let candidates = order_candidates(positions);
-            // Checked right before the order: a holder that was suspended must not promote after
-            // another one took over.
+            // Checked right before the order: a holder that was suspended must not promote a member
+            // after another instance has taken over.
             if boot_time() >= intent.acknowledged_at + INTENT_VALIDITY {
                 return Err(ChangeError::TooLate);
             }
@@ -75,7 +76,7 @@
             };
             let before = reports.iter().map(|report| report.status.accepted).max();
             match self.order(intent, candidate).await {
-                // For a member that leads already the platform changes nothing.
+                // The platform changes nothing if the member is already the primary.
                 Ok(()) if let Some(leader) = find_leading(&reports, candidate, before) => {
                     return Ok(leader.clone());
                 }
@@ -112,7 +113,7 @@
         outcome
     }
 
-    /// Waits until the member leads a newer term than `before`.
+    /// Waits until the member is the primary of a newer term than `before`.
     async fn await_leader(&self, candidate: &MemberName, before: LogTerm) -> Option<MemberReport> {
         let member = self.group.member(candidate)?;
         let mut client = self.clients.lock().await.take(self.engine, &member);
@@ -122,7 +123,10 @@
                 Ok(report) if leads_since(&report, before) => return Some(report),
                 Ok(_) => {}
                 Err(error) => {
-                    log::info!(member:% = candidate, reason:% = error; "a promoted member did not report its status");
+                    log::info!(
+                        member:% = candidate, reason:% = error;
+                        "a promoted member did not report its status"
+                    );
                 }
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -130,10 +134,8 @@
         None
     }
 
-    /// Waits until a successor has received all that the leaving primary committed.
-    ///
-    /// Nobody writes there any more, so its position is final; promoting before a successor has
-    /// got there would lose acknowledged commits.
+    /// Waits until a successor has received all commits of the leaving primary, which takes no more
+    /// writes. Promoting a successor before that would lose acknowledged commits.
     async fn await_catch_up(&self, primary: &GroupMember) {
         let Ok(last) = fetch_status(self.engine, primary).await else {
             log::warn!(member:% = primary.name(); "a leaving primary did not report its position");
@@ -154,7 +156,7 @@
     }
 }
 
-/// The report of a candidate that leads the newest term.
+/// Returns the candidate's report if it is the primary of the newest term.
 fn find_leading<'a>(
     reports: &'a [MemberReport],
     candidate: &MemberName,
@@ -171,7 +173,8 @@
     report.status.role == MemberRole::Primary && report.status.accepted > before
 }
 
-/// A member other than the previous primary that leads the newest term.
+/// Returns the report of a member other than the previous primary that is the primary of the newest
+/// term.
 fn newest_leader<'a>(
     reports: &'a [MemberReport],
     previous: Option<&MemberName>,
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -1,4 +1,4 @@
-//! Follows the records of all services, and with them the leases.
+//! Keeps the records of all services current, and with them the leases.
 
 use super::answers::{notify_subscribers, request_records};
 use crate::clock::boot_time;
@@ -11,53 +11,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause between two reads. A lease lives for 1.5 s, so that a read and a datagram may fail.
+/// Interval between two reads. A lease lasts 1.5 s, so one read and one datagram may fail without
+/// losing it.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The most time for one read. The store answers in milliseconds, and in some hundred when slow.
+/// Timeout of one read. The store responds within milliseconds, and within several hundred
+/// milliseconds when it is slow.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The age of the records from which on a reader asks again, and then the store itself: a pause of
-/// the first reader, its read and the way.
+/// Age of the records above which a reader sends another request, and then reads the store itself:
+/// the first reader's interval, its read and the transfer.
 const READER_RECORDS_MAX_AGE: Duration = Duration::from_millis(650);
 
-/// The same for the others, by when their reader has asked the store.
+/// Age of the records above which the other instances do the same. By then their reader has read
+/// the store.
 const FOLLOWER_RECORDS_MAX_AGE: Duration = Duration::from_millis(850);
 
-/// How long an answer is awaited: the longest way between regions and back.
+/// Maximum time to wait for a response: the longest round trip between regions.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How often an instance that is told of the records asks to be told on.
+/// Interval at which a subscriber renews its subscription.
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How long a source that was silent is not the first to be asked. A reader that is gone is not among
-/// the sources by then, and what comes over long links is paid for.
+/// Time for which a source that timed out is not the first choice. A failed reader is no longer
+/// among the sources by then. Not longer, because traffic over long links has a price.
 const SOURCE_RETRY_DELAY: Duration = Duration::from_millis(3000);
 
-/// How long an instance that starts waits for its entry in the list before it reads the records: what
-/// was read before gives no lease. Three calls to the store and their round trips between regions.
+/// Maximum time a starting instance waits for its registration before it reads the records, as
+/// records read before that grant no lease: three store calls and their round trips between
+/// regions.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The least pause between two questions that callers cause.
+/// Minimum interval between requests that waiting callers trigger.
 const REQUEST_MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where an instance that is told of the records stands with its questions.
+/// Selects the peers from which an instance requests the records.
 #[derive(Debug, Default)]
 pub(super) struct SourceSelector {
     requested_at: Option<Duration>,
-    /// How many times in a row nobody answered in time, and when last.
+    /// Number of consecutive requests without a response in time.
     timeouts: usize,
+    /// Time of the last of these timeouts.
     timed_out_at: Duration,
 }
 
 impl SourceSelector {
-    /// Takes in that those who were asked last had not answered by `now`.
+    /// Records that the last request had no response by `now`.
     pub(super) fn record_timeout(&mut self, now: Duration) {
         self.timeouts += 1;
         self.timed_out_at = now;
     }
 
-    /// Those to ask next: the best source, or for a while two others if it was silent.
+    /// Returns the receivers of the next request: the best source, or two others for some time
+    /// after a timeout.
     pub(super) fn receivers(&mut self, sources: &[SocketAddr], now: Duration) -> Vec<SocketAddr> {
         if now >= self.timed_out_at + SOURCE_RETRY_DELAY {
             self.timeouts = 0;
@@ -68,10 +74,11 @@
     }
 }
 
-/// Keeps the records current: the first reader asks the store and tells the other readers, and these
-/// tell their failure domains. Whoever is not told in time asks the store itself.
+/// Keeps the records current: the first reader reads the store and notifies the other readers,
+/// which notify their failure domains. An instance that is not notified in time reads the store
+/// itself.
 pub(crate) async fn follow(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
-    // Over means that the entry takes longer; the records are read again when it is there.
+    // After a timeout the records are read again as soon as this instance is registered.
     let _ = tokio::time::timeout(REGISTRATION_TIMEOUT, engine.wait_registered()).await;
     let mut selector = SourceSelector::default();
     let mut reachable = true;
@@ -86,7 +93,7 @@
         engine.membership().note_store_answer(result.is_ok(), boot_time());
         match &result {
             Ok(records) => apply_records(&engine, records, sent_at),
-            // Most instances' word renews leases.
+            // Responses of a majority of instances renew leases without the store.
             Err(_) if engine.membership().is_first_reader() => poll_all(&engine, &exchange).await,
             Err(_) => {}
         }
@@ -102,8 +109,8 @@
     }
 }
 
-/// Waits for `time`, or until this instance has entered the list: only what is read from then on
-/// lets it lead. Callers who wait for positions of the primaries have the readers asked at once.
+/// Waits for `time`, or until this instance is registered, as only records read from then on grant
+/// leases. Sends a request at once when callers wait for the primaries' positions.
 async fn wait_next_read(engine: &ProxyEngine, exchange: &PeerExchange, time: Duration) {
     let until = tokio::time::Instant::now() + time;
     loop {
@@ -120,7 +127,8 @@
     }
 }
 
-/// Has itself told of the records; returns whether it is told in time.
+/// Subscribes to the records of peers. Returns whether the records are recent enough that the store
+/// need not be read.
 async fn follow_peers(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
@@ -174,7 +182,7 @@
     Ok(objects.iter().filter_map(read_record).collect())
 }
 
-/// Reads one record; one that cannot be read is none.
+/// Parses one record. Returns none, and logs the reason, if the record is invalid.
 pub(super) fn read_record(object: &StoredObject) -> Option<(ServiceName, LeadRecord)> {
     let service = object.name.parse::<ServiceName>();
     let record = serde_json::from_value::<LeadRecord>(object.spec.clone());
@@ -192,14 +200,15 @@
     }
 }
 
-/// The age of what is known of the records. Of a service without one it is the age of the last read
-/// that showed none.
+/// Returns the age of the oldest confirmation of a record. For a service without a record, that is
+/// the age of the last read that showed none.
 pub(super) fn records_age(engine: &ProxyEngine) -> Duration {
     oldest_age(engine, LeaseTable::anchor)
 }
 
-/// The same, but a version that has just been announced counts from then: whoever wrote it tells the
-/// readers when, and these pass it on.
+/// Returns the time since the least recent update of a record. Unlike [`records_age`], it counts an
+/// announced version from its arrival: the instance that wrote it sends the confirmation to the
+/// readers, which pass it on.
 pub(super) fn time_since_update(engine: &ProxyEngine) -> Duration {
     oldest_age(engine, |leases| leases.anchor().max(leases.seen_at()))
 }
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -1,4 +1,4 @@
-//! The list of instances in the store.
+//! Registration in the store's list of instances.
 
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
@@ -11,41 +11,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause between two reads of the list by the first reader, from whom the others have it.
+/// Interval between reads of the list by the first reader, which passes it on to the others.
 const LIST_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The same while the list changes, as when a fleet starts.
+/// Interval between reads while the list changes, for example when a fleet starts.
 const CHANGING_LIST_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The pause between two looks of a reader for entries of its failure domain that are left over.
+/// Interval between a reader's checks for stale entries of its failure domain.
 const STALE_ENTRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How long an instance that nobody tells of its own entry goes without a look at the list. Below
-/// [`LISTED_LIFE`] by some reads that fail.
+/// Time without confirmation of its entry after which an instance reads the list itself. Below
+/// the validity of a registration (see `peers::entries`) by the time of several failed reads.
 const UNCONFIRMED_ENTRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The pause before a first read or entry that failed is tried again.
+/// Delay before a failed read or registration is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause between two looks whether a read is due.
+/// Interval between checks whether a read is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The pause between writing the entry and the next read. Instances that start at the same moment
-/// have written theirs by then, so that each knows its neighbours.
+/// Delay between the registration and the next read. Instances that start at the same time have
+/// registered by then, so that each finds the others.
 const CONTACT_READ_DELAY: Duration = Duration::from_millis(150);
 
-/// The most time for one call.
+/// Timeout of one store call.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What the store keeps of an instance.
+/// Entry of an instance in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct EntryRecord {
     domain: DomainName,
     peer_address: SocketAddr,
-    /// Whether others have not heard the instance for long, and it is to say whether it lives.
+    /// Whether another instance received nothing from this one for a long time; a running instance
+    /// rewrites its entry to clear the mark.
     #[serde(default)]
     marked: bool,
-    /// Tells the instance's process from its earlier and later ones; zero where it was marked.
+    /// Identifier of the instance's process; zero in an entry that was marked.
     #[serde(default)]
     process: u64,
 }
@@ -56,30 +57,30 @@
     }
 }
 
-/// What a look at the list found of the own entry.
+/// Result of checking this instance's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RegistrationCheck {
-    /// It stood there without a mark.
+    /// The entry was in the list without a mark.
     Present,
-    /// It did not, and was written.
+    /// The entry was missing or marked, and was written.
     Registered,
-    /// It did not, and stays away, as this instance stops.
+    /// The entry was missing or marked, and was not written because this instance is shutting down.
     Stopping,
 }
 
-/// When the list was last read, and by which calls.
+/// State of the periodic reads and checks of the list.
 #[derive(Debug, Default)]
 struct ListState {
     read_at: Option<Duration>,
     checked_at: Option<Duration>,
-    /// Whether the last read showed another list than the one before.
+    /// Whether the last read showed a list that differs from the previous one.
     changing: bool,
     ledger: EntryLedger,
 }
 
-/// Enters the list, finds neighbours, and sees to it that the list stays right.
+/// Registers this instance, finds other instances and keeps the list correct.
 ///
-/// The list itself is read by the first reader, and handed on from instance to instance.
+/// The first reader reads the list; the others receive it from their peers.
 pub(crate) async fn keep_registered(engine: Arc<ProxyEngine>) {
     let (_, found) = tokio::join!(register_until_accepted(&engine), find_contacts(&engine));
     if !found {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Writes this instance's entry until it stands.
+/// Retries the registration until it succeeds or this instance shuts down.
 async fn register_until_accepted(engine: &ProxyEngine) {
     while engine.drain_phase() == DrainPhase::Serving {
         match register(engine).await {
@@ -112,10 +113,11 @@
     }
 }
 
-/// Learns of others by a list that may be some seconds old; returns whether there are any.
+/// Reads other instances from a cached list that may be some seconds old. Returns whether there are
+/// any.
 ///
-/// Load pattern: a whole fleet loses power and returns. Most of what the list says then is what it
-/// said before, and a call that need not be exact is cheap.
+/// Load pattern: a whole fleet loses power and restarts. Most entries are then as they were before,
+/// and a read that may be served from a cache is cheap.
 async fn find_contacts(engine: &ProxyEngine) -> bool {
     let list = engine.borders().store.list_cached(ObjectKind::InstanceRecord);
     match with_timeout(CALL_TIMEOUT, list).await {
@@ -133,7 +135,7 @@
     }
 }
 
-/// Learns of those who have started at the same time, for the first time.
+/// Reads the cached list again, and the current list if that still shows no other instance.
 async fn retry_contacts(engine: &ProxyEngine) {
     if find_contacts(engine).await {
         return;
@@ -143,7 +145,7 @@
     }
 }
 
-/// Reads the list if it is this instance's turn.
+/// Reads the list and checks for stale entries, if either is due on this instance.
 async fn read_list_if_due(engine: &ProxyEngine, state: &mut ListState) -> Result<(), StoreError> {
     let now = boot_time();
     let is_over = |at: Option<Duration>, gap| at.is_none_or(|at| now >= at + gap);
@@ -160,7 +162,8 @@
     if engine.membership().is_reader() && is_over(state.checked_at, STALE_ENTRY_CHECK_INTERVAL) {
         let first = state.checked_at.is_none();
         state.checked_at = Some(now);
-        // What an instance has just learnt of tells nothing of how long it has been silent.
+        // This instance has only just started to receive heartbeats, so it cannot know yet for how
+        // long others have sent none.
         if !first {
             check_stale_entries(engine, &mut state.ledger).await?;
         }
@@ -168,7 +171,7 @@
     Ok(())
 }
 
-/// Reads the list, and keeps this instance in it.
+/// Reads the list, and registers this instance again if its entry is missing or marked.
 pub(super) async fn ensure_registered(
     engine: &ProxyEngine,
 ) -> Result<RegistrationCheck, StoreError> {
@@ -177,8 +180,8 @@
         return Ok(RegistrationCheck::Present);
     }
     if engine.drain_phase() != DrainPhase::Serving {
-        // Guards against an instance that stops and enters the list again, which nobody would take
-        // out for two minutes, with a lease's wait in each change of primary.
+        // The entry of an instance that registers while it shuts down would stay for two minutes,
+        // and each change of primary would wait for its lease to expire.
         return Ok(RegistrationCheck::Stopping);
     }
     log::info!(instance:% = engine.identity().name; "this instance is not in the list, or marked there");
@@ -186,8 +189,8 @@
     Ok(RegistrationCheck::Registered)
 }
 
-/// Takes instances of the own failure domain out of the list that are gone. The list that is looked
-/// at may be old: each change names the version of the entry that was seen.
+/// Marks and removes entries of unresponsive instances in this failure domain. The list may come
+/// from a cache, so each change is conditional on the version of the entry that was read.
 async fn check_stale_entries(
     engine: &ProxyEngine,
     ledger: &mut EntryLedger,
@@ -216,7 +219,7 @@
     Ok(())
 }
 
-/// Whether an entry is this instance's, at its present address.
+/// Returns whether an entry is this instance's, with its current address and failure domain.
 fn is_own(engine: &ProxyEngine, entry: &PeerEntry) -> bool {
     let identity = engine.identity();
     entry.instance == identity.name
@@ -239,7 +242,9 @@
     let store = &engine.borders().store;
     let kind = ObjectKind::InstanceRecord;
     let put = store.put(kind, entry.instance.as_str(), Some(version), spec);
-    log::info!(instance:% = entry.instance; "marking an unresponsive instance in the list of instances");
+    log::info!(
+        instance:% = entry.instance; "marking an unresponsive instance in the list of instances"
+    );
     with_timeout(CALL_TIMEOUT, put).await.map(|_| ())
 }
 
@@ -262,11 +267,9 @@
     Ok(())
 }
 
-/// Writes this instance's entry, also if an earlier process of it has left one there; returns its
-/// version.
-///
-/// Guards against the removal by that process, which may take effect seconds after it was sent: it
-/// names the version before, and would take this process out of the list without its knowledge.
+/// Writes this instance's entry, replacing that of an earlier process, and returns its version. A
+/// removal that the earlier process sent may take effect seconds later; as it names the old
+/// version, it cannot remove the new entry.
 async fn write_entry(engine: &ProxyEngine) -> Result<ObjectVersion, StoreError> {
     let identity = engine.identity();
     let entry = EntryRecord {
@@ -297,7 +300,8 @@
     let own = entries.iter().find(|entry| is_own(engine, entry));
     match own {
         Some(own) if !own.marked => engine.set_listed(Some(sent_at)),
-        // Leads on what an earlier read showed, until the mark is taken away or time runs out.
+        // The registration that an earlier read showed stays valid until the mark is cleared or the
+        // registration expires.
         Some(_) => {}
         None => engine.set_listed(None),
     }
@@ -321,7 +325,8 @@
     engine.begin_deregistration();
     let Some(version) = engine.entry_version() else { return };
     if let Err(error) = remove_own_entry(engine, &version).await {
-        // A change of primary then waits for a lease's life instead of for this one's word.
+        // The next change of primary waits for this instance's lease to expire, as no stop notice
+        // comes.
         log::warn!(reason:% = error; "this instance was not removed from the list of instances");
     }
 }
@@ -341,7 +346,7 @@
     }
 }
 
-/// A call to the store with a bound; what came of a call without an answer is not known.
+/// Runs a store call with a timeout. The outcome of a call that times out is unknown.
 pub(super) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, StoreError>>,
--- a/crates/rudder-engine/src/duty/schedule.rs
+++ b/crates/rudder-engine/src/duty/schedule.rs
@@ -1,24 +1,25 @@
-//! To whom a heartbeat is due.
+//! Schedule of heartbeats to a group of receivers.
 //!
-//! Load pattern: a whole fleet starts within a third of a second. An instance that heartbeats on
-//! its regular turn only is first heard up to a second after it learnt of its neighbours; until
-//! then each takes itself for the one that reads the store, so that all of them do.
+//! Load pattern: a whole fleet starts within a third of a second. If instances sent heartbeats at
+//! regular intervals only, the first one would arrive up to a second after its sender has found the
+//! other instances. Until then each instance takes itself for the one that reads the store, and all
+//! of them read it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The turns of heartbeats to one group of receivers.
+/// Heartbeats sent to one group of receivers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeartbeatSchedule {
-    /// When all were told last.
+    /// Time of the last heartbeat to all receivers.
     sent_at: Option<Instant>,
-    /// Who has been told since they were receivers, sorted.
+    /// Receivers that have been sent a heartbeat since they joined the group, sorted.
     known_receivers: Vec<SocketAddr>,
 }
 
 impl HeartbeatSchedule {
-    /// Those of `receivers`, which are sorted, who are to be told now: all of them if there is news
-    /// or their turn has come, else those who are new.
+    /// Returns the receivers to send a heartbeat to now: all if the heartbeat has changed or the
+    /// interval has elapsed, otherwise the new ones. `receivers` must be sorted.
     pub(super) fn due(
         &mut self,
         receivers: Vec<SocketAddr>,
--- a/crates/rudder-engine/src/duty/start.rs
+++ b/crates/rudder-engine/src/duty/start.rs
@@ -1,4 +1,4 @@
-//! Starting an instance.
+//! Start of an instance.
 
 use super::{heartbeat, keeper, records, registry, watch};
 use crate::engine::ProxyEngine;
@@ -10,19 +10,19 @@
 use tokio::net::TcpListener;
 
 plain_data! {
-    /// The bounds that the deployment sets for stopping.
+    /// Timing that the deployment sets for the shutdown.
     #[derive(Copy)]
     pub struct EngineTiming {
-        /// The time between being told to stop and being ended.
+        /// Time between the request to stop and the forced end of the process.
         pub grace: Duration,
     }
 }
 
-/// Starts an instance: its duties run until the process ends.
+/// Starts an instance and its background tasks, which run until the process ends.
 ///
 /// # Errors
 ///
-/// When the address for peers cannot be used.
+/// Returns an error if the address for peers cannot be bound.
 pub async fn start_engine(
     identity: InstanceIdentity,
     borders: EngineBorders,
--- a/crates/rudder-engine/src/duty/status.rs
+++ b/crates/rudder-engine/src/duty/status.rs
@@ -1,4 +1,4 @@
-//! What members say of themselves while a primary is changed.
+//! Status requests to members during a change of primary.
 
 use super::control::{MemberReport, STATUS_TIMEOUT, dial, exchange, parse_report, send_on_pooled};
 use crate::border::{LinkError, MemberLink};
@@ -8,12 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most time for an answer on a connection that was used before. A new one can still be opened
-/// afterwards within the time for a question.
+/// Timeout of a status request on a reused connection. It leaves enough of `STATUS_TIMEOUT` to open
+/// a new connection afterwards.
 const REUSED_LINK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Asks one member again and again on one connection: opening one takes two round trips more than
-/// the question itself, and a slot of a member that the reads of a lost primary keep busy.
+/// Sends repeated status requests to one member on one connection. Opening a connection takes two
+/// more round trips than the request itself, and a connection slot of a member that is busy with
+/// the reads of a lost primary.
 pub(super) struct StatusClient {
     engine: Arc<ProxyEngine>,
     member: Arc<GroupMember>,
@@ -26,15 +27,14 @@
     }
 
     pub(super) async fn fetch(&mut self) -> Result<MemberReport, LinkError> {
-        // A question that is given up loses its connection: the late answer is not read.
+        // A request that times out drops its connection, so that its late reply is never read.
         let result = tokio::time::timeout(STATUS_TIMEOUT, self.try_fetch()).await;
         result.unwrap_or(Err(LinkError::Silent))
     }
 
-    /// Asks on the connection that is open, and on a new one if that gives no answer.
-    ///
-    /// Guards against a change that passes over the most advanced member, because the connection
-    /// on which it was asked before was reset or went silent meanwhile.
+    /// Requests the status on the open connection, and on a new one if that gives no reply.
+    /// Otherwise a change could pass over the most advanced member because its open connection was
+    /// reset or has stopped responding.
     async fn try_fetch(&mut self) -> Result<MemberReport, LinkError> {
         if let Some(mut link) = self.link.take() {
             let reused = exchange(link.as_mut(), MemberCommand::Status);
@@ -56,18 +56,18 @@
     }
 }
 
-/// The connections on which a change of primary asks members, kept from one question to the next.
+/// Status connections of a change of primary, reused between requests.
 ///
-/// Guards against a change that is held up by its own questions: it asks the candidates before it
-/// stops anyone and again before it promotes one, while they serve the reads of the lost primary
-/// as well, and each new connection waits for a slot there.
+/// A change requests the candidates' status before it stops any instance and again before it
+/// promotes one. The candidates also serve the reads of the lost primary, so each new connection
+/// would wait for a slot and delay the change.
 #[derive(Default)]
 pub(super) struct StatusClients {
     clients: Vec<StatusClient>,
 }
 
 impl StatusClients {
-    /// Takes out the connection to a member, or one that is to be opened.
+    /// Removes and returns the client of a member, or returns a new one.
     pub(super) fn take(
         &mut self,
         engine: &Arc<ProxyEngine>,
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Asks several members at once; those that do not answer are left out.
+    /// Requests the status of several members concurrently. Members that do not respond are left
+    /// out.
     pub(super) async fn fetch_all(
         &mut self,
         engine: &Arc<ProxyEngine>,
@@ -103,7 +104,9 @@
                 }
                 Ok((client, Err(error))) => {
                     let member = client.member.name();
-                    log::info!(member:% = member, reason:% = error; "a member did not report its status");
+                    log::info!(
+                        member:% = member, reason:% = error; "a member did not report its status"
+                    );
                 }
                 Err(error) => log::error!(reason:% = error; "a status request to a member failed"),
             }
--- a/crates/rudder-engine/src/duty/tests/answers.rs
+++ b/crates/rudder-engine/src/duty/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the records.
+//! Exchange of records between instances.
 
 use super::fixture::{RecordStore, WriteOutcome, engine_named, first_record};
 use crate::clock::boot_time;
@@ -24,7 +24,7 @@
         Self { engine, exchange }
     }
 
-    /// One that has entered the list and read the record.
+    /// Returns a peer that is registered and has read the record from the store.
     async fn registered(name: &str) -> Self {
         let peer = Self::new(name).await;
         peer.engine.set_listed(Some(boot_time()));
@@ -46,12 +46,12 @@
         self.exchange.address()
     }
 
-    /// Takes in the next datagram; none may come for a moment.
+    /// Handles the next datagram. Panics if none arrives in time.
     async fn handle_next(&self) {
         assert!(self.handle_next_within(Duration::from_secs(2)).await, "no datagram came");
     }
 
-    /// Takes in the next datagram, if one comes in time.
+    /// Handles the next datagram. Returns whether one arrived in time.
     async fn handle_next_within(&self, limit: Duration) -> bool {
         let next = tokio::time::timeout(limit, self.exchange.receive()).await;
         let Ok((message, from)) = next else { return false };
@@ -81,7 +81,7 @@
     }
 }
 
-/// Guards against a fleet in which every instance asks several times a second.
+/// Without notifications, each instance of a fleet would send several requests a second.
 #[tokio::test]
 async fn subscriber_receives_newer_records_without_a_new_request() {
     let reader = Peer::registered("reader").await;
@@ -100,7 +100,7 @@
     assert!(follower.confirmed_at() <= reader.confirmed_at());
 }
 
-/// Guards against a lease that an answer renews although it was long on its way.
+/// A response that was delayed in transit must not renew a lease beyond the time it was sent.
 #[tokio::test]
 async fn delayed_response_does_not_extend_the_confirmation() {
     let reader = Peer::registered("reader").await;
@@ -114,7 +114,8 @@
     assert!(boot_time() >= follower.confirmed_at() + Duration::from_millis(60));
 }
 
-/// Guards against datagrams without end between two that tell each other what each has told.
+/// Two instances that subscribe to each other must not send each other's content back and forth
+/// endlessly.
 #[tokio::test]
 async fn mutual_subscribers_do_not_echo_responses() {
     let one = Peer::registered("one").await;
@@ -133,10 +134,10 @@
     one.handle_next().await;
     let echoed = other.handle_next_within(Duration::from_millis(200)).await;
 
-    assert!(!echoed, "what comes back to its source is no news");
+    assert!(!echoed, "a record returned to its source is not newer");
 }
 
-/// Guards against a record that nobody confirmed since a change and that renews leases all the same.
+/// A record that no instance has confirmed since a change must not renew leases.
 #[tokio::test]
 async fn unconfirmed_record_from_a_peer_grants_no_lease() {
     let reader = Peer::registered("reader").await;
@@ -154,7 +155,7 @@
     assert_eq!(leases.lease(boot_time()), None);
 }
 
-/// Guards against a list of instances that each of a fleet reads for itself.
+/// Without the digest, each instance of a fleet would read the list of instances itself.
 #[tokio::test]
 async fn matching_digest_confirms_the_instance_list() {
     let reader = Peer::registered("reader").await;
--- a/crates/rudder-engine/src/duty/tests/change.rs
+++ b/crates/rudder-engine/src/duty/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes of primary against a store in memory.
+//! Changes of primary with a store in memory.
 
 use super::fixture::{FakeMembers, RecordStore, WriteOutcome, engine, engine_with_drain, stamp};
 use crate::clock::boot_time;
@@ -29,9 +29,9 @@
 
 #[tokio::test]
 async fn a_change_that_was_judged_on_an_older_record_is_not_begun() {
-    // A process that was changing the primary was killed; its successor and another instance both
-    // see it. The successor begins anew, and its announcement reaches the other one between its
-    // judgement and its look at the store. If that one goes on, two instances promote in turn.
+    // Two instances decide to take over a change whose holder was killed. The announcement of the
+    // first one's new change reaches the second one after its decision and before it reads the
+    // store. If the second one continues, two instances promote a member one after the other.
     let newer = changing(3, None, false);
     let store = RecordStore::new(&newer, &[WriteOutcome::Refused]);
     let engine = engine(&store, None);
@@ -45,8 +45,8 @@
     assert_eq!(store.write_count(), 0);
 }
 
-/// Takes over the change that the store's record tells of, among members with logs of these
-/// lengths, of which the first is the primary and leaves.
+/// Takes over the change in the store's record, with members whose logs have these lengths. The
+/// first member is the leaving primary.
 async fn take_over(
     store: &Arc<RecordStore>,
     logs: &[(&str, u64)],
@@ -70,10 +70,9 @@
 
 #[tokio::test]
 async fn a_planned_change_that_is_taken_over_still_waits_for_its_successor() {
-    // A crew's acknowledged sheets are gone after a planned replacement. The leaving primary stops
-    // taking writes, the instance that replaces it dies before it has promoted anyone, and another
-    // one takes over while the successor still lacks the last commits. It saw a change that was not
-    // finished, not that the old primary was there to be waited for, and promoted at once.
+    // Acknowledged commits are lost if the instance that replaces a leaving primary fails before a
+    // promotion, and the one that takes over sees only an unfinished change and promotes at once,
+    // while the successor still lacks the last commits.
     let record = changing(3, Some("a".parse().expect("a name")), true);
     let store = RecordStore::new(&record, &[WriteOutcome::Done]);
 
@@ -86,9 +85,9 @@
 
 #[tokio::test]
 async fn a_change_goes_on_although_writes_of_the_store_are_lost() {
-    // Crews wait six seconds for a new primary in place of two. The store loses every other write
-    // of a record without a word; the change gave up each time and began anew, with a new version
-    // of the record for which all instances had to stop again.
+    // If the store loses every other write of a record without a response and the change restarts
+    // each time, all instances stop again for the new version of the record, and callers wait six
+    // seconds for a new primary instead of two.
     let record = changing(3, Some("a".parse().expect("a name")), false);
     let store = RecordStore::new(&record, &[WriteOutcome::Lost, WriteOutcome::Done]);
 
@@ -101,24 +100,24 @@
 
 #[tokio::test]
 async fn change_uses_one_connection_per_candidate() {
-    // Crews wait two seconds for a new primary that takes 0.3 to promote. The change asks the
-    // candidates twice and then looks at the promoted one, and opened a connection each time, which
-    // waited for a slot of members that were busy with the lost primary's reads.
+    // A change requests the candidates' status twice and then polls the promoted member. If each
+    // request opens a connection, it waits for a slot of members that are busy with the lost
+    // primary's reads, and callers wait 2 s for a primary that takes 0.3 s to promote.
     let record = changing(3, Some("a".parse().expect("a name")), false);
     let store = RecordStore::new(&record, &[WriteOutcome::Done]);
 
     let (outcome, members) = take_over(&store, &[("a", 100), ("b", 100), ("c", 90)]).await;
 
     assert_eq!(outcome, Ok(()));
-    // The candidates', and the one on which the old primary is told to step down.
+    // One for each candidate, and one for the step-down command to the previous primary.
     assert!(members.dials() <= 4, "{}", members.dials());
 }
 
 #[tokio::test]
 async fn silent_connection_to_a_candidate_is_replaced() {
-    // The last sheets of a lost primary are gone although a replica had them. Something between the
-    // two ends lost track of the connection on which it was asked a moment before; without an answer
-    // it was no candidate, and a member behind it was promoted.
+    // The network drops the connection of an earlier status request without a reset. Without a new
+    // one, the most advanced replica is no candidate, and the last commits of the lost primary are
+    // lost.
     let record = changing(3, Some("a".parse().expect("a name")), false);
     let store = RecordStore::new(&record, &[WriteOutcome::Done]);
     let members = FakeMembers::new(&[("a", 80), ("b", 100), ("c", 90)]);
@@ -130,7 +129,7 @@
     assert_eq!(members.promoted(), [("b".parse().expect("a name"), stamp(1, 100))]);
 }
 
-/// Whether the primary may be sent work that has just said that it leaves.
+/// Returns whether a primary that has just announced its shutdown may be sent statements.
 fn gets_statements(member_drain: Duration) -> bool {
     let phase =
         LeadPhase::Settled { primary: "a".parse().expect("a name"), term: LogTerm(1), base: None };
@@ -147,9 +146,9 @@
 
 #[test]
 fn a_primary_that_has_been_leaving_for_long_gets_no_work() {
-    // Statements reach a leaving primary until it ends, and what is under way then is lost. Three
-    // instances are cut off and a fourth is gone, so that no majority is heard, and the change of
-    // primary waits for the cut to heal; meanwhile nothing took the primary out of use.
+    // With three instances partitioned off and a fourth one failed, there is no majority, and the
+    // change of primary waits for the partition to heal. If the leaving primary stays in use until
+    // it stops, the statements in flight are lost.
     let within_limit = gets_statements(Duration::from_secs(60));
     let past_limit = gets_statements(Duration::from_secs(2));
 
--- a/crates/rudder-engine/src/duty/tests/fixture.rs
+++ b/crates/rudder-engine/src/duty/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A store with one record, and members that answer questions without a network.
+//! Store with one record, and members that reply without a network.
 
 use crate::border::{
     LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
@@ -22,28 +22,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The first record of a service, whose primary is the member `a`.
+/// Returns the first record of a service, whose primary is the member `a`.
 pub(super) fn first_record() -> LeadRecord {
     let primary = "a".parse().expect("a name");
     let phase = LeadPhase::Settled { primary, term: LogTerm(1), base: None };
     LeadRecord { epoch: LeaderEpoch(1), mark: "m1".to_owned(), phase }
 }
 
-/// What becomes of a write.
+/// Outcome of a write to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// It is done and answered.
+    /// The write takes effect and is acknowledged.
     Done,
-    /// It is refused.
+    /// The write is rejected.
     Refused,
-    /// It is not done, and there is no answer either.
+    /// The write does not take effect, and there is no response.
     Lost,
 }
 
-/// A store that holds one record.
+/// Store that holds one record.
 pub(super) struct RecordStore {
     record: Mutex<(u32, Value)>,
-    /// What becomes of the writes to come, by turns.
+    /// Outcomes of the next writes, used in rotation.
     outcomes: Vec<WriteOutcome>,
     writes: AtomicU32,
 }
@@ -55,12 +55,12 @@
         Arc::new(Self { record, outcomes: outcomes.to_vec(), writes: AtomicU32::new(0) })
     }
 
-    /// How many writes were tried.
+    /// Returns the number of attempted writes.
     pub(super) fn write_count(&self) -> u32 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// The record as it is now.
+    /// Returns the current record.
     pub(super) fn record(&self) -> LeadRecord {
         let spec = self.record.lock().expect("no holder panics").1.clone();
         serde_json::from_value(spec).expect("a record is read")
@@ -115,20 +115,20 @@
     }
 }
 
-/// Members that take promotions: the first one leads, the others receive one entry of its log each
-/// time that they are asked.
+/// Members that can be promoted. The first one is the primary; the others receive one entry of its
+/// log with each status request.
 pub(super) struct FakeMembers {
     /// Sorted by name.
     members: Mutex<Vec<(MemberName, MemberStatus)>>,
-    /// The orders to promote, each with how far the member's log went then.
+    /// Promoted members, each with the end of its log at that time.
     promoted: Mutex<Vec<(MemberName, LogStamp)>>,
     dials: AtomicU32,
-    /// The member whose connections answer once only, and are silent from then on.
+    /// Member whose connections reply only once.
     silenced: Mutex<Option<MemberName>>,
 }
 
 impl FakeMembers {
-    /// Members with logs of these lengths in term 1.
+    /// Returns members with logs of these lengths in term 1.
     pub(super) fn new(logs: &[(&str, u64)]) -> Arc<Self> {
         let status = |index: usize, length: u64| {
             let role = if index == 0 { MemberRole::Primary } else { MemberRole::Replica };
@@ -147,12 +147,12 @@
         })
     }
 
-    /// The orders to promote so far.
+    /// Returns the promoted members so far.
     pub(super) fn promoted(&self) -> Vec<(MemberName, LogStamp)> {
         self.promoted.lock().expect("no holder panics").clone()
     }
 
-    /// From now on connections to this member answer once only.
+    /// Lets each connection to a member reply only once from now on.
     pub(super) fn silence_after_first_reply(&self, member: &str) {
         let member = member.parse().expect("a member's name");
         *self.silenced.lock().expect("no holder panics") = Some(member);
@@ -162,12 +162,12 @@
         self.silenced.lock().expect("no holder panics").as_ref() == Some(member)
     }
 
-    /// How many connections were opened.
+    /// Returns the number of opened connections.
     pub(super) fn dials(&self) -> u32 {
         self.dials.load(Ordering::Relaxed)
     }
 
-    /// The members' entries; the first member is leaving.
+    /// Returns the members' entries. The first member is leaving.
     pub(super) fn entries(&self) -> Vec<MemberEntry> {
         let members = self.members.lock().expect("no holder panics");
         let entry = |(index, (name, status)): (usize, &(MemberName, MemberStatus))| MemberEntry {
@@ -178,26 +178,26 @@
         members.iter().enumerate().map(entry).collect()
     }
 
-    fn answer(&self, name: &MemberName) -> MemberStatus {
+    fn next_status(&self, name: &MemberName) -> MemberStatus {
         let mut members = self.members.lock().expect("no holder panics");
         let last = members[0].1.received;
         let index = members.binary_search_by(|(known, _)| known.cmp(name));
         let status = &mut members[index.expect("a known member")].1;
-        let answer = *status;
+        let reported = *status;
         if status.role == MemberRole::Replica && status.received < last {
             let next = LogPosition(status.received.position.0 + 1);
             status.received = LogStamp { position: next, ..status.received };
         }
-        answer
+        reported
     }
 }
 
-/// A position of a log.
+/// Returns a log position.
 pub(super) fn stamp(term: u64, position: u64) -> LogStamp {
     LogStamp::new(term, position)
 }
 
-/// A connection on which a member's status can be asked.
+/// Connection on which a member's status can be requested.
 struct StatusLink {
     group: Arc<FakeMembers>,
     member: MemberName,
@@ -215,12 +215,12 @@
         if self.asked > 1 && self.group.is_silenced(&self.member) {
             std::future::pending::<()>().await;
         }
-        let rows = vec![status_row(&self.group.answer(&self.member))];
+        let rows = vec![status_row(&self.group.next_status(&self.member))];
         Ok(StatementReply { rows, ..StatementReply::local(TransactionState::Idle) })
     }
 }
 
-/// Reaches the members of a group, or nobody.
+/// Dialer and promotion call for the members of a group, or for none.
 pub(super) struct FakeBorders(pub(super) Option<Arc<FakeMembers>>);
 
 #[async_trait]
@@ -270,7 +270,7 @@
     Some(MemberStatus { role, accepted, received, applied: received })
 }
 
-/// An instance that has no peers.
+/// Returns an instance without peers.
 pub(super) fn engine(
     store: &Arc<RecordStore>,
     members: Option<Arc<FakeMembers>>,
@@ -278,7 +278,8 @@
     engine_of(store, members, identity("own"))
 }
 
-/// The same, with another time for which leaving members may be sent work.
+/// Returns an instance without peers, with a given time for which leaving members may be sent
+/// statements.
 pub(super) fn engine_with_drain(
     store: &Arc<RecordStore>,
     members: Option<Arc<FakeMembers>>,
@@ -288,7 +289,7 @@
     engine_of(store, members, identity)
 }
 
-/// The same with another name.
+/// Returns an instance without members and peers, with a given name.
 pub(super) fn engine_named(store: &Arc<RecordStore>, name: &str) -> Arc<ProxyEngine> {
     engine_of(store, None, identity(name))
 }
--- a/crates/rudder-engine/src/duty/tests/mod.rs
+++ b/crates/rudder-engine/src/duty/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the control work.
+//! Tests of the background tasks.
 
 mod answers;
 mod change;
--- a/crates/rudder-engine/src/duty/tests/records.rs
+++ b/crates/rudder-engine/src/duty/tests/records.rs
@@ -1,4 +1,4 @@
-//! How old the word of the records is.
+//! Age of the known records, and the choice of the peers to request them from.
 
 use super::fixture::{RecordStore, WriteOutcome, engine, first_record};
 use crate::clock::boot_time;
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Far above the time that a test takes between two lines.
+/// Upper bound on the duration of a test.
 const TEST_DURATION_MAX: Duration = Duration::from_secs(30);
 
 #[tokio::test]
 async fn missing_record_has_the_age_of_the_latest_read() {
-    // A fleet starts and the store refuses calls: every instance reads the records every 0.4 s, as
-    // its services have none yet, although its domain's reader has just looked and says so.
+    // A fleet starts while the store rejects calls and services have no record yet. Each instance
+    // reads the records every 0.4 s if a read that its domain's reader reports does not count.
     let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
     engine.group(&"records".parse().expect("a name"));
     let before = records_age(&engine);
@@ -34,7 +34,7 @@
     assert!(records_age(&engine) > TEST_DURATION_MAX);
 }
 
-/// Guards against a whole fleet that reads the store after each change of a primary.
+/// Otherwise a whole fleet would read the store after each change of a primary.
 #[tokio::test]
 async fn announced_record_counts_as_a_recent_update() {
     let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
@@ -51,7 +51,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// Guards against a failure domain that reads the store because its reader has just died.
+/// Otherwise a failure domain whose reader has just failed would read the store.
 #[test]
 fn timeout_selects_other_sources() {
     let mut state = SourceSelector::default();
@@ -68,7 +68,7 @@
     assert_eq!(third, [all[2], all[3]]);
 }
 
-/// Guards against a domain that goes on being told over long links after a moment of silence.
+/// Otherwise a failure domain would receive records over long links after a single timeout.
 #[test]
 fn best_source_is_selected_again_after_the_delay() {
     let mut state = SourceSelector::default();
--- a/crates/rudder-engine/src/duty/tests/registry.rs
+++ b/crates/rudder-engine/src/duty/tests/registry.rs
@@ -1,19 +1,19 @@
-//! The list of instances.
+//! Registration in the list of instances.
 
 use super::fixture::{RecordStore, WriteOutcome, engine, first_record};
 use crate::duty::registry::{RegistrationCheck, ensure_registered};
 use crate::identity::DrainPhase;
 use std::sync::Arc;
 
-/// A store whose list of instances is empty, and which counts writes.
+/// Returns a store whose list of instances is empty, and which rejects and counts writes.
 fn store() -> Arc<RecordStore> {
     RecordStore::new(&first_record(), &[WriteOutcome::Refused])
 }
 
 #[tokio::test]
 async fn stopping_instance_does_not_register_again() {
-    // An instance is told to stop and leaves the list. Its next look at the list does not find it
-    // there; if it wrote itself in again, it would end a moment later and stay listed.
+    // A stopping instance removes its entry, and its next read of the list lacks it. If it
+    // registered again, it would stop a moment later and its entry would stay.
     let store = store();
     let engine = engine(&store, None);
     engine.set_drain_phase(DrainPhase::Leaving);
@@ -26,8 +26,8 @@
 
 #[tokio::test]
 async fn removed_instance_registers_again() {
-    // An instance was cut off for minutes and taken out of the list. It may not lead before it is
-    // listed again, so it must see to that by itself.
+    // An instance that was partitioned for minutes is removed from the list. It gets no lease until
+    // it is listed again, so it must register by itself.
     let store = store();
     let engine = engine(&store, None);
 
@@ -37,7 +37,7 @@
     assert_eq!(store.write_count(), 1);
 }
 
-/// Guards against a removal by an earlier process that takes the present one out of the list.
+/// Otherwise a delayed removal by the earlier process could remove the entry of the current one.
 #[tokio::test]
 async fn a_process_that_starts_again_writes_its_entry_anew() {
     let store = RecordStore::new(&first_record(), &[WriteOutcome::Done]);
--- a/crates/rudder-engine/src/duty/tests/schedule.rs
+++ b/crates/rudder-engine/src/duty/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Whom a heartbeat goes to.
+//! Receivers of heartbeats.
 
 use crate::duty::schedule::HeartbeatSchedule;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 
 #[test]
 fn new_receiver_gets_a_heartbeat_at_once() {
-    // After a loss of power all instances read the store, and their callers are refused for want of
-    // a confirmed primary. Each sent its first heartbeat before it had read who its neighbours are,
-    // and the next one only a second later, so nobody knew who reads for the others.
+    // After a loss of power each instance sends its first heartbeat before it knows the others. If
+    // the next one follows a second later, all instances read the store meanwhile, and callers are
+    // rejected because no primary is confirmed.
     let start = Instant::now();
     let mut schedule = HeartbeatSchedule::default();
     schedule.due(peers(&[]), true, GAP, start);
--- a/crates/rudder-engine/src/duty/tests/settings.rs
+++ b/crates/rudder-engine/src/duty/tests/settings.rs
@@ -1,12 +1,13 @@
-//! Settings that arrive from several sides.
+//! Settings that arrive from several sources concurrently.
 
 use super::fixture::{RecordStore, WriteOutcome, engine, first_record};
 use crate::settings::{FleetSettings, SettingsVersion};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads that apply settings, and versions that each applies.
+/// Number of threads that apply settings.
 const THREADS: u64 = 4;
+/// Number of versions that each thread applies.
 const VERSIONS: u64 = 2000;
 
 fn settings(version: u64) -> FleetSettings {
@@ -16,8 +17,9 @@
 
 #[test]
 fn the_greatest_version_stays_whoever_brings_it() {
-    // A route that was dropped is served again. The store's word and a peer's copy arrive on two
-    // threads, each looks which version is in force, and the older one is put in last.
+    // The version of the store and a copy of a peer arrive on two threads. If each compares
+    // versions before either applies its own, the older one can be applied last, and a removed
+    // route is served again.
     let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
 
     std::thread::scope(|scope| {
--- a/crates/rudder-engine/src/duty/watch.rs
+++ b/crates/rudder-engine/src/duty/watch.rs
@@ -1,7 +1,6 @@
-//! Watches the primaries: a cheap question where no traffic tells of them.
+//! Watches the primaries: sends a cheap request where no traffic provides a recent sample.
 //!
-//! Only the instances that read the store for all do so, since each watch takes one of a primary's
-//! few connections.
+//! Only readers do so, since each watch occupies one of a primary's few connections.
 
 use crate::border::{LinkError, MemberLink};
 use crate::clock::boot_time;
@@ -12,20 +11,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The age of the newest sample from which on the primary is asked. A bounded read needs one
-/// within its bound (a second and more), and a lost primary is to be noticed within half a second.
+/// Interval between samples of a primary. A read with a staleness bound needs a sample within its
+/// bound (a second or more), and a lost primary must be detected within half a second.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The most time for an answer: the longest round trip between regions, and a resent packet.
+/// Timeout of one request: the longest round trip between regions, and one retransmission.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The pause after a failure.
+/// Delay before a failed request is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// The pause between two looks for new services.
+/// Interval between checks for new services.
 const SERVICE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Keeps one watch a service.
+/// Runs one watch for each service.
 pub(crate) async fn supervise(engine: Arc<ProxyEngine>) {
     let mut monitored: Vec<ServiceName> = Vec::new();
     loop {
@@ -35,13 +34,13 @@
                 tokio::spawn(monitor_primary(Arc::clone(&engine), group));
             }
         }
-        // A caller of a service that is new here does not wait for the next look.
+        // A request for positions ends the wait, so that a caller of a new service is not delayed.
         engine.wait_position_request(SERVICE_POLL_INTERVAL).await;
     }
 }
 
-/// The connection of a watch. It is not one of the pool's, so that callers who hold all of those
-/// do not look like a lost primary.
+/// Connection of a watch. It is not taken from the pool, so that a pool whose connections are all
+/// in use does not look like a lost primary.
 struct WatchLink {
     member: MemberName,
     link: Box<dyn MemberLink>,
@@ -114,7 +113,7 @@
             *link = Some(WatchLink { member: member.name().clone(), link: dialed });
         }
         let Some(open) = link.as_mut() else { return Ok(None) };
-        // Answered with the position at once, however busy the member is.
+        // A member replies to a reset with its position at once, however busy it is.
         open.link.send(&[MemberCommand::Reset]).await?;
         Ok(open.link.receive().await?.position)
     };
