--- a/crates/rudder-engine/src/border.rs
+++ b/crates/rudder-engine/src/border.rs
@@ -1,4 +1,4 @@
-//! The borders of the engine: member connections, and the call that promotes a member.
+//! Interfaces to the systems around the engine: member connections and the promotion call.
 
 use crate::statement::{MemberCommand, StatementError, StatementReply};
 use async_trait::async_trait;
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 
 plain_data! {
-    /// Where a member listens, and who is expected there.
+    /// Address of a member and the identity that is expected there.
     #[derive(Serialize, Deserialize)]
     pub struct MemberTarget {
-        /// The service.
+        /// Service of the member.
         pub service: ServiceName,
-        /// The member; the connection is refused by any other.
+        /// Name of the member; any other member refuses the connection.
         pub member: MemberName,
-        /// The address.
+        /// Network address of the member.
         pub address: SocketAddr,
     }
 }
 
-/// Why a connection to a member cannot be used.
+/// Reason why a connection to a member cannot be used.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum LinkError {
@@ -38,32 +38,32 @@
 
 impl std::error::Error for LinkError {}
 
-/// One connection to a member. Answers come in the order of the commands.
+/// One connection to a member. Replies arrive in the order of the commands.
 #[async_trait]
 pub trait MemberLink: Send {
-    /// Writes commands in one go.
+    /// Sends several commands as one batch.
     async fn send(&mut self, commands: &[MemberCommand]) -> Result<(), LinkError>;
 
-    /// Reads the next answer.
+    /// Receives the next reply.
     async fn receive(&mut self) -> Result<StatementReply, LinkError>;
 }
 
 /// Opens connections to members.
 #[async_trait]
 pub trait MemberDialer: Send + Sync {
-    /// Opens a connection in the name of a client account, or of this instance, and waits until the
-    /// member has accepted it.
+    /// Opens a connection for a client account, or for this instance if there is none, and waits
+    /// until the member has accepted it.
     async fn dial(
         &self,
         target: &MemberTarget,
         account: Option<&AccountName>,
     ) -> Result<Box<dyn MemberLink>, LinkError>;
 
-    /// What a member said of itself in its answer to [`MemberCommand::Status`].
+    /// Returns the status in a member's reply to [`MemberCommand::Status`]; none if it is invalid.
     fn read_status(&self, reply: &StatementReply) -> Option<MemberStatus>;
 }
 
-/// Why a promotion is not known to have been accepted.
+/// Reason why a promotion is not known to have been accepted.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum PromotionError {
@@ -78,15 +78,15 @@
 impl std::error::Error for PromotionError {}
 
 plain_data! {
-    /// An order to promote a member.
+    /// Order to promote a member.
     pub struct PromotionOrder {
-        /// The service.
+        /// Service whose primary is replaced.
         pub service: ServiceName,
-        /// The member that is to lead.
+        /// Member to promote.
         pub member: MemberName,
-        /// The instance that gives the order.
+        /// Instance that sends the order.
         pub holder: String,
-        /// The fencing token: greater for each later holder.
+        /// Fencing token, which is greater for each later holder.
         pub token: u64,
     }
 }
@@ -94,6 +94,6 @@
 /// Promotes members.
 #[async_trait]
 pub trait PromotionCall: Send + Sync {
-    /// Gives the order; the same order may be given again.
+    /// Sends the order. Repeating the same order is allowed.
     async fn promote(&self, order: &PromotionOrder) -> Result<(), PromotionError>;
 }
--- a/crates/rudder-engine/src/clock.rs
+++ b/crates/rudder-engine/src/clock.rs
@@ -1,11 +1,9 @@
-//! The clock of leases.
+//! Clock by which leases expire.
 
 use std::time::Duration;
 
-/// Time since the machine started, suspension included.
-///
-/// Leases run by it: a machine that was suspended must not wake up and believe
-/// that its lease is still good, as it would by a clock that stood still meanwhile.
+/// Returns the time since the machine started, including time spent suspended. A clock that stops
+/// during suspension would make an expired lease look valid after the machine resumes.
 pub(crate) fn boot_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/rudder-engine/src/engine.rs
+++ b/crates/rudder-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! What all parts of one instance share.
+//! State that all parts of one instance share.
 
 mod fleet;
 mod leadership;
@@ -23,22 +23,24 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How long a new caller waits for the first settings of an instance that just started. Callers
-/// give up after two seconds.
+/// Maximum time a new caller waits for the first settings of an instance that has just started.
+/// Must stay below two seconds, after which callers give up.
 const FIRST_SETTINGS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What is taken off the time for which a leaving member may be sent work: an instance learns up to
-/// 1.2 s later that it leaves, and a statement is some hundred ms under way.
+/// Margin subtracted from the time for which a leaving member may be sent statements: an instance
+/// learns of the shutdown up to 1.2 s late, and a statement can be in flight for several hundred
+/// milliseconds.
 const LEAVING_USE_MARGIN: Duration = Duration::from_millis(2000);
 
-/// Idle time of transactions before the settings say it.
+/// Idle timeout of transactions until settings are in force.
 const DEFAULT_TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 plain_data! {
-    /// What a caller may use.
+    /// Route and client account that a caller may use.
     pub(crate) struct RouteAccess {
         pub(crate) route: Arc<RouteRule>,
-        /// The client account of the caller's key; none on public routes and where there are none.
+        /// Client account of the caller's key; none on public routes and if the settings define no
+        /// accounts.
         pub(crate) account: Option<AccountName>,
     }
 }
@@ -46,7 +48,8 @@
 /// One instance of the proxy.
 pub struct ProxyEngine {
     identity: InstanceIdentity,
-    /// Drawn at the start; tells this process from the instance's earlier and later ones.
+    /// Random identifier that distinguishes this process from earlier and later processes of the
+    /// same instance.
     process: u64,
     borders: EngineBorders,
     settings: watch::Sender<Option<Arc<FleetSettings>>>,
@@ -57,18 +60,18 @@
     drain: watch::Sender<DrainPhase>,
     wait_position_request: Notify,
     own_entry: Mutex<OwnEntry>,
-    /// The version of the own entry as it was written or found.
+    /// Store version of this instance's entry as last written or found.
     entry_version: Mutex<Option<ObjectVersion>>,
-    /// Tells that this instance has entered the list.
+    /// Notified when this instance's entry is in the list of instances.
     wait_registered: Notify,
     /// Whether a peer's copy is being fetched.
     copy_fetch_running: AtomicBool,
     records_status: Mutex<RecordsStatus>,
     limits: AccountLimits,
-    /// Datagrams to other instances, once this one has started.
+    /// Datagram exchange with other instances; set at the start.
     exchange: OnceLock<PeerExchange>,
     pending_copy: PendingCopy,
-    /// Tells that callers wait for word of the primaries.
+    /// Notified when callers wait for current records of the primaries.
     wait_records_request: Notify,
 }
 
@@ -104,13 +107,13 @@
         self.process
     }
 
-    /// Whether this instance asks the store for all, and so often.
+    /// Returns whether this instance polls the store on behalf of the whole fleet.
     #[must_use]
     pub fn is_first_reader(&self) -> bool {
         self.membership.is_first_reader()
     }
 
-    /// The name of this instance.
+    /// Returns the name of this instance.
     #[must_use]
     pub fn identity_name(&self) -> &InstanceName {
         &self.identity.name
@@ -120,7 +123,7 @@
         &self.borders
     }
 
-    /// Lets datagrams be sent to other instances.
+    /// Sets the exchange through which datagrams are sent to other instances.
     pub(crate) fn set_exchange(&self, exchange: PeerExchange) {
         if self.exchange.set(exchange).is_err() {
             log::error!("the exchange with peers was set twice");
@@ -135,7 +138,7 @@
         &self.pending_copy
     }
 
-    /// The limits of client accounts.
+    /// Returns the limits of client accounts.
     pub(crate) fn limits(&self) -> &AccountLimits {
         &self.limits
     }
@@ -144,20 +147,21 @@
         &self.membership
     }
 
-    /// Whether this instance knows enough to serve.
+    /// Returns whether this instance can serve callers: it has settings and members and is not
+    /// shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let led = self.groups().iter().any(|group| !group.members().is_empty());
         self.settings.borrow().is_some() && led && self.drain_phase() == DrainPhase::Serving
     }
 
-    /// Whether this instance goes on serving.
+    /// Returns the phase of this instance's shutdown.
     #[must_use]
     pub fn drain_phase(&self) -> DrainPhase {
         *self.drain.borrow()
     }
 
-    /// Tells when that changes.
+    /// Returns a receiver for changes of the shutdown phase.
     #[must_use]
     pub fn watch_drain(&self) -> watch::Receiver<DrainPhase> {
         self.drain.subscribe()
@@ -167,7 +171,7 @@
         self.drain.send_replace(phase);
     }
 
-    /// The version in force.
+    /// Returns the version of the settings in force.
     #[must_use]
     pub fn settings_version(&self) -> Option<SettingsVersion> {
         self.settings.borrow().as_ref().map(|settings| settings.version)
@@ -177,7 +181,7 @@
         self.settings.borrow().clone()
     }
 
-    /// What the settings in force allow to the holder of a key.
+    /// Returns the route and account that the settings in force grant to the holder of a key.
     pub(crate) fn access(
         &self,
         database: &DatabaseName,
@@ -197,8 +201,8 @@
         Ok(RouteAccess { route: Arc::clone(route), account })
     }
 
-    /// Refuses callers with keys where the deployment wants it so while keys may have been taken away
-    /// unheard.
+    /// Rejects callers with keys if the settings have been unconfirmed for longer than the
+    /// deployment allows, as a key may have been revoked meanwhile.
     fn check_key_trust(&self) -> Result<(), StatementError> {
         let Some(trust) = self.identity.key_trust else { return Ok(()) };
         let settings_at = lock(&self.store_snapshot).settings_at();
@@ -213,21 +217,19 @@
             .map_or(DEFAULT_TRANSACTION_IDLE_TIMEOUT, |settings| settings.transaction_idle)
     }
 
-    /// The primary of a group, if it may be sent work, and the permission to answer for it.
-    ///
-    /// Guards against a leaving primary that is sent work until it ends: while too few instances
-    /// hear each other to change it, nothing else takes it out of use, and statements under way as
-    /// it ends are lost.
+    /// Returns the primary of a group and the lease on it, unless it has been leaving for too long.
+    /// Without a quorum that could replace a leaving primary, nothing else takes it out of use, and
+    /// statements in flight are lost when it stops.
     pub(crate) fn leader(&self, group: &ServiceGroup) -> Option<(Arc<GroupMember>, LeaderLease)> {
         group.leader().filter(|(member, _)| !member.has_left(self.leaving_use_limit()))
     }
 
-    /// How long a member that says it is leaving is sent work.
+    /// Returns the time for which a member that announced its shutdown is sent statements.
     pub(crate) fn leaving_use_limit(&self) -> Duration {
         self.identity.member_drain.saturating_sub(LEAVING_USE_MARGIN)
     }
 
-    /// The group of a service; made if it is new.
+    /// Returns the group of a service, creating it if needed.
     pub(crate) fn group(&self, service: &ServiceName) -> Arc<ServiceGroup> {
         let mut groups = lock(&self.groups);
         match groups.binary_search_by(|group| group.service().cmp(service)) {
@@ -244,26 +246,26 @@
         lock(&self.groups).clone()
     }
 
-    /// Asks the watches of the primaries for positions now.
+    /// Requests a sample of each primary's log position now.
     pub(crate) fn want_position(&self) {
         self.wait_position_request.notify_waiters();
     }
 
-    /// Waits until a position is wanted, at most until `limit` is over.
+    /// Waits until a position sample is requested, for at most `limit`.
     pub(crate) async fn wait_position_request(&self, limit: Duration) {
         let wanted = self.wait_position_request.notified();
-        // Over means that nobody asked; the caller looks again in either case.
+        // A timeout means that there was no request; the caller polls again in either case.
         let _ = tokio::time::timeout(limit, wanted).await;
     }
 
-    /// Opens a caller's session.
+    /// Opens a session for a caller.
     ///
     /// # Errors
     ///
-    /// [`StatementError::NoDatabase`] if the settings know no such database,
+    /// [`StatementError::NoDatabase`] if the settings define no such database,
     /// [`StatementError::Unauthorized`] if no client account has the key,
-    /// [`StatementError::Busy`] if there are no settings yet, or if keys are not to be trusted for lack
-    /// of a sign that the settings are current.
+    /// [`StatementError::Busy`] if there are no settings yet, or if the settings have been
+    /// unconfirmed for so long that keys are no longer trusted.
     pub async fn open_session(
         self: &Arc<Self>,
         database: DatabaseName,
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -1,4 +1,5 @@
-//! What the store and peers say of settings and members, and how old their word is.
+//! Settings, members and the list of instances as received from the store and from peers, and
+//! their age.
 
 use super::ProxyEngine;
 use crate::clock::boot_time;
@@ -11,24 +12,25 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The age of what peers say of settings and members from which on a reader asks the store itself.
-/// The first reader's watch is answered every 1.2 s, and its word passed on every 0.5 s; settings
-/// must be in force within 3 s, also where the first reader has just died.
+/// Age of the latest confirmation of settings and members from peers above which a reader polls the
+/// store itself. The first reader's watch of the store returns every 1.2 s and its result is passed
+/// on every 0.5 s; settings must be in force within 3 s, even right after the first reader failed.
 const READER_CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(2200);
 
-/// The same for the other instances, by when their reader has asked the store.
+/// Age above which other instances poll the store themselves. By then their domain's reader has
+/// polled the store.
 const FOLLOWER_CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(2700);
 
-/// The same while their reader answers: then it asks the store, and an outage of the store is not
-/// filled with the calls of a whole fleet.
+/// Age above which other instances poll the store although their reader responds. The reader polls
+/// the store in that case, so a store outage does not attract calls from the whole fleet.
 const FOLLOWER_FALLBACK_MAX_AGE: Duration = Duration::from_millis(5000);
 
 impl ProxyEngine {
-    /// Takes in a version of the settings; an older one than is in force is dropped.
+    /// Applies a version of the settings unless the version in force is at least as new.
     pub fn apply_settings(&self, settings: FleetSettings) {
-        // Guards against settings that go back where the store's word and a peer's copy come on two
-        // threads: after a look at the version in force the other one may put a newer one in, so
-        // look and change are one step.
+        // The comparison and the update are one atomic step: the store's version and a peer's copy
+        // arrive on two threads, and otherwise an older version could replace a newer one that was
+        // applied after the comparison.
         self.settings.send_if_modified(|known| {
             if known.as_ref().is_some_and(|known| settings.version <= known.version) {
                 return false;
@@ -48,7 +50,7 @@
         });
     }
 
-    /// Takes in the members of all services, as the store has them at `revision`.
+    /// Applies the members of all services, as the store had them at `revision`.
     pub fn apply_members(&self, entries: &[MemberEntry], revision: u64) {
         self.confirm_members();
         let changed = lock(&self.store_snapshot).take_members(entries, revision);
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Takes in members that the store may have had so some seconds ago, if none are known yet. Any
-    /// list that a peer has from the store is newer, whatever revision this one claims.
+    /// Applies a list of members that may be some seconds old, if none is known yet. It gets
+    /// revision 0, so that any list that a peer received from the store replaces it.
     pub fn apply_cached_members(&self, entries: &[MemberEntry]) {
         let mut snapshot = lock(&self.store_snapshot);
         let changed = snapshot.is_blank() && snapshot.take_members(entries, 0);
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Takes in what a peer knows, as far as it is newer, by its answer to a request of `requested_at`.
+    /// Applies the newer parts of a peer's copy, received in response to a request that was sent at
+    /// `requested_at`.
     pub(crate) fn apply_copy(&self, copy: FleetCopy, requested_at: Duration) {
         if let Some(settings) = copy.settings {
             self.apply_settings(settings);
@@ -97,7 +100,7 @@
         }
     }
 
-    /// What this instance knows of the store's word beyond a peer's request.
+    /// Returns the settings, members and entries that are newer than those a peer's request names.
     pub(crate) fn fleet_copy(&self, request: CopyRequest, received_at: Duration) -> FleetCopy {
         let settings = self.settings().filter(|known| known.version > request.version.settings);
         let members = {
@@ -114,14 +117,14 @@
         FleetCopy { settings: settings.map(|settings| settings.as_ref().clone()), members, entries }
     }
 
-    /// What this instance knows already.
+    /// Returns a request for a peer's copy that names the versions known here.
     pub(crate) fn copy_request(&self) -> CopyRequest {
         let (entries, _) = self.membership.entries_version();
         let members = lock(&self.store_snapshot).members_digest();
         CopyRequest { version: self.copy_version(), members, entries }
     }
 
-    /// Whether this caller is the one to fetch a peer's copy.
+    /// Marks the fetch of a peer's copy as running. Returns false if one is running already.
     pub(crate) fn try_start_copy_fetch(&self) -> bool {
         !self.copy_fetch_running.swap(true, Ordering::AcqRel)
     }
@@ -130,7 +133,7 @@
         self.copy_fetch_running.store(false, Ordering::Release);
     }
 
-    /// The versions of settings and members that are known.
+    /// Returns the known versions of settings and members.
     pub(crate) fn copy_version(&self) -> CopyVersion {
         let settings = self.settings_version().unwrap_or_default();
         CopyVersion { settings, members: lock(&self.store_snapshot).members().1 }
@@ -152,28 +155,28 @@
         }
     }
 
-    /// Takes in that the list of members is current.
+    /// Records that the list of members is current.
     pub fn confirm_members(&self) {
         lock(&self.store_snapshot).confirm_members(boot_time());
     }
 
-    /// Takes in that the settings in force are current.
+    /// Records that the settings in force are current.
     pub fn confirm_settings(&self) {
         lock(&self.store_snapshot).confirm_settings(boot_time());
     }
 
-    /// When the list of members was last known to be current.
+    /// Returns the time at which the list of members was last known to be current.
     pub(crate) fn members_confirmed_at(&self) -> Option<Duration> {
         lock(&self.store_snapshot).members_at()
     }
 
-    /// When the store last said that members and settings are current.
-    pub(crate) fn store_confirmed_at(&self) -> Option<Duration> {
+    /// Returns the time at which members and settings were both last known to be current.
+    pub(crate) fn copy_confirmed_at(&self) -> Option<Duration> {
         lock(&self.store_snapshot).confirmed_at()
     }
 
-    /// Takes in a peer's word that settings and members were current at `moment`, in its versions;
-    /// none if it does not know.
+    /// Records a peer's report that settings and members of `version` were current at `moment`;
+    /// `moment` is none if the peer does not know a time.
     pub(crate) fn record_peer_confirmation(&self, version: CopyVersion, moment: Option<Duration>) {
         let current = !self.copy_version().lacks(version);
         let mut snapshot = lock(&self.store_snapshot);
@@ -183,7 +186,8 @@
         }
     }
 
-    /// Whether peers tell this instance in time of what the store says, so that it need not ask.
+    /// Returns whether peers confirm settings and members often enough that this instance need not
+    /// poll the store.
     #[must_use]
     pub fn is_fed(&self) -> bool {
         let (max_age, longer_max_age) = match self.membership.is_reader() {
--- a/crates/rudder-engine/src/engine/leadership.rs
+++ b/crates/rudder-engine/src/engine/leadership.rs
@@ -1,4 +1,5 @@
-//! What the store and peers say of the own entry and of the records, and whether leases follow.
+//! Registration of this instance and records of the primaries, and the conditions under which they
+//! grant leases.
 
 use super::ProxyEngine;
 use crate::clock::boot_time;
@@ -13,7 +14,8 @@
 use std::time::Duration;
 
 impl ProxyEngine {
-    /// Takes in that the list showed this instance at `listed_at`, or did not.
+    /// Records that the list of instances contained this instance at `listed_at`; none if the list
+    /// lacked it.
     pub(crate) fn set_listed(&self, listed_at: Option<Duration>) {
         let entered = match listed_at {
             Some(listed_at) => lock(&self.own_entry).show(listed_at, boot_time()),
@@ -27,51 +29,52 @@
         }
     }
 
-    /// Takes in the version of the own entry.
+    /// Records the store version of this instance's entry.
     pub(crate) fn record_entry_version(&self, version: ObjectVersion) {
         *lock(&self.entry_version) = Some(version);
     }
 
-    /// The version of the own entry, as far as this process wrote or found it.
+    /// Returns the store version of this instance's entry, if this process wrote or found one.
     pub(crate) fn entry_version(&self) -> Option<ObjectVersion> {
         lock(&self.entry_version).clone()
     }
 
-    /// Takes in that this process removes its entry and ends.
+    /// Records that this process removes its entry and then stops.
     pub(crate) fn begin_deregistration(&self) {
         lock(&self.own_entry).leave();
     }
 
-    /// Takes in a peer's word that the list showed this instance at `listed_at`. It renews what the
-    /// store itself has said before, and does not stand in for it.
+    /// Records a peer's report that the list contained this instance at `listed_at`. It only renews
+    /// a registration that this process has seen in the store itself.
     pub(crate) fn renew_registration(&self, listed_at: Duration) {
         lock(&self.own_entry).renew(listed_at);
     }
 
-    /// Whether the list was last known to show this instance longer than `time` ago, or not at all.
+    /// Returns whether the list was last known to contain this instance longer than `time` ago, or
+    /// never.
     pub(crate) fn is_unregistered_for(&self, time: Duration) -> bool {
         lock(&self.own_entry).is_unconfirmed_for(time, boot_time())
     }
 
-    /// Waits until this instance has entered the list.
+    /// Waits until this instance's entry is in the list of instances.
     pub(crate) async fn wait_registered(&self) {
         self.wait_registered.notified().await;
     }
 
-    /// Takes in which services have a record, by this process's own question of `requested_at`.
+    /// Records which services have a record, as read by this process at `requested_at`.
     pub(crate) fn note_records_read(&self, recorded: &[ServiceName], requested_at: Duration) {
         let services = self.groups().into_iter().map(|group| group.service().clone());
         let without = services.filter(|service| !recorded.contains(service)).collect();
         lock(&self.records_status).record_own_read(without, requested_at);
     }
 
-    /// Takes in a peer's word that the store was asked for all records at `read_at`; returns whether
-    /// that is later than was known.
+    /// Records a peer's report that all records were read from the store at `read_at`. Returns
+    /// whether that is later than the latest known read.
     pub(crate) fn record_peer_records_read(&self, read_at: Duration) -> bool {
         lock(&self.records_status).record_peer_read(read_at)
     }
 
-    /// All records that are known, sorted by service.
+    /// Returns all known records, sorted by service.
     pub(crate) fn known_records(&self) -> Vec<RecordCopy> {
         let copy = |group: Arc<ServiceGroup>| {
             let record = group.with_leases(|leases| leases.record().cloned())?;
@@ -80,37 +83,38 @@
         self.groups().into_iter().filter_map(copy).collect()
     }
 
-    /// What is known of the records as a whole.
+    /// Returns the times at which all records were last read.
     pub(crate) fn records_status(&self) -> RecordsStatus {
         lock(&self.records_status).clone()
     }
 
-    /// Whether this process has read the records from the store itself.
+    /// Returns whether this process has read the records from the store itself.
     pub(crate) fn has_read_records(&self) -> bool {
         lock(&self.records_status).own_read_at().is_some()
     }
 
-    /// Asks for word of the primaries now.
+    /// Requests current records of the primaries now.
     pub(crate) fn want_records(&self) {
         self.wait_records_request.notify_one();
     }
 
-    /// Waits until word of the primaries is wanted.
+    /// Waits until current records of the primaries are requested.
     pub(crate) async fn wait_records_request(&self) {
         self.wait_records_request.notified().await;
     }
 
-    /// Whether what the store or a peer said at `said_at` may give this process leases.
+    /// Returns whether a record that the store or a peer confirmed at `confirmed_at` may grant this
+    /// process leases.
     ///
-    /// Guards against a lease that no change of primary waits for. An instance that the store does
-    /// not list yet, or may list no more, is not asked to stop. And one that stopped, was killed
-    /// and started again does not know that it stopped: a peer that is behind may tell it of the
-    /// version before, so it needs the store's own word first.
-    fn may_lead_by(&self, said_at: Duration) -> bool {
-        lock(&self.own_entry).may_lead_by(said_at, boot_time()) && self.has_read_records()
+    /// A change of primary must wait for every lease, but it does not ask an instance to stop whose
+    /// entry is not in the list. A restarted process no longer knows that it had stopped, and a
+    /// peer that lags may send it the previous version of the record, so it must have read the
+    /// store itself first.
+    fn may_lead_by(&self, confirmed_at: Duration) -> bool {
+        lock(&self.own_entry).may_lead_by(confirmed_at, boot_time()) && self.has_read_records()
     }
 
-    /// Takes in that most instances knew of no later version at `majority_at`.
+    /// Records that a majority of instances knew of no later version of a record at `majority_at`.
     pub(crate) fn confirm_by_majority(
         &self,
         service: &ServiceName,
@@ -120,12 +124,12 @@
         self.may_lead_by(majority_at) && self.group(service).confirm_by_majority(epoch, majority_at)
     }
 
-    /// Whether the store's last list had no record of a service.
+    /// Returns whether this process's last read of the store showed no record of a service.
     pub(crate) fn lacks_record(&self, service: &ServiceName) -> bool {
         lock(&self.records_status).lacks_record(service)
     }
 
-    /// Takes in a record that was in place at `confirmed_at` or later.
+    /// Applies a record that was in place in the store at `confirmed_at` or later.
     pub(crate) fn observe(
         &self,
         service: &ServiceName,
--- a/crates/rudder-engine/src/fixtures.rs
+++ b/crates/rudder-engine/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! What tests of several modules need.
+//! Fixtures shared by the tests of several modules.
 
 use crate::border::{
     LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
@@ -16,10 +16,10 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// How long members may be sent work after they said that they leave.
+/// Time for which a leaving member still accepts statements.
 const MEMBER_DRAIN: Duration = Duration::from_secs(7);
 
-/// An instance of the failure domain `north`.
+/// Returns the identity of an instance in the failure domain `north`.
 pub(crate) fn identity(name: &str) -> InstanceIdentity {
     InstanceIdentity {
         name: name.parse().expect("a name"),
@@ -33,7 +33,7 @@
     }
 }
 
-/// A store that answers nobody.
+/// Store whose calls all fail with [`StoreError::Unavailable`].
 pub(crate) struct SilentStore;
 
 #[async_trait]
@@ -74,7 +74,7 @@
     }
 }
 
-/// A replica of the service `records` that takes work.
+/// Returns the entry of a ready replica of the service `records`.
 pub(crate) fn member_entry(name: &str) -> MemberEntry {
     MemberEntry {
         target: MemberTarget {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Reaches no member.
+/// Dialer that reaches no member.
 pub(crate) struct NobodyDialer;
 
 #[async_trait]
@@ -108,7 +108,7 @@
     }
 }
 
-/// Promotes nobody.
+/// Promotion call that rejects every order.
 pub(crate) struct NoPromotion;
 
 #[async_trait]
--- a/crates/rudder-engine/src/identity.rs
+++ b/crates/rudder-engine/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who an instance is, what surrounds it, and whether it goes on serving.
+//! Identity of an instance, its external systems and the phases of its shutdown.
 
 use crate::border::{MemberDialer, PromotionCall};
 use rudder_core::{DomainName, InstanceName, plain_data};
@@ -9,53 +9,56 @@
 use std::time::Duration;
 
 plain_data! {
-    /// Who this instance is.
+    /// Identity and deployment settings of this instance.
     pub struct InstanceIdentity {
-        /// Its name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// The region of that domain.
+        /// Region of that failure domain.
         pub region: String,
-        /// The region of each failure domain, sorted by domain.
+        /// Region of each failure domain, sorted by domain.
         pub regions: Vec<(DomainName, String)>,
-        /// Where its peers reach it, by datagram and by connection.
+        /// Address at which peers reach the instance, by datagram and by connection.
         pub peer_address: SocketAddr,
-        /// How long after a member said that it leaves it may be sent work, as the deployment says.
+        /// Time for which a member that announced its shutdown may be sent statements, as the
+        /// deployment configures it.
         pub member_drain: Duration,
-        /// How long keys may be trusted without a sign that the settings are current; none if an
-        /// instance that hears nothing goes on with what it knows.
+        /// Time for which keys are trusted without confirmation that the settings are current; none
+        /// if an instance without any confirmation continues with the settings it has.
         pub key_trust: Option<Duration>,
-        /// How far the use of a client account may be above its limit, as the deployment says.
+        /// Bounds on how far a client account may exceed its limit, as the deployment configures
+        /// them.
         pub limit_bounds: LimitBounds,
     }
 }
 
 impl InstanceIdentity {
-    /// Where it is.
+    /// Returns the failure domain and region of the instance.
     pub(crate) fn place(&self) -> NodePlace {
         NodePlace { domain: self.domain.clone(), region: self.region.clone() }
     }
 }
 
-/// The systems around this instance.
+/// External systems that this instance calls.
 #[derive(Clone)]
 pub struct EngineBorders {
     /// Opens connections to members.
     pub dialer: Arc<dyn MemberDialer>,
     /// Promotes members.
     pub promotion: Arc<dyn PromotionCall>,
-    /// Keeps the records.
+    /// Stores the records of primaries, the list of instances and the settings.
     pub store: Arc<dyn PlatformStore>,
 }
 
-/// Whether this instance goes on serving.
+/// Phase of an instance's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
-    /// It does.
+    /// The instance serves callers and is not shutting down.
     Serving,
-    /// It was told to stop; callers are asked to go elsewhere as their work ends.
+    /// The instance is shutting down; callers are asked to reconnect elsewhere as their statements
+    /// and transactions end.
     Leaving,
-    /// Open transactions are given up.
+    /// Open transactions are aborted.
     Closing,
 }
--- a/crates/rudder-engine/src/lib.rs
+++ b/crates/rudder-engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! The engine of the proxy, free of any wire format: it decides on statements.
+//! The engine of the proxy: routes statements to members, independent of any wire format.
 //!
-//! Callers' statements come in through [`CallerSession`]; members, the store and the promotion call
-//! are traits. Reads with a bound go to replicas that hold a position which follows from samples
-//! of the primary's; writes and strict reads go to the primary under a lease; the primary is
-//! changed through a record in the store.
+//! Callers submit statements through [`CallerSession`]; members, the store and the promotion call
+//! are traits. Reads with a staleness bound go to replicas that have applied a log position derived
+//! from samples of the primary's position. Writes and strict reads go to the primary under a lease.
+//! A change of primary is coordinated through a record in the store.
 
 mod border;
 mod clock;
--- a/crates/rudder-engine/src/statement.rs
+++ b/crates/rudder-engine/src/statement.rs
@@ -1,10 +1,11 @@
-//! What callers ask for and what members answer, free of any wire format.
+//! Callers' statements, commands to members and their replies, independent of any wire format.
 
 use displaydoc::Display;
 use rudder_core::{LogStamp, LogTerm, plain_data};
 use std::fmt;
 
-/// The caller's own name of one request; it is passed on unchanged and names the request in logs.
+/// Identifier that the caller gave to a request. It is forwarded unchanged and identifies the
+/// request in logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestId(pub String);
 
@@ -14,29 +15,30 @@
     }
 }
 
-/// Whether a prepared statement may change data.
+/// Effect of a prepared statement on data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StatementEffect {
-    /// It only reads.
+    /// The statement only reads.
     Read,
-    /// It may change data.
+    /// The statement may change data.
     Write,
 }
 
 plain_data! {
-    /// What a prepared statement does, apart from its name.
+    /// Content of a prepared statement, without its name.
     #[derive(PartialOrd, Ord)]
     pub struct StatementShape {
-        /// Whether it may change data.
+        /// Effect of the statement on data.
         pub effect: StatementEffect,
-        /// The statement itself, opaque to the engine.
+        /// Text of the statement, opaque to the engine.
         pub shape: String,
     }
 }
 
 impl StatementShape {
-    /// The name under which connections know this shape. It follows from the shape alone, so that
-    /// the names of different callers cannot collide on a shared connection.
+    /// Returns the name under which this statement is prepared on member connections. It depends on
+    /// the statement alone, so the names of different callers cannot collide on a shared
+    /// connection.
     pub(crate) fn alias(&self) -> String {
         match self.effect {
             StatementEffect::Read => format!("r_{}", self.shape),
@@ -46,12 +48,12 @@
 }
 
 plain_data! {
-    /// A named value of a session.
+    /// Named value of a session.
     #[derive(PartialOrd, Ord)]
     pub struct SessionValue {
-        /// The value's name.
+        /// Name of the value.
         pub name: String,
-        /// The value.
+        /// Content of the value.
         pub value: String,
     }
 }
@@ -61,105 +63,105 @@
 pub enum CallerStatement {
     /// Begins a transaction.
     Begin {
-        /// Whether the caller promises only to read.
+        /// Whether the caller declared that the transaction only reads.
         read_only: bool,
     },
-    /// Ends a transaction and keeps its changes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops its changes.
+    /// Rolls back a transaction.
     Rollback,
-    /// Reads; the text is passed on unchanged.
+    /// Reads data; the text is forwarded unchanged.
     Read(String),
-    /// Writes; the text is passed on unchanged.
+    /// Writes data; the text is forwarded unchanged.
     Write(String),
     /// Sets a value of the session.
     SetValue(SessionValue),
-    /// Gives a name to a statement.
+    /// Prepares a statement under a name.
     Prepare {
-        /// The name, valid for this session.
+        /// Name of the statement within this session.
         name: String,
-        /// What the name stands for.
+        /// Content of the statement.
         shape: StatementShape,
     },
-    /// Runs a named statement.
+    /// Runs a prepared statement.
     Execute {
-        /// The name.
+        /// Name of the statement.
         name: String,
-        /// What follows the name, unchanged.
+        /// Text after the name, unchanged.
         arguments: String,
     },
-    /// Forgets a name.
+    /// Removes a prepared statement from the session.
     Deallocate(String),
-    /// Not a statement that the protocol knows.
+    /// Statement that the protocol does not define.
     Malformed,
 }
 
-/// What a member is asked to run for a caller.
+/// Part of a statement command that a member runs for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementBody {
-    /// A text, unchanged.
+    /// Text of a statement, unchanged.
     Text(String),
-    /// A statement that was prepared on this connection.
+    /// Statement that was prepared on this connection.
     Execute {
-        /// The name that this connection knows.
+        /// Name of the statement on this connection.
         alias: String,
-        /// What follows the name, unchanged.
+        /// Text after the name, unchanged.
         arguments: String,
     },
-    /// The end of the transaction.
+    /// Commit of the open transaction.
     Commit,
 }
 
-/// One command to a member.
+/// Command to a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberCommand {
-    /// Clears values and prepared names.
+    /// Clears session values and prepared statements.
     Reset,
-    /// Sets a value.
+    /// Sets a session value.
     SetValue(SessionValue),
-    /// Prepares a shape under its alias.
+    /// Prepares a statement under its alias.
     Prepare {
-        /// The name on this connection.
+        /// Name of the statement on this connection.
         alias: String,
-        /// The shape.
+        /// Content of the statement.
         shape: StatementShape,
     },
     /// Begins a transaction.
     Begin {
-        /// Whether a replica may serve it.
+        /// Whether the transaction only reads, so that a replica may serve it.
         read_only: bool,
-        /// What the member's log must hold.
+        /// Log position that the member must have applied.
         floor: Option<LogStamp>,
     },
-    /// Drops the transaction.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Asks for role, term and log positions.
+    /// Requests the member's role, term and log positions.
     Status,
-    /// Makes a primary of a lower term a replica.
+    /// Demotes a primary of a lower term to a replica.
     StepDown(LogTerm),
-    /// A caller's statement.
+    /// Runs a caller's statement.
     Statement {
-        /// The caller's id of the request.
+        /// Request id of the caller.
         id: RequestId,
-        /// What the member's log must hold; only for reads outside of transactions.
+        /// Log position that the member must have applied; only for reads outside of transactions.
         floor: Option<LogStamp>,
-        /// What to run.
+        /// Statement to run.
         body: StatementBody,
     },
 }
 
-/// The state of a connection between statements.
+/// Transaction state of a connection between statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionState {
-    /// Outside of transactions.
+    /// No transaction is open.
     Idle,
-    /// In a transaction.
+    /// A transaction is open.
     Open,
-    /// In a transaction that failed.
+    /// A transaction has failed and is not rolled back yet.
     Failed,
 }
 
-/// Why a statement was not served. The texts are the sentences that callers see.
+/// Reason why a statement was not served. Callers receive the texts below.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum StatementError {
     /// too much work is waiting
@@ -195,7 +197,7 @@
 }
 
 impl StatementError {
-    /// The fixed word in logs and metrics.
+    /// Returns the fixed code of the error in logs and metrics.
     pub(crate) fn word(&self) -> &'static str {
         match self {
             Self::Busy => "busy",
@@ -216,54 +218,55 @@
         }
     }
 
-    /// Whether the member says with this error that it ran nothing.
+    /// Returns whether the error proves that the member did not run the statement.
     pub(crate) fn ran_nothing(&self) -> bool {
         matches!(self, Self::Busy | Self::Lagging | Self::ReadOnly | Self::UnknownName)
     }
 }
 
-/// How a statement ended.
+/// Outcome of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementOutcome {
-    /// It was served; the text is the member's proof of it, empty if no member was asked.
+    /// The statement was served. The text is the member's completion text, empty if no member took
+    /// part.
     Done(String),
-    /// It was not served.
+    /// The statement was not served.
     Error {
-        /// The kind of error.
+        /// Kind of error.
         error: StatementError,
-        /// What else is to be said, in one line.
+        /// Details of the error, in one line.
         text: String,
     },
 }
 
 plain_data! {
-    /// An answer to one statement or command.
+    /// Reply to one statement or command.
     pub struct StatementReply {
-        /// The rows, unchanged.
+        /// Rows of the result, unchanged.
         pub rows: Vec<String>,
-        /// How it ended.
+        /// Outcome of the statement.
         pub outcome: StatementOutcome,
-        /// The state after it.
+        /// Transaction state after the statement.
         pub state: TransactionState,
-        /// How far the member's log is applied; none if no member was asked.
+        /// Log position that the member has applied; none if no member took part.
         pub position: Option<LogStamp>,
     }
 }
 
 impl StatementReply {
-    /// An answer that needed no member.
+    /// Returns a successful reply that no member took part in.
     pub(crate) fn local(state: TransactionState) -> Self {
         let outcome = StatementOutcome::Done(String::new());
         Self { rows: Vec::new(), outcome, state, position: None }
     }
 
-    /// A refusal of this instance's own.
+    /// Returns an error reply made by this instance itself.
     pub(crate) fn refusal(error: StatementError, text: &str, state: TransactionState) -> Self {
         let outcome = StatementOutcome::Error { error, text: text.to_owned() };
         Self { rows: Vec::new(), outcome, state, position: None }
     }
 
-    /// The error, if it is one.
+    /// Returns the error of a reply that reports one.
     pub(crate) fn error(&self) -> Option<&StatementError> {
         match &self.outcome {
             StatementOutcome::Done(_) => None,
