--- a/crates/rudder-core/src/ack.rs
+++ b/crates/rudder-core/src/ack.rs
@@ -52,8 +52,12 @@
         return AckVerdict::Superseded;
     }
     let holds = |status: &MemberStatus| status.accepted == commit.term && status.received >= commit;
-    let holders = reports.iter().filter(|(_, status)| holds(status)).count();
-    if holders >= majority_of(members) { AckVerdict::Acknowledged } else { AckVerdict::Waiting }
+    let accepting_count = reports.iter().filter(|(_, status)| holds(status)).count();
+    if accepting_count >= majority_of(members) {
+        AckVerdict::Acknowledged
+    } else {
+        AckVerdict::Waiting
+    }
 }
 
 /// The stamp that covers a commit made at `term`, from the member's own status after it; `None` if
@@ -70,12 +74,12 @@
 /// ```
 #[must_use]
 pub fn stamp_of_commit(term: LogTerm, after: &MemberStatus) -> Option<LogStamp> {
-    // Guards against a member that was superseded and led again in between: it would report a
-    // log in which the commit may have been dropped. Terms only grow, so the same term before and
-    // after means that nothing happened between.
-    let leads_still = after.role == MemberRole::Primary && after.accepted == term;
+    // A member that was superseded and promoted again after the commit may report a log from which
+    // the commit was dropped. Terms only grow, so if the term is the same before and after, no
+    // other member was promoted in between.
+    let still_primary = after.role == MemberRole::Primary && after.accepted == term;
     let at_term = after.received == LogStamp::default() || after.received.term == term;
-    (leads_still && at_term).then_some(after.received)
+    (still_primary && at_term).then_some(after.received)
 }
 
 /// Judges whether `term` is still the greatest that a majority accepted, for a read that must see
@@ -95,6 +99,10 @@
     if reports.iter().any(|(_, status)| status.accepted > term) {
         return AckVerdict::Superseded;
     }
-    let holders = reports.iter().filter(|(_, status)| status.accepted == term).count();
-    if holders >= majority_of(members) { AckVerdict::Acknowledged } else { AckVerdict::Waiting }
+    let accepting_count = reports.iter().filter(|(_, status)| status.accepted == term).count();
+    if accepting_count >= majority_of(members) {
+        AckVerdict::Acknowledged
+    } else {
+        AckVerdict::Waiting
+    }
 }
--- a/crates/rudder-core/src/freshness/ledger.rs
+++ b/crates/rudder-core/src/freshness/ledger.rs
@@ -34,13 +34,13 @@
         if self.samples[index..].iter().any(|known| known.stamp <= sample.stamp) {
             return;
         }
-        let says_less =
+        let is_redundant =
             |known: &FreshSample| known.sent_at <= sample.sent_at && known.stamp >= sample.stamp;
-        self.samples.retain(|known| !says_less(known));
+        self.samples.retain(|known| !is_redundant(known));
         let index = self.samples.partition_point(|known| known.sent_at < sample.sent_at);
         self.samples.insert(index, sample);
         if self.samples.len() > SAMPLES_MAX {
-            self.thin_out();
+            self.evict_cheapest_sample();
         }
     }
 
@@ -52,12 +52,12 @@
     /// use std::time::Duration;
     /// let mut ledger = AgeLedger::default();
     /// let second = Duration::from_secs(1);
-    /// ledger.note_peer(10 * second, second, LogStamp::new(1, 9));
+    /// ledger.record_peer_sample(10 * second, second, LogStamp::new(1, 9));
     /// assert_eq!(ledger.age_of(LogStamp::new(1, 9), 11 * second), Some(2 * second));
     /// ```
-    pub fn note_peer(&mut self, asked_at: Duration, age: Duration, stamp: LogStamp) {
-        // Guards against a slow answer that makes data look fresh: the peer's age counts from
-        // the question, so the whole round trip is added to it.
+    pub fn record_peer_sample(&mut self, asked_at: Duration, age: Duration, stamp: LogStamp) {
+        // The age counts from when the request was sent, so the whole round trip is added to it.
+        // Counted from the arrival of a slow response, the data would seem fresher than it is.
         let Some(sent_at) = asked_at.checked_sub(age) else { return };
         self.note(FreshSample { sent_at, stamp });
     }
@@ -88,9 +88,10 @@
         self.samples.last().copied()
     }
 
-    /// Drops the sample whose loss costs least, relative to its age: recent ones stay close
-    /// together, old ones stand further apart. A dropped sample only makes ages greater.
-    fn thin_out(&mut self) {
+    /// Drops the sample whose neighbours are closest together relative to their age, so that recent
+    /// samples stay dense and old ones become sparse. A dropped sample can only make computed ages
+    /// greater.
+    fn evict_cheapest_sample(&mut self) {
         let Some(newest) = self.newest() else { return };
         let cost = |window: &[FreshSample]| {
             let gap = window[2].sent_at - window[0].sent_at;
@@ -98,8 +99,8 @@
             gap.as_micros().saturating_mul(1_000_000) / age.as_micros().max(1)
         };
         let costs = self.samples.windows(3).map(cost);
-        let cheapest = costs.enumerate().min_by_key(|(_, cost)| *cost);
-        if let Some((index, _)) = cheapest {
+        let lowest_cost = costs.enumerate().min_by_key(|(_, cost)| *cost);
+        if let Some((index, _)) = lowest_cost {
             self.samples.remove(index + 1);
         }
     }
--- a/crates/rudder-core/src/freshness/sample.rs
+++ b/crates/rudder-core/src/freshness/sample.rs
@@ -42,15 +42,17 @@
 pub fn confirm_sample(members: usize, reports: &[TimedReport]) -> Option<FreshSample> {
     let term = reports.iter().map(|report| report.status.accepted).max()?;
     let at_term = |report: &&TimedReport| report.status.accepted == term;
-    let leads = |report: &&TimedReport| report.status.role == MemberRole::Primary;
-    let primary = reports.iter().filter(at_term).find(leads)?;
-    let mut asked: Vec<_> = reports.iter().filter(at_term).map(|report| report.asked_at).collect();
-    asked.sort_unstable_by(|left, right| right.cmp(left));
-    // Guards against an isolated primary's log passing for the newest: at `sent_at` a majority
-    // had accepted no greater term, so no successor had acknowledged anything by then.
-    let majority_asked_at = *asked.get(majority_of(members) - 1)?;
-    let sent_at = majority_asked_at.min(primary.asked_at);
-    // A primary that was just promoted or restarted may still be applying its log; what it has
-    // received holds every acknowledged write.
+    let is_primary = |report: &&TimedReport| report.status.role == MemberRole::Primary;
+    let primary = reports.iter().filter(at_term).find(is_primary)?;
+    let mut request_times: Vec<_> =
+        reports.iter().filter(at_term).map(|report| report.asked_at).collect();
+    request_times.sort_unstable_by(|left, right| right.cmp(left));
+    // Without a majority, the log of an isolated primary would be taken for the newest. At
+    // `sent_at`, a majority had accepted no greater term, so no successor had acknowledged
+    // anything by then.
+    let majority_requested_at = *request_times.get(majority_of(members) - 1)?;
+    let sent_at = majority_requested_at.min(primary.asked_at);
+    // A primary that was just promoted or restarted may still be applying its log, but its
+    // received log contains every acknowledged write.
     Some(FreshSample { sent_at, stamp: primary.status.received })
 }
--- a/crates/rudder-core/src/ident.rs
+++ b/crates/rudder-core/src/ident.rs
@@ -58,8 +58,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let fits = !text.is_empty() && text.len() <= KEY_LENGTH_MAX;
-        if fits && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'\'') {
+        let has_valid_length = !text.is_empty() && text.len() <= KEY_LENGTH_MAX;
+        if has_valid_length && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'\'') {
             return Ok(Self(text.to_owned()));
         }
         Err(ParseError::Shape {
@@ -86,10 +86,10 @@
 
 /// Checks the characters and the length of a name.
 pub(crate) fn check_name(what: &'static str, text: &str) -> Result<(), ParseError> {
-    let fits = !text.is_empty() && text.len() <= NAME_LENGTH_MAX;
+    let has_valid_length = !text.is_empty() && text.len() <= NAME_LENGTH_MAX;
     let allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_.".contains(&byte);
-    if fits && text.bytes().all(allowed) {
+    if has_valid_length && text.bytes().all(allowed) {
         return Ok(());
     }
     Err(ParseError::Name { what, text: text.chars().take(NAME_LENGTH_MAX).collect() })
--- a/crates/rudder-core/src/session.rs
+++ b/crates/rudder-core/src/session.rs
@@ -179,21 +179,21 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refusal = || ParseError::Shape {
+        let malformed = || ParseError::Shape {
             what: "session token",
             text: text.chars().take(80).collect(),
             expected: TOKEN_SHAPE,
         };
         if text.len() > TOKEN_LENGTH_MAX {
-            return Err(refusal());
+            return Err(malformed());
         }
         let mut fields = text.split('/');
         if fields.next() != Some(TOKEN_FORMAT) {
-            return Err(refusal());
+            return Err(malformed());
         }
-        let mut token = Self::new(fields.next().ok_or_else(refusal)?.parse()?);
+        let mut token = Self::new(fields.next().ok_or_else(malformed)?.parse()?);
         for field in fields {
-            let (service, stamp) = field.split_once('=').ok_or_else(refusal)?;
+            let (service, stamp) = field.split_once('=').ok_or_else(malformed)?;
             token.raise(&service.parse()?, stamp.parse()?);
         }
         Ok(token)
--- a/crates/rudder-core/src/succession/condition.rs
+++ b/crates/rudder-core/src/succession/condition.rs
@@ -33,10 +33,10 @@
     /// Whether a primary answered and no member accepted a greater term.
     ///
     /// ```
-    /// assert!(!rudder_core::GroupCondition::Unheard.is_led());
+    /// assert!(!rudder_core::GroupCondition::Unheard.has_primary());
     /// ```
     #[must_use]
-    pub const fn is_led(&self) -> bool {
+    pub const fn has_primary(&self) -> bool {
         matches!(self, Self::Led { .. })
     }
 }
@@ -52,20 +52,20 @@
     let Some(term) = reports.iter().map(|(_, status)| status.accepted).max() else {
         return GroupCondition::Unheard;
     };
-    // Guards against an old primary that answers although its successor exists or is being made:
-    // it leads only if no member accepted a greater term.
-    let leads =
+    // An old primary may respond although its successor exists or is being promoted, so a member
+    // counts as the primary only if no member accepted a greater term.
+    let is_primary =
         |status: &MemberStatus| status.role == MemberRole::Primary && status.accepted == term;
-    let Some((primary, _)) = reports.iter().find(|(_, status)| leads(status)) else {
+    let Some((primary, _)) = reports.iter().find(|(_, status)| is_primary(status)) else {
         return GroupCondition::Leaderless { term };
     };
-    let holders = reports.iter().filter(|(_, status)| status.accepted == term).count();
-    let is_stray = |status: &MemberStatus| status.accepted < term;
-    let strays = reports.iter().filter(|(_, status)| is_stray(status));
+    let accepting_count = reports.iter().filter(|(_, status)| status.accepted == term).count();
+    let is_behind = |status: &MemberStatus| status.accepted < term;
+    let strays = reports.iter().filter(|(_, status)| is_behind(status));
     GroupCondition::Led {
         primary: primary.clone(),
         term,
-        confirmed: holders >= majority_of(members),
+        confirmed: accepting_count >= majority_of(members),
         strays: strays.map(|(name, _)| name.clone()).collect(),
     }
 }
--- a/crates/rudder-core/src/succession/grant.rs
+++ b/crates/rudder-core/src/succession/grant.rs
@@ -128,11 +128,11 @@
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
     /// let grant = SuccessionGrant::first("inst-1".parse()?, LogTerm(3), WriterMark::random());
-    /// assert_eq!(grant.highest(), LogTerm(3));
+    /// assert_eq!(grant.highest_term(), LogTerm(3));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn highest(&self) -> LogTerm {
+    pub fn highest_term(&self) -> LogTerm {
         let reserved = self.reserved.iter().flat_map(TermReservation::terms);
         reserved.chain([self.term, self.primary_term]).max().unwrap_or(self.term)
     }
@@ -150,10 +150,10 @@
     #[must_use]
     pub fn take(&self, holder: InstanceName, accepted: LogTerm, mark: WriterMark) -> Self {
         let mut next = self.clone();
-        next.term = LogTerm(self.highest().max(accepted).0 + 1);
+        next.term = LogTerm(self.highest_term().max(accepted).0 + 1);
         next.holder = holder;
         next.mark = mark;
-        next.renumber(next.term);
+        next.reserve_new_terms(next.term);
         next
     }
 
@@ -180,11 +180,12 @@
     ) -> Option<Self> {
         let mut next = self.clone();
         next.reserved.retain(|entry| keepers.contains(&entry.seat.instance));
-        let has_enough =
-            |entry: &TermReservation| entry.seat == *seat && entry.usable(accepted) >= USABLE_MIN;
+        let has_enough = |entry: &TermReservation| {
+            entry.seat == *seat && entry.usable_count(accepted) >= USABLE_MIN
+        };
         if keepers.contains(&seat.instance) && !next.reserved.iter().any(has_enough) {
-            next.seat(seat.clone());
-            next.renumber(self.highest().max(accepted));
+            next.set_reservation(seat.clone());
+            next.reserve_new_terms(self.highest_term().max(accepted));
         }
         (next.reserved != self.reserved).then_some(next)
     }
@@ -207,13 +208,13 @@
         let mut next = self.clone();
         next.primary = Some(primary.clone());
         next.primary_term = term;
-        if next.reserved.iter().any(|entry| entry.usable(term) < USABLE_MIN) {
-            next.renumber(term);
+        if next.reserved.iter().any(|entry| entry.usable_count(term) < USABLE_MIN) {
+            next.reserve_new_terms(term);
         }
         Some(next)
     }
 
-    fn seat(&mut self, seat: KeeperSeat) {
+    fn set_reservation(&mut self, seat: KeeperSeat) {
         let entry = TermReservation { first: LogTerm(0), step: 1, count: 0, seat };
         let order = |known: &TermReservation| known.seat.instance.cmp(&entry.seat.instance);
         match self.reserved.binary_search_by(order) {
@@ -222,10 +223,10 @@
         }
     }
 
-    /// Gives every run new terms above `floor` and above every number in use. A run that has not
-    /// read this yet uses its old ones, which nobody else ever gets.
-    fn renumber(&mut self, floor: LogTerm) {
-        let base = self.highest().max(floor).0 + 1;
+    /// Reserves new terms for every run, above `floor` and above every term in the grant. A run that
+    /// has not read the new version yet uses its old terms, which are never assigned to another run.
+    fn reserve_new_terms(&mut self, floor: LogTerm) {
+        let base = self.highest_term().max(floor).0 + 1;
         let step = u32::try_from(self.reserved.len()).unwrap_or(u32::MAX);
         for (first, entry) in (base..).zip(&mut self.reserved) {
             entry.first = LogTerm(first);
--- a/crates/rudder-core/src/succession/plan.rs
+++ b/crates/rudder-core/src/succession/plan.rs
@@ -152,11 +152,12 @@
         let Some(index) = self.index_of(member) else { return };
         let Some(sent) = self.take_in_flight(index, statement) else { return };
         match reply {
-            PlanReply::Status(status) => self.note_status(now, index, &sent, status),
-            PlanReply::Lost => self.note_failure(now, index, &sent, reply),
-            // A term that is not greater: the member has not accepted the plan's term.
+            PlanReply::Status(status) => self.handle_status(now, index, &sent, status),
+            PlanReply::Lost => self.handle_failure(now, index, &sent, reply),
+            // A `Superseded` reply that reaches this point names a term that is not greater, so the
+            // member has not accepted the plan's term.
             PlanReply::Refused | PlanReply::Superseded(_) => {
-                self.note_failure(now, index, &sent, PlanReply::Refused);
+                self.handle_failure(now, index, &sent, PlanReply::Refused);
             }
         }
         self.advance(now);
@@ -173,8 +174,10 @@
     /// ```
     #[must_use]
     pub fn wake_at(&self) -> Option<Duration> {
-        // Only members with a statement to come count, or the driver would spin on the others.
-        let waiting = self.progress.iter().filter(|known| self.next_statement(known).is_some());
+        // Members without a next statement are skipped: their due time may be past, and the driver
+        // would poll in a busy loop.
+        let waiting =
+            self.progress.iter().filter(|progress| self.next_statement(progress).is_some());
         let retry_at = waiting.map(|progress| progress.due_at).min();
         let phase_end = match &self.phase {
             PlanPhase::Fencing { majority_since } => {
@@ -183,7 +186,9 @@
             PlanPhase::CatchingUp { since, .. }
             | PlanPhase::Promoting { since, .. }
             | PlanPhase::Confirming { since, .. } => Some(*since + self.bounds.patience),
-            PlanPhase::Following { heard_at, .. } => Some(*heard_at + self.bounds.patience),
+            PlanPhase::Following { last_status_at, .. } => {
+                Some(*last_status_at + self.bounds.patience)
+            }
             PlanPhase::Ended(_) => return None,
         };
         retry_at.into_iter().chain(phase_end).min()
--- a/crates/rudder-core/src/succession/plan_advance.rs
+++ b/crates/rudder-core/src/succession/plan_advance.rs
@@ -30,13 +30,13 @@
                 (candidate == name).then_some(ControlStatement::Promote(self.term))
             }
             PlanPhase::Following { candidate, .. } | PlanPhase::Confirming { candidate, .. } => {
-                self.due_after_promotion(progress, candidate)
+                self.statement_after_promotion(progress, candidate)
             }
             PlanPhase::Ended(_) => None,
         }
     }
 
-    pub(super) fn due_after_promotion(
+    pub(super) fn statement_after_promotion(
         &self,
         progress: &MemberProgress,
         candidate: &MemberName,
@@ -51,18 +51,20 @@
     pub(super) fn advance(&mut self, now: Duration) {
         match self.phase.clone() {
             PlanPhase::Fencing { majority_since } => self.advance_fencing(now, majority_since),
-            PlanPhase::CatchingUp { since, .. } if self.is_over(now, since) => {
+            PlanPhase::CatchingUp { since, .. } if self.has_timed_out(now, since) => {
                 self.promote_most_advanced(now);
             }
             // Guards against two primaries of one term: the lost promotion may have taken effect,
             // so no other member is promoted at this term. The driver goes on at a new one.
             PlanPhase::Promoting { candidate, since }
             | PlanPhase::Confirming { candidate, since }
-                if self.is_over(now, since) =>
+                if self.has_timed_out(now, since) =>
             {
                 self.phase = PlanPhase::Ended(PlanState::CandidateLost(candidate));
             }
-            PlanPhase::Following { candidate, heard_at } if self.is_over(now, heard_at) => {
+            PlanPhase::Following { candidate, last_status_at }
+                if self.has_timed_out(now, last_status_at) =>
+            {
                 self.phase = PlanPhase::Ended(PlanState::CandidateLost(candidate));
             }
             PlanPhase::Following { candidate, .. } if self.majority_follows() => {
@@ -81,13 +83,13 @@
         }
         let since = majority_since.unwrap_or(now);
         self.phase = PlanPhase::Fencing { majority_since: Some(since) };
-        let all_heard = self.progress.iter().all(|progress| progress.tried);
-        if all_heard || now >= since + self.bounds.grace {
-            self.leave_fencing(now);
+        let all_attempted = self.progress.iter().all(|progress| progress.attempted);
+        if all_attempted || now >= since + self.bounds.grace {
+            self.finish_fencing(now);
         }
     }
 
-    pub(super) fn leave_fencing(&mut self, now: Duration) {
+    pub(super) fn finish_fencing(&mut self, now: Duration) {
         let fenced = self.fenced_members();
         let Some((best, best_status)) = choose_candidate(&fenced) else { return };
         let target = fenced.iter().find(|(member, _)| Some(&member.name) == self.target.as_ref());
@@ -127,9 +129,9 @@
     }
 
     pub(super) fn enter(&mut self, phase: PlanPhase, now: Duration) {
-        let repeats = std::mem::discriminant(&phase) == std::mem::discriminant(&self.phase);
+        let is_same_phase = std::mem::discriminant(&phase) == std::mem::discriminant(&self.phase);
         self.phase = phase;
-        if repeats {
+        if is_same_phase {
             return;
         }
         for progress in &mut self.progress {
@@ -137,11 +139,11 @@
         }
         if let PlanPhase::Promoting { candidate, .. } = &self.phase {
             let candidate = candidate.clone();
-            self.forget_follow_of(&candidate);
+            self.clear_follows(&candidate);
         }
     }
 
-    pub(super) fn forget_follow_of(&mut self, candidate: &MemberName) {
+    pub(super) fn clear_follows(&mut self, candidate: &MemberName) {
         if let Some(index) = self.index_of(candidate) {
             self.progress[index].follows = false;
         }
@@ -152,7 +154,7 @@
         followers + 1 >= majority_of(self.progress.len())
     }
 
-    pub(super) fn is_over(&self, now: Duration, since: Duration) -> bool {
+    pub(super) fn has_timed_out(&self, now: Duration, since: Duration) -> bool {
         now >= since + self.bounds.patience
     }
 }
--- a/crates/rudder-core/src/succession/plan_phase.rs
+++ b/crates/rudder-core/src/succession/plan_phase.rs
@@ -14,7 +14,7 @@
         pub(super) member: PlanMember,
         pub(super) in_flight: Option<SentStatement>,
         pub(super) due_at: Duration,
-        pub(super) tried: bool,
+        pub(super) attempted: bool,
         pub(super) fenced: Option<MemberStatus>,
         pub(super) follows: bool,
     }
@@ -34,7 +34,7 @@
     Fencing { majority_since: Option<Duration> },
     CatchingUp { target: MemberName, source: MemberName, goal: LogStamp, since: Duration },
     Promoting { candidate: MemberName, since: Duration },
-    Following { candidate: MemberName, heard_at: Duration },
+    Following { candidate: MemberName, last_status_at: Duration },
     Confirming { candidate: MemberName, since: Duration },
     Ended(PlanState),
 }
@@ -45,7 +45,7 @@
             member,
             in_flight: None,
             due_at: Duration::ZERO,
-            tried: false,
+            attempted: false,
             fenced: None,
             follows: false,
         }
--- a/crates/rudder-core/src/succession/plan_reply.rs
+++ b/crates/rudder-core/src/succession/plan_reply.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl SuccessionPlan {
-    pub(super) fn note_status(
+    pub(super) fn handle_status(
         &mut self,
         now: Duration,
         index: usize,
@@ -16,7 +16,7 @@
         status: MemberStatus,
     ) {
         let progress = &mut self.progress[index];
-        progress.tried = true;
+        progress.attempted = true;
         progress.due_at = now + self.bounds.retry;
         match &sent.statement {
             // A member counts as fenced by its own word only: an answer at a lower term would
@@ -29,10 +29,10 @@
             }
             _ => {}
         }
-        self.note_candidate(now, index, sent, status);
+        self.advance_candidate(now, index, sent, status);
     }
 
-    pub(super) fn note_candidate(
+    pub(super) fn advance_candidate(
         &mut self,
         now: Duration,
         index: usize,
@@ -40,29 +40,31 @@
         status: MemberStatus,
     ) {
         let name = self.progress[index].member.name.clone();
-        let leads = status.role == MemberRole::Primary && status.accepted == self.term;
-        let lost = || PlanPhase::Ended(PlanState::CandidateLost(name.clone()));
+        let is_primary = status.role == MemberRole::Primary && status.accepted == self.term;
+        let candidate_lost = || PlanPhase::Ended(PlanState::CandidateLost(name.clone()));
         let next = match &self.phase {
             PlanPhase::CatchingUp { target, goal, .. } if *target == name => {
                 let caught_up = self.progress[index].follows && status.received >= *goal;
                 let promoting = PlanPhase::Promoting { candidate: name.clone(), since: now };
                 caught_up.then_some(promoting)
             }
-            PlanPhase::Promoting { candidate, .. } if *candidate == name && leads => {
-                Some(PlanPhase::Following { candidate: name.clone(), heard_at: now })
+            PlanPhase::Promoting { candidate, .. } if *candidate == name && is_primary => {
+                Some(PlanPhase::Following { candidate: name.clone(), last_status_at: now })
             }
-            PlanPhase::Following { candidate, .. } if *candidate == name && leads => {
-                Some(PlanPhase::Following { candidate: name.clone(), heard_at: now })
+            PlanPhase::Following { candidate, .. } if *candidate == name && is_primary => {
+                Some(PlanPhase::Following { candidate: name.clone(), last_status_at: now })
             }
-            PlanPhase::Following { candidate, .. } if *candidate == name => Some(lost()),
-            // Guards against opening for writes on old news: only a status that was asked for
-            // after the majority followed shows that the new primary outlived the steps.
+            PlanPhase::Following { candidate, .. } if *candidate == name => Some(candidate_lost()),
+            // Only a status that was requested after a majority followed shows that the new primary
+            // was still running then. An older status must not make the group writable.
             PlanPhase::Confirming { candidate, since }
-                if *candidate == name && leads && sent.sent_at >= *since =>
+                if *candidate == name && is_primary && sent.sent_at >= *since =>
             {
                 Some(PlanPhase::Ended(PlanState::Done(name.clone())))
             }
-            PlanPhase::Confirming { candidate, .. } if *candidate == name && !leads => Some(lost()),
+            PlanPhase::Confirming { candidate, .. } if *candidate == name && !is_primary => {
+                Some(candidate_lost())
+            }
             PlanPhase::Confirming { candidate, .. } if *candidate == name => {
                 self.progress[index].due_at = now;
                 None
@@ -74,7 +76,7 @@
         }
     }
 
-    pub(super) fn note_failure(
+    pub(super) fn handle_failure(
         &mut self,
         now: Duration,
         index: usize,
@@ -83,7 +85,7 @@
     ) {
         let retry = self.bounds.retry;
         let progress = &mut self.progress[index];
-        progress.tried = true;
+        progress.attempted = true;
         progress.due_at = now + retry;
         let name = progress.member.name.clone();
         match &self.phase {
--- a/crates/rudder-core/src/succession/purse.rs
+++ b/crates/rudder-core/src/succession/purse.rs
@@ -10,7 +10,7 @@
     pub struct TermPurse {
         incarnation: WriterMark,
         reserved: Option<TermReservation>,
-        spent: LogTerm,
+        last_used: LogTerm,
     }
 }
 
@@ -24,7 +24,7 @@
     /// ```
     #[must_use]
     pub const fn new(incarnation: WriterMark) -> Self {
-        Self { incarnation, reserved: None, spent: LogTerm(0) }
+        Self { incarnation, reserved: None, last_used: LogTerm(0) }
     }
 
     /// The mark of this run.
@@ -65,11 +65,11 @@
     /// assert!(TermPurse::new(WriterMark::random()).spend(LogTerm(0)).is_none());
     /// ```
     pub fn spend(&mut self, accepted: LogTerm) -> Option<LogTerm> {
-        // Guards against two plans of one term: a lost promotion of the first may still take
-        // effect when the second promotes another member.
-        let floor = accepted.max(self.spent);
+        // Two plans must not share a term: an unanswered promotion of the first plan may still
+        // take effect after the second one has promoted another member.
+        let floor = accepted.max(self.last_used);
         let term = self.reserved.as_ref()?.terms().find(|term| *term > floor)?;
-        self.spent = term;
+        self.last_used = term;
         Some(term)
     }
 
@@ -81,7 +81,7 @@
     /// ```
     #[must_use]
     pub fn is_usable(&self, accepted: LogTerm) -> bool {
-        let floor = accepted.max(self.spent);
-        self.reserved.as_ref().is_some_and(|reserved| reserved.usable(floor) > 0)
+        let floor = accepted.max(self.last_used);
+        self.reserved.as_ref().is_some_and(|reserved| reserved.usable_count(floor) > 0)
     }
 }
--- a/crates/rudder-core/src/succession/reservation.rs
+++ b/crates/rudder-core/src/succession/reservation.rs
@@ -76,11 +76,11 @@
     /// use rudder_core::{KeeperSeat, LogTerm, TermReservation, WriterMark};
     /// let seat = KeeperSeat { instance: "inst-1".parse()?, incarnation: WriterMark::random() };
     /// let reservation = TermReservation { first: LogTerm(4), step: 3, count: 2, seat };
-    /// assert_eq!(reservation.usable(LogTerm(4)), 1);
+    /// assert_eq!(reservation.usable_count(LogTerm(4)), 1);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn usable(&self, accepted: LogTerm) -> usize {
+    pub fn usable_count(&self, accepted: LogTerm) -> usize {
         self.terms().filter(|term| *term > accepted).count()
     }
 }
--- a/crates/rudder-core/src/succession/stall.rs
+++ b/crates/rudder-core/src/succession/stall.rs
@@ -50,19 +50,19 @@
         bound: Duration,
     ) -> bool {
         let received = status.received;
-        let fresh = StallMark { member: member.clone(), received, since: now };
+        let new_mark = StallMark { member: member.clone(), received, since: now };
         let mark = match self.marks.binary_search_by(|mark| mark.member.cmp(member)) {
             Ok(index) => &mut self.marks[index],
             Err(index) => {
-                self.marks.insert(index, fresh);
+                self.marks.insert(index, new_mark);
                 return false;
             }
         };
-        let stands_still = mark.received == received && received < leader;
-        if stands_still && now < mark.since + bound {
+        let is_stalled = mark.received == received && received < leader;
+        if is_stalled && now < mark.since + bound {
             return false;
         }
-        *mark = fresh;
-        stands_still
+        *mark = new_mark;
+        is_stalled
     }
 }
--- a/crates/rudder-core/src/succession/tally.rs
+++ b/crates/rudder-core/src/succession/tally.rs
@@ -8,11 +8,12 @@
 /// A waking observer must see fresh failures, not only a long silence, before it votes.
 const FAILURES_MIN: u32 = 2;
 
-/// Answers in a row that withdraw the own vote, so that a flapping link does not reset it.
-const ANSWERS_TO_CLEAR: u32 = 2;
+/// Number of consecutive responses that withdraw the observer's own vote, so that a flapping link
+/// does not reset it.
+const RESPONSES_TO_CLEAR: u32 = 2;
 
-/// How many times longer an observer waits that hears too few other failure domains.
-const ALONE_FACTOR: u32 = 2;
+/// Factor by which an observer waits longer if it receives votes from too few failure domains.
+const ISOLATED_TIMEOUT_FACTOR: u32 = 2;
 
 /// What an observer says about a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,10 +45,10 @@
         suspect_after: Duration,
         domain: DomainName,
         domains_expected: usize,
-        heard_at: Duration,
-        failed_at: Duration,
+        last_response_at: Duration,
+        last_failure_at: Duration,
         failures: u32,
-        answers: u32,
+        responses: u32,
         unheard: bool,
         votes: Vec<ObserverVote>,
     }
@@ -77,10 +78,10 @@
             suspect_after,
             domain,
             domains_expected,
-            heard_at: now,
-            failed_at: now,
+            last_response_at: now,
+            last_failure_at: now,
             failures: 0,
-            answers: ANSWERS_TO_CLEAR,
+            responses: RESPONSES_TO_CLEAR,
             unheard: false,
             votes: Vec::new(),
         }
@@ -98,12 +99,12 @@
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     pub fn note_answer(&mut self, sent_at: Duration) {
-        self.heard_at = self.heard_at.max(sent_at);
+        self.last_response_at = self.last_response_at.max(sent_at);
         self.failures = 0;
-        self.answers = self.answers.saturating_add(1);
-        // Guards against a link that lets one answer in ten through: one answer alone does not
-        // withdraw a vote.
-        if self.answers >= ANSWERS_TO_CLEAR {
+        self.responses = self.responses.saturating_add(1);
+        // A link that drops nine responses in ten still delivers single ones, so one response alone
+        // does not withdraw a vote.
+        if self.responses >= RESPONSES_TO_CLEAR {
             self.unheard = false;
         }
     }
@@ -122,9 +123,9 @@
     /// ```
     pub fn note_failure(&mut self, now: Duration) {
         self.failures = self.failures.saturating_add(1);
-        self.failed_at = now;
-        self.answers = 0;
-        self.unheard |= self.is_silent(now);
+        self.last_failure_at = now;
+        self.responses = 0;
+        self.unheard |= self.is_unresponsive(now);
     }
 
     /// Starts anew over a primary that was just confirmed; votes over the lost one do not count.
@@ -141,9 +142,9 @@
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     pub fn note_promotion(&mut self, now: Duration) {
-        self.heard_at = now;
+        self.last_response_at = now;
         self.failures = 0;
-        self.answers = ANSWERS_TO_CLEAR;
+        self.responses = RESPONSES_TO_CLEAR;
         self.unheard = false;
         self.votes.clear();
     }
@@ -184,7 +185,7 @@
     /// ```
     #[must_use]
     pub fn own_vote(&self, now: Duration) -> VoteKind {
-        let is_unheard = self.unheard || self.is_silent(now);
+        let is_unheard = self.unheard || self.is_unresponsive(now);
         if is_unheard { VoteKind::Unheard } else { VoteKind::Heard }
     }
 
@@ -200,13 +201,15 @@
     /// ```
     #[must_use]
     pub fn deadline(&self) -> Option<Duration> {
-        (self.failures > 0).then(|| self.heard_at + self.suspect_after)
+        (self.failures > 0).then(|| self.last_response_at + self.suspect_after)
     }
 
-    /// Guards against an observer that was frozen: on waking it sees a long silence, but its
-    /// first new probe is answered, so it never counts enough failures.
-    fn is_silent(&self, now: Duration) -> bool {
-        self.failures >= FAILURES_MIN && now >= self.heard_at + self.suspect_after
+    /// Returns whether enough requests have failed and the last response is too old.
+    ///
+    /// An observer that was suspended sees an old response when it resumes, but the primary responds
+    /// to its next probe, so it does not count enough failures to vote.
+    fn is_unresponsive(&self, now: Duration) -> bool {
+        self.failures >= FAILURES_MIN && now >= self.last_response_at + self.suspect_after
     }
 
     /// Whether the primary is suspected: the own vote and those of observers in a majority of the
@@ -227,22 +230,22 @@
         if self.own_vote(now) == VoteKind::Heard {
             return false;
         }
-        // Guards against a keeper that was frozen while it suspected: the group may have its new
-        // primary by the time it wakes, so only a recent failure counts.
-        if now >= self.failed_at + self.suspect_after {
+        // Only a recent failure counts: if this process was suspended while it suspected the
+        // primary, the group may have a new primary by the time it resumes.
+        if now >= self.last_failure_at + self.suspect_after {
             return false;
         }
-        let domains = self.speaking_domains(now);
+        let domains = self.domain_votes(now);
         let unheard = domains.iter().filter(|(_, kind)| *kind == VoteKind::Unheard).count();
         // Guards against one cut link: the observer behind it is alone in its vote, and the
         // other failure domains outvote it.
         if 2 * unheard <= domains.len() {
             return false;
         }
-        // Guards against an instance that is itself cut off: it hears too few others to be
-        // outvoted, so it waits longer, and its fence then finds no majority either.
-        let is_alone = 2 * domains.len() <= self.domains_expected;
-        !is_alone || now >= self.heard_at + ALONE_FACTOR * self.suspect_after
+        // An instance that is itself isolated receives too few other votes to be outvoted. It
+        // waits longer, and its fence statements then do not reach a majority of the members.
+        let is_isolated = 2 * domains.len() <= self.domains_expected;
+        !is_isolated || now >= self.last_response_at + ISOLATED_TIMEOUT_FACTOR * self.suspect_after
     }
 
     /// Changes how many failure domains have an observer.
@@ -260,21 +263,21 @@
         self.domains_expected = domains_expected;
     }
 
-    /// The failure domains with a live vote, each with one voice: unheard only if all its
-    /// observers say so.
-    fn speaking_domains(&self, now: Duration) -> Vec<(&DomainName, VoteKind)> {
+    /// Returns one vote for each failure domain with a vote that has not expired. A domain votes
+    /// `Unheard` only if all its observers do.
+    fn domain_votes(&self, now: Duration) -> Vec<(&DomainName, VoteKind)> {
         let own = (&self.domain, self.own_vote(now));
         let live = self.votes.iter().filter(|vote| now < vote.at + self.suspect_after);
-        let mut voices: Vec<_> = live.map(|vote| (&vote.domain, vote.kind)).collect();
-        voices.push(own);
-        voices.sort_by(|left, right| left.0.cmp(right.0));
-        voices.dedup_by(|later, kept| {
+        let mut votes: Vec<_> = live.map(|vote| (&vote.domain, vote.kind)).collect();
+        votes.push(own);
+        votes.sort_by(|left, right| left.0.cmp(right.0));
+        votes.dedup_by(|later, kept| {
             let same = later.0 == kept.0;
             if same && later.1 == VoteKind::Heard {
                 kept.1 = VoteKind::Heard;
             }
             same
         });
-        voices
+        votes
     }
 }
--- a/crates/rudder-core/tests/ack.rs
+++ b/crates/rudder-core/tests/ack.rs
@@ -51,19 +51,19 @@
 // A caller is told that its claim was made, and it is gone. The member commits it, is superseded,
 // drops it, and leads again before it says how far its log goes.
 #[test]
-fn a_member_that_led_again_in_between_gives_no_stamp() {
-    let led_again = status(MemberRole::Primary, 3, LogStamp::new(3, 12));
+fn member_promoted_again_in_between_gives_no_stamp() {
+    let promoted_again = status(MemberRole::Primary, 3, LogStamp::new(3, 12));
     let follows = status(MemberRole::Replica, 2, LogStamp::new(2, 12));
     let fenced_before = status(MemberRole::Primary, 2, LogStamp::new(1, 12));
 
     let stamps =
-        [led_again, follows, fenced_before].map(|after| stamp_of_commit(LogTerm(2), &after));
+        [promoted_again, follows, fenced_before].map(|after| stamp_of_commit(LogTerm(2), &after));
 
     assert_eq!(stamps, [None, None, None]);
 }
 
 #[test]
-fn a_member_that_leads_still_gives_its_last_entry_or_an_empty_log() {
+fn current_primary_gives_its_last_entry_or_an_empty_log() {
     let wrote = status(MemberRole::Primary, 2, COMMIT);
     let empty = status(MemberRole::Primary, 2, LogStamp::default());
 
--- a/crates/rudder-core/tests/freshness.rs
+++ b/crates/rudder-core/tests/freshness.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn recent_ages_stay_exact_when_many_samples_flow() {
+fn recent_ages_stay_precise_with_many_samples() {
     let mut ledger = AgeLedger::default();
     for at in 0..10_000 {
         ledger.note(FreshSample { sent_at: secs(at), stamp: LogStamp::new(1, at) });
@@ -108,7 +108,7 @@
 // more; only a majority at its own term confirms it.
 #[test]
 fn isolated_primary_gives_no_sample() {
-    // Just restarted, the primary has not applied again what it acknowledged.
+    // The primary was just restarted and has not yet applied again what it acknowledged.
     let applied = LogStamp::new(1, 8);
     let primary = status(MemberRole::Primary, 1, LogStamp::new(1, 9));
     let primary = MemberStatus { applied, ..primary };
@@ -124,12 +124,12 @@
     assert_eq!((alone, superseded, confirmed), (None, None, Some(sample)));
 }
 
-// A peer's sample was a second old when the peer answered, and the answer took its time. Counted
-// from the arrival, data would seem fresher than it is.
+// A peer's sample was a second old when the peer responded, and the response was slow. If the age
+// were counted from its arrival, the data would seem fresher than it is.
 #[test]
 fn round_trip_is_added_to_a_peers_age() {
     let mut ledger = AgeLedger::default();
-    ledger.note_peer(secs(10), secs(1), LogStamp::new(1, 3));
+    ledger.record_peer_sample(secs(10), secs(1), LogStamp::new(1, 3));
 
     let age = ledger.age_of(LogStamp::new(1, 3), secs(14));
 
--- a/crates/rudder-core/tests/history.rs
+++ b/crates/rudder-core/tests/history.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn right_run_passes() {
+fn valid_history_passes() {
     let writes = vec![
         write("anna", 0, 1, ACKNOWLEDGED),
         write("anna", 2, 2, UNKNOWN),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn each_broken_rule_is_rejected() {
+fn each_violation_is_reported() {
     let anna = || "anna".parse().unwrap();
     let acked = || vec![write("anna", 0, 1, ACKNOWLEDGED)];
     let claims = || vec![keyed(1, ACKNOWLEDGED), keyed(2, UNKNOWN)];
--- a/crates/rudder-core/tests/succession/faults.rs
+++ b/crates/rudder-core/tests/succession/faults.rs
@@ -13,7 +13,7 @@
 const SEED: u64 = 20_261_202;
 const CASES_DEFAULT: u32 = 3000;
 const PROMOTERS: usize = 2;
-const HEALING_ROUNDS: usize = 400;
+const RECOVERY_ROUNDS: usize = 400;
 
 const BOUNDS: PlanBounds = PlanBounds {
     retry: Duration::from_millis(50),
@@ -42,16 +42,16 @@
     /// The promoter gives up waiting; the statement stays under way and may run late.
     TimeOut(usize),
     Drop(usize),
-    Answer {
+    Reply {
         index: usize,
         repeat: bool,
     },
-    AnswerAll,
+    ReplyAll,
     Advance(u64),
     Kill(usize),
     Restart(usize),
     Repair {
-        seen: usize,
+        visible: usize,
     },
 }
 
@@ -70,18 +70,18 @@
     acknowledged: bool,
 }
 
-struct World {
+struct FaultSimulation {
     group: ModelGroup,
     now: Duration,
     next_term: LogTerm,
     plans: Vec<Option<SuccessionPlan>>,
     messages: Vec<Message>,
-    answers: Vec<(Message, PlanReply)>,
+    replies: Vec<(Message, PlanReply)>,
     writes: Vec<PendingWrite>,
-    leaders: Vec<(LogTerm, MemberName)>,
+    primaries: Vec<(LogTerm, MemberName)>,
 }
 
-impl World {
+impl FaultSimulation {
     fn new(members: usize) -> Self {
         Self {
             group: ModelGroup::new(members),
@@ -89,9 +89,9 @@
             next_term: LogTerm(2),
             plans: vec![None; PROMOTERS],
             messages: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             writes: Vec::new(),
-            leaders: Vec::new(),
+            primaries: Vec::new(),
         }
     }
 
@@ -116,12 +116,12 @@
                 self.time_out(index);
                 self.take_message(index);
             }
-            FaultStep::Answer { index, repeat } => self.answer(index, repeat),
-            FaultStep::AnswerAll => (0..self.answers.len()).for_each(|_| self.answer(0, false)),
+            FaultStep::Reply { index, repeat } => self.reply(index, repeat),
+            FaultStep::ReplyAll => (0..self.replies.len()).for_each(|_| self.reply(0, false)),
             FaultStep::Advance(millis) => self.now += Duration::from_millis(millis),
             FaultStep::Kill(member) => self.group.kill(member % size),
             FaultStep::Restart(member) => self.group.restart(member % size),
-            FaultStep::Repair { seen } => self.repair(seen),
+            FaultStep::Repair { visible } => self.repair(visible),
         }
     }
 
@@ -172,8 +172,8 @@
                 statement: request.statement,
             });
         }
-        let is_early = plan.wake_at().is_some_and(|wake_at| wake_at <= self.now);
-        assert!(!is_early, "the driver would spin: {plan:?}");
+        let is_overdue = plan.wake_at().is_some_and(|wake_at| wake_at <= self.now);
+        assert!(!is_overdue, "the driver would poll in a busy loop: {plan:?}");
     }
 
     fn take_message(&mut self, index: usize) -> Option<Message> {
@@ -184,8 +184,8 @@
         let Some(message) = self.take_message(index) else { return };
         let member = self.group.index_of(&message.member);
         let reply = self.group.run(member, &message.statement);
-        self.note_leaders();
-        self.answers.push((message, reply));
+        self.record_primaries();
+        self.replies.push((message, reply));
     }
 
     fn time_out(&mut self, index: usize) {
@@ -194,22 +194,22 @@
         }
         let index = index % self.messages.len();
         let message = self.messages[index].clone();
-        self.tell(&message, PlanReply::Lost);
+        self.handle_reply(&message, PlanReply::Lost);
     }
 
-    fn answer(&mut self, index: usize, repeat: bool) {
-        if self.answers.is_empty() {
+    fn reply(&mut self, index: usize, repeat: bool) {
+        if self.replies.is_empty() {
             return;
         }
-        let index = index % self.answers.len();
-        let (message, reply) = self.answers[index].clone();
+        let index = index % self.replies.len();
+        let (message, reply) = self.replies[index].clone();
         if !repeat {
-            self.answers.remove(index);
+            self.replies.remove(index);
         }
-        self.tell(&message, reply);
+        self.handle_reply(&message, reply);
     }
 
-    fn tell(&mut self, message: &Message, reply: PlanReply) {
+    fn handle_reply(&mut self, message: &Message, reply: PlanReply) {
         let Some(plan) = message.promoter.and_then(|index| self.plans[index].as_mut()) else {
             return;
         };
@@ -218,12 +218,14 @@
         }
     }
 
-    /// Points every member to the primary, as a keeper does that sees only some of them.
-    fn repair(&mut self, seen: usize) {
+    /// Makes every visible member replicate from the primary, as a keeper does that can reach only
+    /// the members in the bit set `visible`.
+    fn repair(&mut self, visible: usize) {
         let members = self.group.members.iter().enumerate();
-        let answering = members.filter(|(index, member)| member.up && seen >> index & 1 == 1);
+        let visible_members =
+            members.filter(|(index, member)| member.up && visible >> index & 1 == 1);
         let reports: Vec<_> =
-            answering.map(|(_, member)| (member.name.clone(), member.status())).collect();
+            visible_members.map(|(_, member)| (member.name.clone(), member.status())).collect();
         let condition = judge_group(self.size(), &reports);
         let GroupCondition::Led { primary, term, .. } = condition else { return };
         for (member, _) in reports.into_iter().filter(|(member, _)| *member != primary) {
@@ -232,19 +234,19 @@
         }
     }
 
-    fn note_leaders(&mut self) {
+    fn record_primaries(&mut self) {
         for member in &self.group.members {
-            let leader = (member.accepted, member.name.clone());
-            if member.role == MemberRole::Primary && !self.leaders.contains(&leader) {
-                self.leaders.push(leader);
+            let primary = (member.accepted, member.name.clone());
+            if member.role == MemberRole::Primary && !self.primaries.contains(&primary) {
+                self.primaries.push(primary);
             }
         }
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
-        for (index, (term, name)) in self.leaders.iter().enumerate() {
-            let rival = self.leaders[..index].iter().find(|(known, _)| known == term);
-            prop_assert!(rival.is_none(), "two primaries of term {}: {:?}, {}", term, rival, name);
+        for (index, (term, name)) in self.primaries.iter().enumerate() {
+            let other = self.primaries[..index].iter().find(|(known, _)| known == term);
+            prop_assert!(other.is_none(), "two primaries of term {}: {:?}, {}", term, other, name);
         }
         let is_primary = |member: &&ModelMember| member.role == MemberRole::Primary;
         for member in self.group.members.iter().filter(is_primary) {
@@ -265,16 +267,17 @@
         Ok(())
     }
 
-    /// Brings a bare majority back, `first` among it, and lets one promoter work until it is done.
-    fn heal(&mut self, first: usize) -> Result<(), TestCaseError> {
+    /// Restarts exactly a majority of the members, beginning with `first`, and lets one promoter run
+    /// until a primary is confirmed.
+    fn recover(&mut self, first: usize) -> Result<(), TestCaseError> {
         let size = self.size();
         (0..size).for_each(|index| self.group.restart(index));
         (majority_of(size)..size).for_each(|index| self.group.kill((first + index) % size));
         let mut primary = None;
-        for _ in 0..HEALING_ROUNDS {
+        for _ in 0..RECOVERY_ROUNDS {
             match self.plans[0].as_ref().map(SuccessionPlan::state) {
                 Some(PlanState::Running) => {}
-                Some(PlanState::Done(name)) if self.leads(&name) => {
+                Some(PlanState::Done(name)) if self.is_current_primary(&name) => {
                     primary = Some(name);
                     break;
                 }
@@ -282,7 +285,7 @@
             }
             self.poll(0);
             self.step(&FaultStep::DeliverAll);
-            self.step(&FaultStep::AnswerAll);
+            self.step(&FaultStep::ReplyAll);
             self.now += BOUNDS.retry;
             (0..size).for_each(|index| self.group.replicate(index, 8));
             self.check()?;
@@ -291,7 +294,7 @@
         self.check()
     }
 
-    fn leads(&self, name: &MemberName) -> bool {
+    fn is_current_primary(&self, name: &MemberName) -> bool {
         let member = &self.group.members[self.group.index_of(name)];
         let greatest = self.group.members.iter().map(|member| member.accepted).max();
         member.role == MemberRole::Primary && Some(member.accepted) == greatest
@@ -315,12 +318,12 @@
         3 => (0..8_usize).prop_map(FaultStep::TimeOut),
         1 => (0..8_usize).prop_map(FaultStep::Drop),
         8 => (0..8_usize, proptest::bool::weighted(0.1))
-            .prop_map(|(index, repeat)| FaultStep::Answer { index, repeat }),
-        4 => Just(FaultStep::AnswerAll),
+            .prop_map(|(index, repeat)| FaultStep::Reply { index, repeat }),
+        4 => Just(FaultStep::ReplyAll),
         6 => prop_oneof![Just(1), Just(60), Just(100), Just(450)].prop_map(FaultStep::Advance),
         1 => member().prop_map(FaultStep::Kill),
         2 => member().prop_map(FaultStep::Restart),
-        2 => (1..32_usize).prop_map(|seen| FaultStep::Repair { seen }),
+        2 => (1..32_usize).prop_map(|visible| FaultStep::Repair { visible }),
     ]
 }
 
@@ -347,13 +350,13 @@
         steps in proptest::collection::vec(fault_step(), 10..160),
         first in 0..5_usize,
     ) {
-        let mut world = World::new(size);
+        let mut simulation = FaultSimulation::new(size);
 
         for step in &steps {
-            world.step(step);
-            world.check()?;
+            simulation.step(step);
+            simulation.check()?;
         }
 
-        world.heal(first)?;
+        simulation.recover(first)?;
     }
 }
--- a/crates/rudder-core/tests/succession/grant.rs
+++ b/crates/rudder-core/tests/succession/grant.rs
@@ -20,14 +20,14 @@
 struct Keeper {
     seat: KeeperSeat,
     purse: TermPurse,
-    seen: usize,
+    read_version: usize,
 }
 
-struct World {
+struct GrantSimulation {
     versions: Vec<SuccessionGrant>,
     keepers: Vec<Keeper>,
     accepted: LogTerm,
-    used: Vec<LogTerm>,
+    used_terms: Vec<LogTerm>,
 }
 
 fn instance(index: usize) -> InstanceName {
@@ -37,19 +37,19 @@
 fn keeper(index: usize) -> Keeper {
     let incarnation = WriterMark::random();
     let seat = KeeperSeat { instance: instance(index), incarnation: incarnation.clone() };
-    Keeper { seat, purse: TermPurse::new(incarnation), seen: 0 }
+    Keeper { seat, purse: TermPurse::new(incarnation), read_version: 0 }
 }
 
-impl World {
+impl GrantSimulation {
     fn new() -> Self {
         let first = SuccessionGrant::first(instance(0), LogTerm(1), WriterMark::random());
         let keepers = (0..KEEPERS).map(keeper).collect();
-        Self { versions: vec![first], keepers, accepted: LogTerm(1), used: Vec::new() }
+        Self { versions: vec![first], keepers, accepted: LogTerm(1), used_terms: Vec::new() }
     }
 
     /// A conditional update: it takes effect only on the latest version.
     fn put(&mut self, index: usize, grant: Option<SuccessionGrant>) -> bool {
-        let is_latest = self.keepers[index].seen + 1 == self.versions.len();
+        let is_latest = self.keepers[index].read_version + 1 == self.versions.len();
         if is_latest {
             self.versions.extend(grant);
         }
@@ -58,36 +58,38 @@
 
     fn step(&mut self, step: &GrantStep) {
         let names: Vec<_> = (0..KEEPERS).map(instance).collect();
-        let seen = |world: &Self, index: usize| world.versions[world.keepers[index].seen].clone();
+        let read_grant = |simulation: &Self, index: usize| {
+            simulation.versions[simulation.keepers[index].read_version].clone()
+        };
         match *step {
             GrantStep::Read(index) => {
                 let keeper = &mut self.keepers[index];
-                keeper.seen = self.versions.len() - 1;
-                keeper.purse.refill(&self.versions[keeper.seen]);
+                keeper.read_version = self.versions.len() - 1;
+                keeper.purse.refill(&self.versions[keeper.read_version]);
             }
             GrantStep::Take(index) => {
-                let grant = seen(self, index);
+                let grant = read_grant(self, index);
                 let taken = grant.take(instance(index), self.accepted, WriterMark::random());
                 let term = taken.term();
                 if self.put(index, Some(taken)) {
-                    self.used.push(term);
+                    self.used_terms.push(term);
                 }
             }
             GrantStep::Enrol(index) => {
                 let keeper = &self.keepers[index];
-                let grant = seen(self, index).enrol(&keeper.seat, &names, self.accepted);
+                let grant = read_grant(self, index).enrol(&keeper.seat, &names, self.accepted);
                 self.put(index, grant);
             }
             GrantStep::Settle(index) => {
-                let Some(term) = self.used.iter().copied().max() else { return };
+                let Some(term) = self.used_terms.iter().copied().max() else { return };
                 let primary = "m1".parse().expect("a valid name");
-                let grant = seen(self, index).settle(&primary, term);
+                let grant = read_grant(self, index).settle(&primary, term);
                 self.accepted = self.accepted.max(term);
                 self.put(index, grant);
             }
             GrantStep::Spend(index) => {
                 let term = self.keepers[index].purse.spend(self.accepted);
-                self.used.extend(term);
+                self.used_terms.extend(term);
             }
             GrantStep::Restart(index) => self.keepers[index] = keeper(index),
         }
@@ -119,14 +121,14 @@
     // copies, and restart under the same name.
     #[test]
     fn no_term_is_used_twice(steps in proptest::collection::vec(grant_step(), 5..80)) {
-        let mut world = World::new();
+        let mut simulation = GrantSimulation::new();
 
-        steps.iter().for_each(|step| world.step(step));
+        steps.iter().for_each(|step| simulation.step(step));
 
-        let mut used = world.used.clone();
-        used.sort_unstable();
-        used.dedup();
-        prop_assert_eq!(used.len(), world.used.len());
+        let mut used_terms = simulation.used_terms.clone();
+        used_terms.sort_unstable();
+        used_terms.dedup();
+        prop_assert_eq!(used_terms.len(), simulation.used_terms.len());
     }
 }
 
@@ -158,21 +160,21 @@
 // One keeper used most of its terms during an outage; writing that down gives new ones to all. The
 // other keeper still holds its old ones in memory, so the new ones must lie above those too.
 #[test]
-fn settling_never_gives_out_a_number_again() {
+fn recorded_primary_never_reuses_terms() {
     let grant = grant_of_two();
-    let highest = grant.highest();
+    let highest_term = grant.highest_term();
 
-    let settled = grant.settle(&"m1".parse().expect("a valid name"), LogTerm(highest.0 - 2));
+    let settled = grant.settle(&"m1".parse().expect("a valid name"), LogTerm(highest_term.0 - 2));
 
     let firsts = settled.expect("a change").reserved().iter().map(|entry| entry.first).min();
-    assert!(firsts > Some(highest), "{firsts:?}, {highest}");
+    assert!(firsts > Some(highest_term), "{firsts:?}, {highest_term}");
 }
 
 #[test]
-fn stored_grant_that_is_not_valid_is_refused() {
+fn invalid_stored_grant_is_rejected() {
     let grant = grant_of_two();
     let bytes = postcard::to_stdvec(&grant).expect("encodes");
-    let with = |old: u8, new: u8| {
+    let decode_changed = |old: u8, new: u8| {
         let mut changed = bytes.clone();
         let index = bytes.iter().rposition(|byte| *byte == old).expect("the number is there");
         changed[index] = new;
@@ -180,9 +182,9 @@
     };
     let (second_first, first_first, count, too_many) = (11, 10, 8, 65);
 
-    let unchanged = with(count, count);
-    let reserved_twice = with(second_first, first_first);
-    let oversized = with(count, too_many);
+    let unchanged = decode_changed(count, count);
+    let reserved_twice = decode_changed(second_first, first_first);
+    let oversized = decode_changed(count, too_many);
 
     assert_eq!(unchanged, Ok(grant));
     assert!(reserved_twice.is_err());
--- a/crates/rudder-core/tests/succession/plan.rs
+++ b/crates/rudder-core/tests/succession/plan.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn dead_primary_is_replaced_by_most_advanced_member() {
+fn failed_primary_is_replaced_by_most_advanced_member() {
     let mut group = ModelGroup::new(3);
     for value in 0..4 {
         group.write(0, value);
@@ -76,7 +76,7 @@
 // A write is acknowledged by the old primary and the one member that the promoter cannot reach.
 // The promoter has fenced a single member. Promoting on its word alone would lose the write.
 #[test]
-fn bare_minority_is_never_enough() {
+fn fenced_minority_does_not_promote() {
     let mut plan = plan();
 
     fence_all(&mut plan, [PlanReply::Lost, fenced(3), PlanReply::Lost]);
@@ -102,7 +102,7 @@
 // A write that the slowest member alone received besides the primary would be cut although it
 // could be kept: the plan waits a short while for more answers than the bare majority.
 #[test]
-fn plan_waits_for_answers_beyond_the_majority() {
+fn plan_waits_for_replies_beyond_the_majority() {
     let mut plan = plan();
     plan.poll(Duration::ZERO);
     let fence = ControlStatement::Fence(TERM);
@@ -120,7 +120,7 @@
 // The answer to the promotion is lost: the member may be primary of this term. Promoting another
 // one under the same term would make two primaries whose commits pass for each other's.
 #[test]
-fn lost_promotion_ends_the_term() {
+fn unanswered_promotion_ends_the_plan() {
     let mut plan = plan();
     fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
     let sent = plan.poll(millis(1));
@@ -136,7 +136,7 @@
 
 // A member refuses the promotion, either in words or by naming a term that is not greater.
 #[test]
-fn refused_promotion_ends_the_term() {
+fn refused_promotion_ends_the_plan() {
     for refusal in [PlanReply::Refused, PlanReply::Superseded(LogTerm(1))] {
         let mut plan = plan();
         fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
@@ -151,7 +151,7 @@
 // The new primary dies after it answered the promotion. A status that was asked for before the
 // others followed must not open the group for writes.
 #[test]
-fn confirmation_must_be_asked_for_after_the_others_follow() {
+fn confirmation_must_be_requested_after_the_others_follow() {
     let mut plan = plan();
     fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
     let leads = status(MemberRole::Primary, TERM, 4);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn candidate_that_dies_after_promotion_is_given_up() {
+fn candidate_that_fails_after_promotion_ends_the_plan() {
     let mut plan = plan();
     fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
     plan.poll(millis(1));
@@ -189,17 +189,17 @@
 // The promoter is frozen after it fenced. Another one goes on at a greater term. The first wakes
 // and sends its promotion; the refusal ends its plan, so it cuts nobody's log.
 #[test]
-fn woken_promoter_gives_way() {
+fn resumed_promoter_is_superseded() {
     let mut group = ModelGroup::new(3);
     group.kill(0);
-    let mut frozen = plan();
-    fence_all(&mut frozen, [PlanReply::Lost, fenced(0), fenced(0)]);
+    let mut resumed = plan();
+    fence_all(&mut resumed, [PlanReply::Lost, fenced(0), fenced(0)]);
     group.run(1, &ControlStatement::Fence(LogTerm(3)));
     group.run(2, &ControlStatement::Fence(LogTerm(3)));
 
-    drive(&mut frozen, &mut group, 2);
+    drive(&mut resumed, &mut group, 2);
 
-    assert_eq!(frozen.state(), PlanState::Superseded(LogTerm(3)));
+    assert_eq!(resumed.state(), PlanState::Superseded(LogTerm(3)));
     assert!(group.members[1..].iter().all(|member| member.role == MemberRole::Replica));
 }
 
