--- a/crates/rudder-core/src/history/check.rs
+++ b/crates/rudder-core/src/history/check.rs
@@ -12,11 +12,11 @@
 pub enum HistoryFault {
     /// acknowledged value {0} is missing at the end
     Lost(u64),
-    /// value {0} is there {1} times at the end
+    /// value {0} is stored {1} times at the end
     Repeated(u64, usize),
-    /// value {0} is there although its caller was told that it did not run or failed
+    /// value {0} is stored although its caller was informed that it did not run or failed
     Forbidden(u64),
-    /// value {0} is there although nobody wrote it to that row
+    /// value {0} is stored although no caller wrote it to that row
     Unwritten(u64),
     /// key {0} took effect {1} times
     KeyRepeated(RequestKey, usize),
--- a/crates/rudder-core/tests/succession/faults.rs
+++ b/crates/rudder-core/tests/succession/faults.rs
@@ -255,7 +255,7 @@
                 let must_hold = write.commit.term <= member.accepted;
                 prop_assert!(
                     !must_hold || count == 1,
-                    "acknowledged write {} at {} stands {} times in the log of {}, primary of {}",
+                    "acknowledged write {} at {} occurs {} times in the log of {}, primary of {}",
                     write.value,
                     write.commit,
                     count,
@@ -290,7 +290,7 @@
             (0..size).for_each(|index| self.group.replicate(index, 8));
             self.check()?;
         }
-        prop_assert!(primary.is_some(), "no primary although a majority answers");
+        prop_assert!(primary.is_some(), "no primary although a majority responds");
         self.check()
     }
 
