--- a/crates/rudder-core/src/ack.rs
+++ b/crates/rudder-core/src/ack.rs
@@ -1,27 +1,27 @@
-//! When a commit may be acknowledged.
+//! Decision whether a commit may be acknowledged.
 //!
-//! A commit at term T and position P is acknowledged once a majority of the members, the primary
-//! included, report that T is the highest term they accepted and that they received P. A promotion
-//! must first fence a majority; the two majorities share a member. Either that member reported
-//! before it was fenced, then the promotion sees P and keeps it, or after, then its report fails
-//! the check.
+//! A commit at term T and position P is acknowledged once a majority of the members, including the
+//! primary, report that T is the highest term they accepted and that they received P. A promotion
+//! must first fence a majority, and the two majorities share at least one member. If that member
+//! reported before it was fenced, the promotion sees P and keeps it; if it reported after it was
+//! fenced, its report shows the greater term and does not count.
 
 use crate::ident::MemberName;
 use crate::stamp::{LogStamp, LogTerm};
 use crate::status::{MemberRole, MemberStatus};
 
-/// The verdict over a commit from the reports seen so far.
+/// The decision on a commit from the reports received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckVerdict {
-    /// A majority holds the commit at its own term.
+    /// A majority reports the commit at the commit's own term.
     Acknowledged,
-    /// Too few reports so far, but none speaks against it.
+    /// Too few members have reported the commit so far, and none reported a greater term.
     Waiting,
     /// A member accepted a greater term: this commit can no longer be acknowledged.
     Superseded,
 }
 
-/// How many of `members` make a majority.
+/// Returns how many of `members` are a majority.
 ///
 /// ```
 /// assert_eq!(rudder_core::majority_of(3), 2);
@@ -32,9 +32,9 @@
     members / 2 + 1
 }
 
-/// Judges a commit from one report per member.
+/// Decides whether a commit is acknowledged, from one report per member.
 ///
-/// `reports` holds the latest report of each member that was asked after the commit.
+/// `reports` holds the latest report of each member that was requested after the commit.
 ///
 /// ```
 /// use rudder_core::{AckVerdict, LogStamp, judge_commit};
@@ -46,8 +46,8 @@
     members: usize,
     reports: &[(MemberName, MemberStatus)],
 ) -> AckVerdict {
-    // Guards against a superseded primary: without it a cut-off primary that still believes it
-    // leads would acknowledge writes that the new one never sees.
+    // Without this check, an isolated primary that does not know of its successor would
+    // acknowledge writes that the successor never receives.
     if reports.iter().any(|(_, status)| status.accepted > commit.term) {
         return AckVerdict::Superseded;
     }
@@ -60,10 +60,10 @@
     }
 }
 
-/// The stamp that covers a commit made at `term`, from the member's own status after it; `None` if
-/// the commit may have been dropped since.
+/// Returns a stamp at or after a commit made at `term`, from the member's status after the commit,
+/// or `None` if the member may have dropped the commit since.
 ///
-/// An empty log covers everything that was committed, which is nothing.
+/// If the log is empty, nothing was committed and its default stamp is returned.
 ///
 /// ```
 /// use rudder_core::{LogStamp, LogTerm, MemberRole, MemberStatus, stamp_of_commit};
@@ -82,8 +82,8 @@
     (still_primary && at_term).then_some(after.received)
 }
 
-/// Judges whether `term` is still the greatest that a majority accepted, for a read that must see
-/// the newest data. `reports` holds reports that were asked for after the read arrived.
+/// Decides whether `term` is still the greatest term that a majority accepted, for a read that must
+/// see the newest data. `reports` holds reports that were requested after the read arrived.
 ///
 /// ```
 /// use rudder_core::{AckVerdict, LogTerm, judge_term};
@@ -95,7 +95,7 @@
     members: usize,
     reports: &[(MemberName, MemberStatus)],
 ) -> AckVerdict {
-    // Guards against an isolated primary that shows an old picture as today's.
+    // Without this check, an isolated primary would serve outdated data as current.
     if reports.iter().any(|(_, status)| status.accepted > term) {
         return AckVerdict::Superseded;
     }
--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -1,28 +1,32 @@
-//! The statements by which a member is asked for its state and told its role.
+//! Control statements, which query a member's status and set its role.
 //!
-//! The stand-in group answers them itself; a deployment maps them to its database's functions.
+//! The simulated group of rudder-standins executes them itself; a deployment maps them to functions
+//! of its database.
 
 use crate::ident::MemberName;
 use crate::stamp::LogTerm;
 use std::fmt;
 
-/// The columns of the single row that every control statement answers, in order, as text.
+/// Columns of the single row that every control statement returns, in order, as text.
 pub const STATUS_COLUMNS: [&str; 6] =
     ["role", "accepted_term", "received_term", "received", "applied_term", "applied"];
 
-/// SQLSTATE with which a member refuses a control statement or write of a superseded term.
+/// SQLSTATE with which a member rejects a control statement or write of a superseded term.
 pub const TERM_REFUSED_SQLSTATE: &str = "RU001";
 
-/// A control statement. Each answers one row of [`STATUS_COLUMNS`], taken after its effect.
+/// A control statement. Each returns one row of [`STATUS_COLUMNS`], read after its effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlStatement {
-    /// Report the status.
+    /// Reports the status.
     Status,
-    /// Accept this term: refuse writes and log entries of lower terms from now on. Idempotent.
+    /// Accepts this term: the member rejects writes and log entries of lower terms from then on.
+    /// Idempotent.
     Fence(LogTerm),
-    /// Become primary of this term; refused unless exactly this term is accepted. Idempotent.
+    /// Makes the member the primary of this term; rejected unless its accepted term is exactly this
+    /// one. Idempotent.
     Promote(LogTerm),
-    /// Accept this term and replicate from this member, dropping entries it does not have.
+    /// Accepts this term and replicates from the named member, dropping log entries that the named
+    /// member does not have.
     Follow(LogTerm, MemberName),
 }
 
--- a/crates/rudder-core/src/derive.rs
+++ b/crates/rudder-core/src/derive.rs
@@ -1,6 +1,6 @@
-//! The workspace's small macros for derives and newtypes that recur.
+//! Macros for the derives and newtypes that recur in the workspace.
 
-/// Adds the derives that every plain data type of the workspace carries.
+/// Adds the derives that every plain data type of the workspace has.
 ///
 /// ```
 /// rudder_core::plain_data! {
@@ -20,7 +20,7 @@
     };
 }
 
-/// Declares a name newtype: a short lower-case identifier, checked when it is parsed.
+/// Declares a name newtype: a short lower-case identifier, validated when it is parsed.
 macro_rules! name_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
@@ -29,7 +29,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
--- a/crates/rudder-core/src/error.rs
+++ b/crates/rudder-core/src/error.rs
@@ -1,32 +1,32 @@
-//! The error of parsing any value of this package.
+//! The error returned when a value of this package cannot be parsed.
 
 use displaydoc::Display;
 
-/// Why a text is not a value of the wanted type.
+/// Reason why a text is not a value of the expected type.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum ParseError {
     /// {what} "{text}" must be 1 to 63 characters out of a-z, 0-9, "-", "_" and "."
     Name {
-        /// The type that was wanted.
+        /// The expected type.
         what: &'static str,
-        /// The text that was given.
+        /// The rejected text.
         text: String,
     },
     /// {what} "{text}" is not a number in range
     Number {
-        /// The type that was wanted.
+        /// The expected type.
         what: &'static str,
-        /// The text that was given.
+        /// The rejected text.
         text: String,
     },
     /// "{text}" is not a {what}: expected {expected}
     Shape {
-        /// The type that was wanted.
+        /// The expected type.
         what: &'static str,
-        /// The text that was given.
+        /// The rejected text.
         text: String,
-        /// The shape that would be right.
+        /// The expected format.
         expected: &'static str,
     },
 }
--- a/crates/rudder-core/src/freshness/ledger.rs
+++ b/crates/rudder-core/src/freshness/ledger.rs
@@ -1,15 +1,16 @@
-//! The samples of one service, from which the age of a member's answer follows.
+//! The freshness samples of one service, from which the age of a member's data is computed.
 
 use super::sample::FreshSample;
 use crate::plain_data;
 use crate::stamp::LogStamp;
 use std::time::Duration;
 
-/// Samples kept of one service; older ones are thinned out beyond it.
+/// Maximum number of samples kept for one service. Beyond it, the least useful sample is dropped,
+/// which is usually an older one.
 const SAMPLES_MAX: usize = 64;
 
 plain_data! {
-    /// Samples sorted by time; both time and stamp grow strictly from one to the next.
+    /// Samples sorted by time; time and stamp both increase strictly from one to the next.
     #[derive(Default)]
     pub struct AgeLedger {
         samples: Vec<FreshSample>,
@@ -17,7 +18,7 @@
 }
 
 impl AgeLedger {
-    /// Takes in a confirmed sample, in any order.
+    /// Records a confirmed sample. Samples may arrive in any order.
     ///
     /// ```
     /// use rudder_core::{AgeLedger, FreshSample, LogStamp};
@@ -30,7 +31,7 @@
     /// ```
     pub fn note(&mut self, sample: FreshSample) {
         let index = self.samples.partition_point(|known| known.sent_at < sample.sent_at);
-        // A known sample that is as recent and needs no more of the log says more than this one.
+        // A known sample that is at least as recent, with a stamp no greater, makes this one redundant.
         if self.samples[index..].iter().any(|known| known.stamp <= sample.stamp) {
             return;
         }
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Takes in a peer's newest sample: `age` old when the peer answered a question that was
-    /// sent to it at `asked_at`.
+    /// Records a peer's newest sample, which was `age` old when the peer responded to a request
+    /// that was sent to it at `asked_at`.
     ///
     /// ```
     /// use rudder_core::{AgeLedger, LogStamp};
@@ -62,9 +63,9 @@
         self.note(FreshSample { sent_at, stamp });
     }
 
-    /// How old, at `now`, the data of a member is that has applied the log up to `applied`.
+    /// Returns the age, at `now`, of the data of a member that has applied the log up to `applied`.
     ///
-    /// None means unknown, which is too old for any bound.
+    /// `None` means that the age is unknown, which exceeds every bound.
     ///
     /// ```
     /// use rudder_core::{AgeLedger, LogStamp};
@@ -78,7 +79,7 @@
         Some(now.saturating_sub(sample.sent_at))
     }
 
-    /// The newest sample, to be told to peers.
+    /// Returns the newest sample, to be sent to peers.
     ///
     /// ```
     /// assert_eq!(rudder_core::AgeLedger::default().newest(), None);
--- a/crates/rudder-core/src/freshness/mod.rs
+++ b/crates/rudder-core/src/freshness/mod.rs
@@ -1,4 +1,5 @@
-//! How old a member's answer can be, without comparing clocks, and whether a read may be served.
+//! Upper bounds on the age of a member's data, computed without comparing clocks, and the decision
+//! whether a read may be served.
 
 mod ledger;
 mod read;
--- a/crates/rudder-core/src/freshness/read.rs
+++ b/crates/rudder-core/src/freshness/read.rs
@@ -1,4 +1,4 @@
-//! Whether a member's answer to a read may go to the caller.
+//! The decision whether the result of a read at a member may be returned to the caller.
 
 use super::ledger::AgeLedger;
 use crate::plain_data;
@@ -7,32 +7,33 @@
 use std::time::Duration;
 
 plain_data! {
-    /// What a read must see.
+    /// The consistency requirements of a read.
     #[derive(Copy)]
     pub struct ReadNeed {
-        /// The least stamp for its session; none if the session has written nothing.
+        /// The minimum stamp for its session; `None` if the session has written nothing.
         pub floor: Option<LogStamp>,
-        /// The greatest age that the kind of caller accepts.
+        /// Maximum age of the data that the kind of caller accepts.
         pub bound: Duration,
-        /// The moment against which the age counts: the present, or for a bound of zero the
-        /// moment at which the read reached this proxy.
+        /// The time at which the age is measured: the present, or for a bound of zero the time at
+        /// which the read reached this proxy.
         pub as_of: Duration,
     }
 }
 
-/// The verdict over a read at one member.
+/// The decision on a read at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadVerdict {
-    /// The answer may go to the caller.
+    /// The result may be returned to the caller.
     Serve,
-    /// The member has not applied what the session must see.
+    /// The member has not applied the minimum stamp of the session.
     TooOldForSession,
-    /// The answer is older than the bound, or its age is unknown.
+    /// The data is older than the bound, or its age is unknown.
     TooOldForBound,
 }
 
-/// Judges a read from the member's own status, which must have been taken on the same connection
-/// before the read ran, so that the read sees at least that much.
+/// Decides whether a read may be served, from the member's own status. The status must have been
+/// taken on the same connection before the read ran, so that the read sees at least the log that
+/// the status reports.
 ///
 /// ```
 /// use rudder_core::{AgeLedger, LogStamp, LogTerm, MemberRole, MemberStatus, ReadNeed, ReadVerdict};
@@ -47,13 +48,13 @@
 /// ```
 #[must_use]
 pub fn judge_read(status: &MemberStatus, need: &ReadNeed, ledger: &AgeLedger) -> ReadVerdict {
-    // Guards against a session that misses its own write at a lagging member. Terms compare
+    // Otherwise a session could miss its own write at a lagging member. Stamps compare by term
     // first: a member with a longer log of an older term may lack the write.
     if need.floor.is_some_and(|floor| status.applied < floor) {
         return ReadVerdict::TooOldForSession;
     }
-    // Guards against an old picture shown as today's, by a lagging replica or by an isolated
-    // primary: without a confirmed sample the age is unknown, and unknown is too old.
+    // Otherwise a lagging replica or an isolated primary could serve outdated data as current.
+    // Without a confirmed sample the age is unknown, which is treated as too old.
     match ledger.age_of(status.applied, need.as_of) {
         Some(age) if age <= need.bound => ReadVerdict::Serve,
         _ => ReadVerdict::TooOldForBound,
--- a/crates/rudder-core/src/freshness/sample.rs
+++ b/crates/rudder-core/src/freshness/sample.rs
@@ -1,4 +1,5 @@
-//! A moment at which the confirmed primary was seen at a stamp.
+//! Freshness samples: points in time at which the confirmed primary's log is known to have ended at
+//! a stamp.
 
 use crate::ack::majority_of;
 use crate::ident::MemberName;
@@ -8,13 +9,13 @@
 use std::time::Duration;
 
 plain_data! {
-    /// One member's status, with the time at which it was asked for.
+    /// One member's status, with the time at which it was requested.
     pub struct TimedReport {
         /// The member.
         pub member: MemberName,
-        /// When the question was sent, on the asker's own time line.
+        /// Time at which the request was sent, on the requester's clock.
         pub asked_at: Duration,
-        /// What it answered.
+        /// The status that the member returned.
         pub status: MemberStatus,
     }
 }
@@ -23,17 +24,18 @@
     /// Every write that was acknowledged before `sent_at` is contained in a log that reaches `stamp`.
     #[derive(Copy)]
     pub struct FreshSample {
-        /// When the earliest of the confirming questions was sent.
+        /// Time at which the earliest of the confirming requests was sent.
         pub sent_at: Duration,
-        /// How far the confirmed primary's log went.
+        /// The end of the confirmed primary's log.
         pub stamp: LogStamp,
     }
 }
 
-/// Makes a sample out of the reports of a group of `members` members, if they confirm the primary.
+/// Creates a sample from the reports of a group of `members` members, if they confirm the primary.
 ///
-/// They do if the primary and enough others to make a majority report the same greatest term. The
-/// sample dates from the earliest question among the latest asked majority.
+/// They confirm it if the primary and enough other members for a majority report the same greatest
+/// term. The sample's time is that of the earliest request among the majority whose requests were
+/// sent last, or of the request to the primary if that is earlier.
 ///
 /// ```
 /// assert_eq!(rudder_core::confirm_sample(3, &[]), None);
--- a/crates/rudder-core/src/history/check.rs
+++ b/crates/rudder-core/src/history/check.rs
@@ -1,4 +1,4 @@
-//! The rules that a run must keep.
+//! The consistency rules that a run must satisfy.
 
 use super::record::{HistoryLog, ReadRecord, StoredValue, WriteOutcome, WriteRecord};
 use crate::ident::RequestKey;
@@ -6,7 +6,7 @@
 use crate::session::SessionId;
 use displaydoc::Display;
 
-/// A rule that a run broke.
+/// A violated consistency rule.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum HistoryFault {
@@ -30,7 +30,7 @@
 
 impl std::error::Error for HistoryFault {}
 
-/// Lists every broken rule of a run; an empty list means that the run is right.
+/// Returns every rule violation of a run; an empty list means that the run is consistent.
 ///
 /// ```
 /// use rudder_core::{HistoryLog, check_history};
--- a/crates/rudder-core/src/history/mod.rs
+++ b/crates/rudder-core/src/history/mod.rs
@@ -1,7 +1,8 @@
-//! Checks what callers saw in a concurrent run against what the group holds at its end.
+//! Consistency checker: compares the results that callers received during a concurrent run with the
+//! data that the group stores at its end.
 //!
-//! Every write adds one value of its own to a row, so that a lost, doubled or forbidden effect
-//! shows in the rows alone.
+//! Every write adds a value unique to it to a row, so lost, repeated and forbidden effects can be
+//! found from the rows alone.
 
 mod check;
 mod record;
--- a/crates/rudder-core/src/history/record.rs
+++ b/crates/rudder-core/src/history/record.rs
@@ -1,4 +1,4 @@
-//! The records of a run.
+//! Records of the writes and reads of a run.
 
 use crate::ident::RequestKey;
 use crate::outcome::OutcomeClass;
@@ -6,12 +6,12 @@
 use crate::session::SessionId;
 use std::time::Duration;
 
-/// What a caller was told about a write.
+/// The outcome of a write as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was acknowledged.
+    /// The write was acknowledged.
     Acknowledged,
-    /// It was refused, in this class.
+    /// The write was rejected with this outcome class.
     Refused(OutcomeClass),
 }
 
@@ -27,35 +27,35 @@
 }
 
 plain_data! {
-    /// One write as its caller saw it. Times count from the start of the run.
+    /// One write as observed by its caller. Times count from the start of the run.
     pub struct WriteRecord {
         /// The caller's session.
         pub session: SessionId,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         pub invoked: Duration,
-        /// When its outcome arrived.
+        /// Time at which its outcome arrived.
         pub returned: Duration,
-        /// What it adds, and where.
+        /// The value that it adds, with its row.
         pub stored: StoredValue,
-        /// The key of a request that must run at most once; its repeats carry the same.
+        /// The key of a request that must run at most once; its retries have the same key.
         pub key: Option<RequestKey>,
-        /// What the caller was told.
+        /// The outcome reported to the caller.
         pub outcome: WriteOutcome,
     }
 }
 
 plain_data! {
-    /// One answered read as its caller saw it.
+    /// One successful read as observed by its caller.
     pub struct ReadRecord {
         /// The caller's session.
         pub session: SessionId,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         pub invoked: Duration,
         /// The row that was read.
         pub row: String,
-        /// The values that it showed.
+        /// The values that it returned.
         pub values: Vec<u64>,
-        /// The greatest age that the caller accepts.
+        /// Maximum age of the data that the caller accepts.
         pub bound: Duration,
     }
 }
@@ -66,9 +66,9 @@
     pub struct HistoryLog {
         /// The writes, in any order.
         pub writes: Vec<WriteRecord>,
-        /// The answered reads, in any order.
+        /// The successful reads, in any order.
         pub reads: Vec<ReadRecord>,
-        /// Everything that the real primary holds at the end, repetitions included.
+        /// All values that the current primary stores at the end, including repeated ones.
         pub stored: Vec<StoredValue>,
     }
 }
--- a/crates/rudder-core/src/ident.rs
+++ b/crates/rudder-core/src/ident.rs
@@ -1,13 +1,14 @@
-//! Names of the things that settings, logs and messages speak of.
+//! Names used in settings, logs and messages, and the key of a request.
 
 use crate::derive::name_type;
 use crate::error::ParseError;
 use serde::{Deserialize, Serialize};
 
-/// Names travel in messages and object names, which allow 63 characters.
+/// Maximum length of a name: names are used in messages and as object names, which allow 63
+/// characters.
 const NAME_LENGTH_MAX: usize = 63;
 
-/// Request keys come from callers and may be longer than names.
+/// Maximum length of a request key. Keys come from callers and may be longer than names.
 const KEY_LENGTH_MAX: usize = 200;
 
 name_type! {
@@ -27,11 +28,11 @@
     DomainName
 }
 name_type! {
-    /// A client account, to which keys and a limit belong.
+    /// A client account, which has its own keys and its own limit.
     AccountName
 }
 name_type! {
-    /// A kind of caller (customer), to which limits and staleness bounds are given.
+    /// A kind of caller (customer), which determines limits and staleness bounds.
     CallerKind
 }
 
@@ -41,7 +42,7 @@
 pub struct RequestKey(String);
 
 impl RequestKey {
-    /// The key as text.
+    /// Returns the key as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/rudder-core/src/outcome.rs
+++ b/crates/rudder-core/src/outcome.rs
@@ -1,18 +1,18 @@
-//! The three classes of refusal, and the SQLSTATEs that carry them to callers.
+//! The outcome classes of requests that did not succeed, and the SQLSTATEs that callers receive.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What a caller may conclude about a request that was not answered with success.
+/// The conclusion that a caller may draw about a request that did not succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OutcomeClass {
-    /// The request truly did not run; it may be sent again.
+    /// The request did not run; it may be sent again.
     NotRun,
     /// The request may or may not have taken effect.
     Unknown,
-    /// The endpoint ran the request and answered with an error of its own.
+    /// The endpoint ran the request and returned an error of its own.
     Failed,
-    /// A request with the same key has run, here or elsewhere, and its change stays.
+    /// A request with the same key has already run, here or elsewhere, and its change is kept.
     AlreadyRun,
 }
 
@@ -27,53 +27,53 @@
     }
 }
 
-/// SQLSTATE of a refusal because too much waits already.
+/// SQLSTATE of a rejection because too many requests are waiting.
 const OVERLOADED: &str = "53300";
-/// SQLSTATE of a refusal because no primary is confirmed now.
+/// SQLSTATE of a rejection because no primary is confirmed.
 const NO_PRIMARY: &str = "57P03";
-/// SQLSTATE of a refusal because the instance is leaving.
+/// SQLSTATE of a rejection because the instance is shutting down.
 const LEAVING: &str = "57P01";
-/// SQLSTATE of an outcome that nobody can tell.
+/// SQLSTATE of a request whose outcome cannot be determined.
 const UNRESOLVED: &str = "08007";
-/// SQLSTATE of a read for which no member is fresh enough.
+/// SQLSTATE of a read for which no member has recent enough data.
 const TOO_STALE: &str = "RU002";
-/// SQLSTATE of a request whose key has run already.
+/// SQLSTATE of a request whose key has already run.
 const ALREADY_RUN: &str = "RU003";
 /// SQLSTATE of a transaction that was rolled back before its commit was sent.
 const TRANSACTION_LOST: &str = "40000";
 /// SQLSTATE of a request that the proxy cannot serve as it was sent.
 const UNSUPPORTED: &str = "0A000";
 
-/// A refusal in this project's own words, as opposed to an error of the endpoint.
+/// A rejection by the proxy itself, as opposed to an error returned by the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RefusalNotice {
-    /// Too much waits already, for this service or this caller.
+    /// Too many requests are waiting, for this service or this caller.
     Overloaded {
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
     /// No primary is confirmed.
     NoPrimary {
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
     /// No settings are in force yet at this instance.
     Starting {
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
-    /// No member is fresh enough for the session or the staleness bound.
+    /// No member has data recent enough for the session or the staleness bound.
     TooStale {
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
     /// This instance is shutting down.
     Leaving,
     /// The request was sent, and whether it took effect is not known.
     Unresolved,
-    /// The request's key has run already.
+    /// A request with this key has already run.
     AlreadyRun {
-        /// What the first run brought: the tag of its last statement.
+        /// The result of the first run: the command tag of its last statement.
         outcome: String,
     },
     /// The transaction's connection failed before its commit was sent: it was rolled back.
@@ -83,7 +83,7 @@
 }
 
 impl RefusalNotice {
-    /// The class that the caller may rely on.
+    /// Returns the outcome class that the caller may rely on.
     ///
     /// ```
     /// use rudder_core::{OutcomeClass, RefusalNotice};
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The SQLSTATE sent to the caller.
+    /// Returns the SQLSTATE sent to the caller.
     ///
     /// ```
     /// assert_eq!(rudder_core::RefusalNotice::Unresolved.sqlstate(), "08007");
@@ -117,7 +117,7 @@
         }
     }
 
-    /// When to come back, where that is known.
+    /// Returns the delay after which the caller may retry, if it is known.
     ///
     /// ```
     /// assert_eq!(rudder_core::RefusalNotice::Leaving.retry_after(), None);
--- a/crates/rudder-core/src/session.rs
+++ b/crates/rudder-core/src/session.rs
@@ -1,4 +1,5 @@
-//! Session tokens: what a session must see, in a form that callers carry between proxies.
+//! Session tokens: the minimum log positions that a session must see, in a form that callers carry
+//! from one proxy instance to another.
 
 use crate::error::ParseError;
 use crate::ident::{ServiceName, check_name};
@@ -7,10 +8,11 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// First field of a token's text form; a later format gets another.
+/// Format version, the first field of a token's text form.
 const TOKEN_FORMAT: &str = "v1";
 
-/// Tokens come from callers, so their length is bounded before anything is stored.
+/// Maximum length of a token. Tokens come from callers, so the length is checked before anything
+/// is stored.
 const TOKEN_LENGTH_MAX: usize = 4096;
 
 const TOKEN_SHAPE: &str = "v1/<id>[/<service>=<term>:<position>]...";
@@ -21,7 +23,7 @@
 pub struct SessionId(String);
 
 impl SessionId {
-    /// A fresh random identity.
+    /// Creates a random identity.
     ///
     /// ```
     /// use rudder_core::SessionId;
@@ -32,7 +34,7 @@
         Self(uuid::Uuid::new_v4().simple().to_string())
     }
 
-    /// The identity as text.
+    /// Returns the identity as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -69,18 +71,18 @@
 }
 
 crate::plain_data! {
-    /// The least stamp that a session must see of one service.
+    /// The minimum stamp that a session must see of one service.
     #[derive(Serialize, Deserialize)]
     pub struct SessionFloor {
         /// The service.
         pub service: ServiceName,
-        /// The least stamp.
+        /// The minimum stamp.
         pub stamp: LogStamp,
     }
 }
 
 crate::plain_data! {
-    /// A session's identity and what it must see, per service, sorted by service name.
+    /// A session's identity and the minimum stamp that it must see of each service.
     #[derive(Serialize, Deserialize)]
     pub struct SessionToken {
         id: SessionId,
@@ -89,7 +91,7 @@
 }
 
 impl SessionToken {
-    /// A token of a session that has written nothing yet.
+    /// Creates a token of a session that has written nothing yet.
     ///
     /// ```
     /// use rudder_core::{SessionId, SessionToken};
@@ -102,19 +104,19 @@
         Self { id, floors: Vec::new() }
     }
 
-    /// The session's identity.
+    /// Returns the session's identity.
     #[must_use]
     pub fn id(&self) -> &SessionId {
         &self.id
     }
 
-    /// The floors, sorted by service name.
+    /// Returns the minimum stamps, sorted by service name.
     #[must_use]
     pub fn floors(&self) -> &[SessionFloor] {
         &self.floors
     }
 
-    /// The least stamp that this session must see of `service`.
+    /// Returns the minimum stamp that this session must see of `service`.
     ///
     /// ```
     /// use rudder_core::{LogStamp, SessionToken};
@@ -128,7 +130,7 @@
         Some(self.floors[index].stamp)
     }
 
-    /// Raises the floor of `service`; a lower stamp changes nothing.
+    /// Raises the minimum stamp of `service`; a lower stamp has no effect.
     ///
     /// ```
     /// use rudder_core::{LogStamp, SessionToken};
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Raises every floor to that of another token of the same session.
+    /// Raises every minimum stamp to that of another token of the same session.
     ///
     /// ```
     /// use rudder_core::SessionToken;
--- a/crates/rudder-core/src/stamp.rs
+++ b/crates/rudder-core/src/stamp.rs
@@ -1,4 +1,4 @@
-//! Terms, log positions, and the stamp that orders both.
+//! Terms, log positions, and the stamp that combines and orders them.
 
 use crate::derive::number_type;
 use crate::error::ParseError;
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 
 number_type! {
-    /// The number of a primary's reign; each promotion uses a greater one.
+    /// The term of a primary; each promotion uses a greater one.
     LogTerm(u64)
 }
 number_type! {
@@ -17,8 +17,8 @@
 
 /// A point in a group's history: the term that wrote the entry, then its position.
 ///
-/// Terms compare first. A promotion fences a majority and keeps the most advanced log, so every
-/// acknowledged entry of an earlier term is contained in every log that ends in a later one.
+/// Stamps compare by term first. A promotion fences a majority and keeps the most advanced log, so
+/// every log that ends in a later term contains every acknowledged entry of the earlier terms.
 ///
 /// ```
 /// use rudder_core::LogStamp;
@@ -38,7 +38,7 @@
 }
 
 impl LogStamp {
-    /// A stamp from bare numbers.
+    /// Creates a stamp from plain numbers.
     ///
     /// ```
     /// assert_eq!(rudder_core::LogStamp::new(3, 14).to_string(), "3:14");
--- a/crates/rudder-core/src/status.rs
+++ b/crates/rudder-core/src/status.rs
@@ -1,4 +1,4 @@
-//! What a member says about itself.
+//! A member's report of its own role, term and log.
 
 use crate::error::ParseError;
 use crate::stamp::{LogStamp, LogTerm};
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberRole {
-    /// Accepts writes: it was promoted at the very term that is the highest it accepted. A member
-    /// that accepts a greater term reports itself a replica from then on; otherwise a fenced
-    /// primary would pass for the primary of the term that it was fenced with.
+    /// Accepts writes: the member was promoted at the highest term that it has accepted. A member
+    /// that accepts a greater term reports itself as a replica from then on; otherwise a fenced
+    /// primary would be taken for the primary of the term that fenced it.
     Primary,
     /// Applies the log of a primary and serves reads.
     Replica,
@@ -44,16 +44,16 @@
 }
 
 crate::plain_data! {
-    /// A member's own report: its role, the highest term it accepted, and how far its log goes.
+    /// A member's report of its role, the highest term it accepted, and the end of its log.
     #[derive(Copy, Serialize, Deserialize)]
     pub struct MemberStatus {
         /// The role that the member believes it has.
         pub role: MemberRole,
-        /// The highest term that the member accepted; it refuses lower ones.
+        /// The highest term that the member accepted; it rejects lower ones.
         pub accepted: LogTerm,
         /// The last entry of its log.
         pub received: LogStamp,
-        /// The last entry that its reads show.
+        /// The last entry that is visible to its reads.
         pub applied: LogStamp,
     }
 }
--- a/crates/rudder-core/src/succession/candidate.rs
+++ b/crates/rudder-core/src/succession/candidate.rs
@@ -1,10 +1,11 @@
-//! Which of the fenced members becomes primary.
+//! Selection of the fenced member that is promoted.
 
 use super::plan_step::PlanMember;
 use crate::status::MemberStatus;
 use std::cmp::Reverse;
 
-/// Chooses the member with the most advanced log; the lowest preference number decides a tie.
+/// Returns the member with the most advanced log; among equal logs, the one with the lowest
+/// preference number.
 ///
 /// ```
 /// use rudder_core::{LogStamp, MemberRole, MemberStatus, PlanMember, choose_candidate};
@@ -23,8 +24,8 @@
 pub fn choose_candidate<'a>(
     fenced: &[(&'a PlanMember, MemberStatus)],
 ) -> Option<(&'a PlanMember, MemberStatus)> {
-    // Guards against a promotion that drops acknowledged writes: they show in the received stamp
-    // of at least one member of the fenced majority, so the most advanced log holds them all.
+    // Every acknowledged write is covered by the received stamp of at least one member of the
+    // fenced majority, so the most advanced log contains all of them.
     let rank =
         |entry: &&(&PlanMember, MemberStatus)| (entry.1.received, Reverse(entry.0.preference));
     fenced.iter().max_by_key(rank).copied()
--- a/crates/rudder-core/src/succession/condition.rs
+++ b/crates/rudder-core/src/succession/condition.rs
@@ -1,14 +1,14 @@
-//! What the members' latest reports say about their group as a whole.
+//! The condition of a group, derived from the latest reports of its members.
 
 use crate::ack::majority_of;
 use crate::ident::MemberName;
 use crate::stamp::LogTerm;
 use crate::status::{MemberRole, MemberStatus};
 
-/// The state of a group, judged from the reports of its members.
+/// The condition of a group according to the reports of its members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupCondition {
-    /// The greatest term that any member accepted has its primary.
+    /// The primary of the greatest accepted term responded.
     Led {
         /// The primary.
         primary: MemberName,
@@ -16,21 +16,21 @@
         term: LogTerm,
         /// Whether a majority, the primary included, accepted this term.
         confirmed: bool,
-        /// Members that still stand at a lower term and must be pointed to the primary.
+        /// Members that accepted only a lower term and must be made to replicate from the primary.
         strays: Vec<MemberName>,
     },
-    /// A member accepted a term whose primary does not answer: the primary is lost, or a
-    /// succession is under way or was left in the middle.
+    /// No primary of the greatest accepted term responded: the primary has failed, or a
+    /// succession is in progress or was interrupted.
     Leaderless {
         /// The greatest accepted term.
         term: LogTerm,
     },
-    /// No member answered.
+    /// No member responded.
     Unheard,
 }
 
 impl GroupCondition {
-    /// Whether a primary answered and no member accepted a greater term.
+    /// Returns whether a primary responded and no member accepted a greater term.
     ///
     /// ```
     /// assert!(!rudder_core::GroupCondition::Unheard.has_primary());
@@ -41,7 +41,8 @@
     }
 }
 
-/// Judges a group of `members` members from the latest report of each that answered.
+/// Returns the condition of a group of `members` members, from the latest report of each member that
+/// responded.
 ///
 /// ```
 /// use rudder_core::{GroupCondition, judge_group};
--- a/crates/rudder-core/src/succession/grant.rs
+++ b/crates/rudder-core/src/succession/grant.rs
@@ -1,9 +1,9 @@
-//! The platform's object that says who may use which term of a group.
+//! The object stored in the platform that assigns the terms of a group to instances.
 //!
-//! Every change is a conditional update, so the versions of the object form one chain. A number
-//! is written into the object for one run of one instance, always greater than any number that
-//! stood there before. So terms of different runs differ, also when one of them acts on an old
-//! copy during an outage of the platform.
+//! Every change is a conditional update, so the versions of the object form one chain. Each term
+//! written into the object is assigned to one run of one instance and is greater than every term
+//! in the earlier versions. Terms of different runs therefore differ, even if one run uses an old
+//! copy of the object during an outage of the platform.
 
 use super::reservation::{KeeperSeat, TermReservation, WriterMark};
 use crate::ident::{InstanceName, MemberName};
@@ -26,16 +26,17 @@
     }
 }
 
-/// Terms reserved for each run. Each attempt during an outage uses one.
+/// Number of terms reserved for each run. Each promotion attempt during an outage of the platform
+/// uses one.
 const RESERVED_COUNT: u32 = 8;
 
-/// A run with fewer usable terms than this asks for new ones.
+/// Minimum number of usable terms; a run with fewer requests new ones.
 const USABLE_MIN: usize = 4;
 
-/// Reserved terms that a stored grant may hold for one run.
+/// Maximum number of terms that a stored grant may reserve for one run.
 const STORED_COUNT_MAX: u32 = 64;
 
-/// Why a stored grant is not valid.
+/// Reason why a stored grant is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum GrantError {
@@ -50,7 +51,7 @@
 impl std::error::Error for GrantError {}
 
 plain_data! {
-    /// Who may use which term of one group.
+    /// The assignment of one group's terms to instances.
     #[derive(Serialize, Deserialize)]
     #[serde(try_from = "GrantRecord", into = "GrantRecord")]
     pub struct SuccessionGrant {
@@ -64,7 +65,7 @@
 }
 
 impl SuccessionGrant {
-    /// The first grant of a group whose members accepted `accepted` at most.
+    /// Creates the first grant of a group whose members accepted no term above `accepted`.
     ///
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
@@ -78,37 +79,37 @@
         Self { term: accepted, holder, mark, primary: None, primary_term: LogTerm(0), reserved }
     }
 
-    /// The last term that was granted by a conditional update.
+    /// Returns the last term that was granted by a conditional update.
     #[must_use]
     pub const fn term(&self) -> LogTerm {
         self.term
     }
 
-    /// Who was granted that term.
+    /// Returns the instance that was granted that term.
     #[must_use]
     pub const fn holder(&self) -> &InstanceName {
         &self.holder
     }
 
-    /// The mark that the holder gave the change by which it took that term.
+    /// Returns the mark that the holder wrote with the update that granted it that term.
     #[must_use]
     pub const fn mark(&self) -> &WriterMark {
         &self.mark
     }
 
-    /// The last primary that was confirmed and written down, with its term.
+    /// Returns the last confirmed primary that was recorded, with its term.
     #[must_use]
     pub fn primary(&self) -> Option<(&MemberName, LogTerm)> {
         self.primary.as_ref().map(|primary| (primary, self.primary_term))
     }
 
-    /// The reserved terms, sorted by instance.
+    /// Returns the reservations, sorted by instance.
     #[must_use]
     pub fn reserved(&self) -> &[TermReservation] {
         &self.reserved
     }
 
-    /// What is reserved for the run that `incarnation` marks.
+    /// Returns the reservation of the run with the mark `incarnation`.
     ///
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
@@ -118,12 +119,12 @@
     /// ```
     #[must_use]
     pub fn reserved_for(&self, incarnation: &WriterMark) -> Option<&TermReservation> {
-        // Guards against a restarted instance that repeats a term which its earlier run spent:
-        // the mark of the run decides, not the name.
+        // The mark of the run is compared, not the instance name: a restarted instance must not
+        // reuse a term that its earlier run has used.
         self.reserved.iter().find(|entry| entry.seat.incarnation == *incarnation)
     }
 
-    /// The greatest number anywhere in the grant.
+    /// Returns the greatest term anywhere in the grant.
     ///
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
@@ -137,7 +138,7 @@
         reserved.chain([self.term, self.primary_term]).max().unwrap_or(self.term)
     }
 
-    /// The grant in which `holder` has taken the next term. `accepted` is the greatest term that
+    /// Returns the grant in which `holder` has the next term. `accepted` is the greatest term that
     /// members are known to have accepted.
     ///
     /// ```
@@ -157,9 +158,10 @@
         next
     }
 
-    /// The grant in which `seat` has enough usable terms and only `keepers` have any; none if
-    /// that is so already. `accepted` is the greatest term that members are known to have
-    /// accepted; reserved terms up to it are of no more use.
+    /// Returns the grant in which the run `seat` has enough usable terms and only instances in
+    /// `keepers` have reservations, or `None` if this grant already satisfies both. `accepted` is
+    /// the greatest term that members are known to have accepted; members reject reserved terms up
+    /// to it, so these are not usable.
     ///
     /// ```
     /// use rudder_core::{KeeperSeat, LogTerm, SuccessionGrant, WriterMark};
@@ -190,8 +192,8 @@
         (next.reserved != self.reserved).then_some(next)
     }
 
-    /// The grant in which `primary` is written down as confirmed at `term`; none if it is known
-    /// already or a later one is.
+    /// Returns the grant in which `primary` is recorded as confirmed at `term`, or `None` if a
+    /// primary of this term or a later one is already recorded.
     ///
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
--- a/crates/rudder-core/src/succession/mod.rs
+++ b/crates/rudder-core/src/succession/mod.rs
@@ -1,7 +1,8 @@
-//! How a group gets a new primary: suspicion, agreement on a term, and the steps of a promotion.
+//! Replacement of a primary: failure detection, agreement on a term, and the steps of a promotion.
 //!
-//! The members are the acceptors of terms; the platform's object decides who uses which term. This
-//! module holds the decisions only. Whoever drives it sends the statements and reports the answers.
+//! The members accept terms; an object stored in the platform decides which instance may use which
+//! term. This module contains the decisions only. Its driver sends the statements and passes the
+//! replies back.
 
 mod candidate;
 mod condition;
--- a/crates/rudder-core/src/succession/order.rs
+++ b/crates/rudder-core/src/succession/order.rs
@@ -1,4 +1,4 @@
-//! An operator's order to a group.
+//! An operator's order to switch a group's primary.
 
 use super::reservation::WriterMark;
 use crate::ident::MemberName;
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 plain_data! {
-    /// A planned switch of primary. The platform's object bears the service's name and is removed
-    /// once the order was carried out or refused.
+    /// A planned switch of the primary. Its object in the platform has the service's name and is
+    /// removed after the order was carried out or rejected.
     #[derive(Serialize, Deserialize)]
     pub struct SwitchOrder {
-        /// The member that shall become primary.
+        /// The member that is to become primary.
         pub target: MemberName,
-        /// Tells one order from the next.
+        /// Distinguishes one order from the next.
         pub mark: WriterMark,
     }
 }
--- a/crates/rudder-core/src/succession/plan.rs
+++ b/crates/rudder-core/src/succession/plan.rs
@@ -1,8 +1,9 @@
-//! The steps of one succession at one term, as a state machine without sockets or clock.
+//! The steps of one succession (replacement of a primary) at one term, as a state machine without
+//! sockets or a clock.
 //!
-//! Fence a majority, choose the most advanced member, promote it, point the others to it, confirm.
-//! Every statement is idempotent at the members, so each step can be repeated, also by another
-//! instance at a greater term after this one crashed or froze.
+//! The steps are: fence a majority, choose the most advanced member, promote it, make the others
+//! replicate from it, and confirm it. Every statement is idempotent at the members, so each step can
+//! be repeated, also by another instance at a greater term after this one crashed or was suspended.
 
 use super::plan_phase::{MemberProgress, PlanPhase, SentStatement};
 use super::plan_step::{PlanBounds, PlanMember, PlanReply, PlanRequest, PlanState};
@@ -15,8 +16,8 @@
 plain_data! {
     /// One succession at one term.
     ///
-    /// The term must belong to this plan alone: two plans that share a term could promote two
-    /// members under it.
+    /// No other plan may use the same term: two plans with the same term could promote two members
+    /// at it.
     pub struct SuccessionPlan {
         pub(super) term: LogTerm,
         pub(super) bounds: PlanBounds,
@@ -27,7 +28,7 @@
 }
 
 impl SuccessionPlan {
-    /// A plan over all members of a group, with nothing sent yet.
+    /// Creates a plan for all members of a group that has sent no statement yet.
     ///
     /// ```
     /// use rudder_core::{LogTerm, PlanBounds, PlanMember, SuccessionPlan};
@@ -47,10 +48,11 @@
         Self { term, bounds, target: None, progress, phase }
     }
 
-    /// Makes this a planned switch: `target` is promoted once its log reaches the most advanced.
+    /// Makes this a planned switch: `target` is promoted once its log has caught up with the most
+    /// advanced log.
     ///
     /// If the target cannot be fenced or does not catch up in time, the most advanced member is
-    /// promoted instead, so that a failed switch leaves a primary behind.
+    /// promoted instead, so that the group has a primary after a failed switch.
     ///
     /// ```
     /// use rudder_core::{LogTerm, PlanBounds, PlanState, SuccessionPlan};
@@ -67,13 +69,13 @@
         self
     }
 
-    /// The plan's term.
+    /// Returns the plan's term.
     #[must_use]
     pub const fn term(&self) -> LogTerm {
         self.term
     }
 
-    /// Where the plan stands.
+    /// Returns the state of the plan.
     ///
     /// ```
     /// use rudder_core::{LogTerm, PlanBounds, PlanState, SuccessionPlan};
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The statements to send now. At most one is in flight at each member.
+    /// Returns the statements to send now. At most one is in flight to each member.
     ///
     /// ```
     /// use rudder_core::{LogTerm, PlanBounds, SuccessionPlan};
@@ -115,8 +117,8 @@
         requests
     }
 
-    /// Takes in what came of a statement that [`Self::poll`] gave out. Late and repeated answers
-    /// are harmless.
+    /// Handles the reply to a statement that [`Self::poll`] returned. Late and repeated replies
+    /// have no effect.
     ///
     /// ```
     /// use rudder_core::{
@@ -143,8 +145,8 @@
         if matches!(self.phase, PlanPhase::Ended(_)) {
             return;
         }
-        // Guards against two successions at once, and against a promoter that was frozen and
-        // woke up: a greater accepted term means that another one has gone on since.
+        // A greater accepted term means that another succession has begun since, concurrently or
+        // while this instance was suspended. This plan must not continue beside it.
         if let Some(term) = self.superseding_term(reply) {
             self.phase = PlanPhase::Ended(PlanState::Superseded(term));
             return;
@@ -163,7 +165,7 @@
         self.advance(now);
     }
 
-    /// When [`Self::poll`] has something to do next, if nothing is observed before.
+    /// Returns the time at which [`Self::poll`] next has work, unless a reply arrives before.
     ///
     /// ```
     /// use rudder_core::{LogTerm, PlanBounds, SuccessionPlan};
--- a/crates/rudder-core/src/succession/plan_advance.rs
+++ b/crates/rudder-core/src/succession/plan_advance.rs
@@ -1,4 +1,4 @@
-//! How a plan moves from phase to phase, and what each phase sends.
+//! Transitions between the phases of a plan, and the statements that each phase sends.
 
 use super::candidate::choose_candidate;
 use super::plan::SuccessionPlan;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl SuccessionPlan {
-    /// What an idle member shall be sent next, now or once it is due.
+    /// Returns the next statement for a member that has none in flight, to be sent once it is due.
     pub(super) fn next_statement(&self, progress: &MemberProgress) -> Option<ControlStatement> {
         if progress.in_flight.is_some() {
             return None;
@@ -54,8 +54,9 @@
             PlanPhase::CatchingUp { since, .. } if self.has_timed_out(now, since) => {
                 self.promote_most_advanced(now);
             }
-            // Guards against two primaries of one term: the lost promotion may have taken effect,
-            // so no other member is promoted at this term. The driver goes on at a new one.
+            // The unanswered promotion may have taken effect. Promoting another member at this term
+            // could make two primaries of one term, so the plan ends and the driver continues at a
+            // new term.
             PlanPhase::Promoting { candidate, since }
             | PlanPhase::Confirming { candidate, since }
                 if self.has_timed_out(now, since) =>
@@ -76,8 +77,8 @@
 
     pub(super) fn advance_fencing(&mut self, now: Duration, majority_since: Option<Duration>) {
         let fenced = self.progress.iter().filter(|progress| progress.fenced.is_some()).count();
-        // Guards against a promotion that misses acknowledged writes: every acknowledgement
-        // rests on a majority, and only another majority is sure to share a member with it.
+        // Every acknowledged write was received by a majority, and only another majority is certain
+        // to share a member with it. With fewer fenced members, acknowledged writes could be lost.
         if fenced < majority_of(self.progress.len()) {
             return;
         }
--- a/crates/rudder-core/src/succession/plan_phase.rs
+++ b/crates/rudder-core/src/succession/plan_phase.rs
@@ -1,4 +1,4 @@
-//! What a plan remembers: the phase that it is in, and its progress at each member.
+//! The state of a plan: its current phase and its progress at each member.
 
 use super::plan_step::{PlanMember, PlanState};
 use crate::control::ControlStatement;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 plain_data! {
-    /// What the plan knows about one member.
+    /// The plan's progress at one member.
     pub(super) struct MemberProgress {
         pub(super) member: PlanMember,
         pub(super) in_flight: Option<SentStatement>,
@@ -21,14 +21,14 @@
 }
 
 plain_data! {
-    /// A statement in flight.
+    /// A statement that is in flight.
     pub(super) struct SentStatement {
         pub(super) statement: ControlStatement,
         pub(super) sent_at: Duration,
     }
 }
 
-/// The order of steps.
+/// The phases of a plan, in order. `CatchingUp` occurs only in a planned switch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PlanPhase {
     Fencing { majority_since: Option<Duration> },
--- a/crates/rudder-core/src/succession/plan_reply.rs
+++ b/crates/rudder-core/src/succession/plan_reply.rs
@@ -1,4 +1,4 @@
-//! What a plan concludes from the answers of members.
+//! Handling of the replies of members to the statements of a plan.
 
 use super::plan::SuccessionPlan;
 use super::plan_phase::{PlanPhase, SentStatement};
@@ -19,8 +19,8 @@
         progress.attempted = true;
         progress.due_at = now + self.bounds.retry;
         match &sent.statement {
-            // A member counts as fenced by its own word only: an answer at a lower term would
-            // let it go on taking the old primary's writes after its log was compared.
+            // A member counts as fenced only if it reports the plan's term. A member at a lower
+            // term would continue to receive the old primary's writes after its log was compared.
             ControlStatement::Fence(_) if status.accepted == self.term => {
                 progress.fenced = Some(status);
             }
@@ -89,9 +89,9 @@
         progress.due_at = now + retry;
         let name = progress.member.name.clone();
         match &self.phase {
-            // Guards against a lost `follow` that a frozen member runs late: it would turn the
-            // promoted target into a replica again and cut its log. So a target whose `follow`
-            // went unanswered is never promoted at this term.
+            // A suspended member may run an unanswered `follow` statement late. If the target had
+            // been promoted by then, the statement would make it a replica again and truncate its
+            // log, so a target whose `follow` was not answered is never promoted at this term.
             PlanPhase::CatchingUp { target, .. }
                 if *target == name && matches!(sent.statement, ControlStatement::Follow(..)) =>
             {
--- a/crates/rudder-core/src/succession/plan_step.rs
+++ b/crates/rudder-core/src/succession/plan_step.rs
@@ -1,4 +1,4 @@
-//! The messages between a succession plan and whoever drives it.
+//! The types exchanged between a succession plan and its driver.
 
 use crate::control::ControlStatement;
 use crate::ident::MemberName;
@@ -8,24 +8,25 @@
 use std::time::Duration;
 
 plain_data! {
-    /// A member as the plan sees it.
+    /// A member of the group for which a plan is made.
     pub struct PlanMember {
         /// The member's name.
         pub name: MemberName,
-        /// Decides between members whose logs are equally advanced; the lowest wins.
+        /// Rank among members whose logs are equally advanced; the lowest is promoted.
         pub preference: u32,
     }
 }
 
 plain_data! {
-    /// The plan's bounds in time.
+    /// The delays and timeouts of a plan.
     #[derive(Copy)]
     pub struct PlanBounds {
-        /// How long a lost statement rests before it is sent again.
+        /// Delay before a statement is sent to the same member again.
         pub retry: Duration,
-        /// How long the plan waits for more answers than the bare majority.
+        /// Time for which the plan waits for more replies after a majority is fenced.
         pub grace: Duration,
-        /// How long the chosen member may stay unheard.
+        /// Timeout for the chosen member to catch up, to be promoted, to respond while the others
+        /// start to replicate, and to be confirmed.
         pub patience: Duration,
     }
 }
@@ -33,35 +34,36 @@
 plain_data! {
     /// A statement to send to a member.
     pub struct PlanRequest {
-        /// The member to ask.
+        /// The member to send it to.
         pub member: MemberName,
         /// The statement to run there.
         pub statement: ControlStatement,
     }
 }
 
-/// What came of a statement.
+/// The result of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanReply {
-    /// The member ran it and reports this status, taken after its effect.
+    /// The member ran it and reported this status, read after its effect.
     Status(MemberStatus),
-    /// The member refused it, because it accepted this greater term.
+    /// The member rejected it, because it has accepted this greater term.
     Superseded(LogTerm),
-    /// The member refused it for another reason.
+    /// The member rejected it for another reason.
     Refused,
-    /// No answer came; the statement may have taken effect.
+    /// No reply arrived; the statement may have taken effect.
     Lost,
 }
 
-/// Where a plan stands.
+/// The state of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanState {
-    /// Statements are under way or due.
+    /// Statements are in flight or due.
     Running,
-    /// The member is primary of the plan's term and a majority replicates from it.
+    /// The member is the primary of the plan's term and a majority replicates from it, counting the
+    /// member itself.
     Done(MemberName),
-    /// A member accepted this greater term: another succession goes on.
+    /// A member accepted this greater term: another succession has begun.
     Superseded(LogTerm),
-    /// The chosen member was lost after a promotion may have reached it: a new term is needed.
+    /// The chosen member failed after a promotion may have reached it: a new term is needed.
     CandidateLost(MemberName),
 }
--- a/crates/rudder-core/src/succession/purse.rs
+++ b/crates/rudder-core/src/succession/purse.rs
@@ -1,4 +1,4 @@
-//! The reserved terms of one run, each spent at most once.
+//! The reserved terms of one run, each of which is used at most once.
 
 use super::grant::SuccessionGrant;
 use super::reservation::{TermReservation, WriterMark};
@@ -6,7 +6,7 @@
 use crate::stamp::LogTerm;
 
 plain_data! {
-    /// What one run of an instance remembers of the terms reserved for it.
+    /// The terms reserved for one run of an instance, and the last one that it used.
     pub struct TermPurse {
         incarnation: WriterMark,
         reserved: Option<TermReservation>,
@@ -15,7 +15,7 @@
 }
 
 impl TermPurse {
-    /// An empty purse of the run that `incarnation` marks.
+    /// Creates an empty purse for the run with the mark `incarnation`.
     ///
     /// ```
     /// use rudder_core::{LogTerm, TermPurse, WriterMark};
@@ -27,13 +27,13 @@
         Self { incarnation, reserved: None, last_used: LogTerm(0) }
     }
 
-    /// The mark of this run.
+    /// Returns the mark of this run.
     #[must_use]
     pub const fn incarnation(&self) -> &WriterMark {
         &self.incarnation
     }
 
-    /// Takes over what a grant reserves for this run.
+    /// Stores the terms that a grant reserves for this run.
     ///
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, TermPurse, WriterMark};
@@ -51,14 +51,14 @@
     /// ```
     pub fn refill(&mut self, grant: &SuccessionGrant) {
         let Some(entry) = grant.reserved_for(&self.incarnation) else { return };
-        // A stale read of the grant shows an earlier, lower reservation; it changes nothing.
+        // A stale read of the grant contains an earlier, lower reservation, which is ignored.
         if self.reserved.as_ref().is_none_or(|reserved| reserved.first < entry.first) {
             self.reserved = Some(entry.clone());
         }
     }
 
-    /// Takes out the least reserved term that is greater than `accepted`, the greatest term that
-    /// members are known to have accepted.
+    /// Returns the lowest unused reserved term that is greater than `accepted`, the greatest term
+    /// that members are known to have accepted, and marks it as used.
     ///
     /// ```
     /// use rudder_core::{LogTerm, TermPurse, WriterMark};
@@ -73,7 +73,7 @@
         Some(term)
     }
 
-    /// Whether a reserved term is at hand that members would accept.
+    /// Returns whether an unused reserved term is available that members would accept.
     ///
     /// ```
     /// use rudder_core::{LogTerm, TermPurse, WriterMark};
--- a/crates/rudder-core/src/succession/reservation.rs
+++ b/crates/rudder-core/src/succession/reservation.rs
@@ -1,4 +1,4 @@
-//! Terms set aside for one run of an instance.
+//! Terms reserved for one run of an instance.
 
 use crate::derive::name_type;
 use crate::ident::InstanceName;
@@ -7,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 
 name_type! {
-    /// A random mark by which a writer knows its own change again, and a run its reservations.
+    /// A random mark by which a writer recognises its own change, and a run its own reservations.
     ///
-    /// The holder's name does not do: a restarted instance bears the same name.
+    /// The instance name is not sufficient, because a restarted instance has the same name.
     WriterMark
 }
 
 impl WriterMark {
-    /// A fresh mark.
+    /// Creates a random mark.
     ///
     /// ```
     /// use rudder_core::WriterMark;
@@ -27,36 +27,36 @@
 }
 
 plain_data! {
-    /// One run of an instance that keeps a group.
+    /// One run of an instance that supervises a group and can replace its primary.
     #[derive(Serialize, Deserialize)]
     pub struct KeeperSeat {
         /// The instance.
         pub instance: InstanceName,
-        /// The mark of its current run; a restart brings another.
+        /// The mark of its current run; a restart changes it.
         pub incarnation: WriterMark,
     }
 }
 
 plain_data! {
-    /// Terms set aside for one run: `first`, then each `step` further, `count` in all.
+    /// `count` terms reserved for one run: `first`, and then every `step`-th term after it.
     ///
-    /// The terms of several runs are interleaved, so that those of one run stay of use after
-    /// another one has used its own.
+    /// The terms of several runs are interleaved, so that one run still has terms that members
+    /// accept after another run has used some of its own.
     #[derive(Serialize, Deserialize)]
     pub struct TermReservation {
         /// The first term.
         pub first: LogTerm,
-        /// The distance from each term to the next.
+        /// The difference between consecutive terms.
         pub step: u32,
-        /// How many terms there are.
+        /// The number of terms.
         pub count: u32,
-        /// Who may use them.
+        /// The run that may use them.
         pub seat: KeeperSeat,
     }
 }
 
 impl TermReservation {
-    /// The reserved terms, in order.
+    /// Returns the reserved terms, in ascending order.
     ///
     /// ```
     /// use rudder_core::{KeeperSeat, LogTerm, TermReservation, WriterMark};
@@ -70,7 +70,7 @@
         (0..u64::from(self.count)).map(move |index| LogTerm(first + index * step))
     }
 
-    /// How many of the terms are greater than `accepted`.
+    /// Returns the number of terms that are greater than `accepted`.
     ///
     /// ```
     /// use rudder_core::{KeeperSeat, LogTerm, TermReservation, WriterMark};
--- a/crates/rudder-core/src/succession/stall.rs
+++ b/crates/rudder-core/src/succession/stall.rs
@@ -1,4 +1,5 @@
-//! Which replicas have stopped following: behind the primary, and not moving.
+//! Detection of replicas that have stopped replicating: their log is behind the primary's and does
+//! not grow.
 
 use crate::ident::MemberName;
 use crate::plain_data;
@@ -15,7 +16,7 @@
 }
 
 plain_data! {
-    /// Remembers since when each member's log has stood still.
+    /// The time since when each member's log has not grown.
     #[derive(Default)]
     pub struct StallWatch {
         marks: Vec<StallMark>,
@@ -23,10 +24,12 @@
 }
 
 impl StallWatch {
-    /// Takes in a report and says whether the member has stood still behind the primary for
-    /// `bound`. The watch then starts anew, so that the caller repeats its repair once per bound.
+    /// Records a report and returns whether the member's log has been behind the primary's without
+    /// growing for `bound`. The time then starts again, so that the caller repeats its repair once
+    /// per `bound`.
     ///
-    /// A restarted member follows nobody; its status says so only by this.
+    /// A restarted member does not replicate from any member, and its status shows this only by a
+    /// log that does not grow.
     ///
     /// ```
     /// use rudder_core::{LogStamp, LogTerm, MemberRole, MemberStatus, StallWatch};
--- a/crates/rudder-core/src/succession/tally.rs
+++ b/crates/rudder-core/src/succession/tally.rs
@@ -1,11 +1,13 @@
-//! When a primary is suspected: own failed requests and probes, and the votes of other observers.
+//! Failure detection for a primary, from failed requests and probes of this observer and from the
+//! votes of other observers.
 
 use crate::ident::{DomainName, InstanceName};
 use crate::plain_data;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A waking observer must see fresh failures, not only a long silence, before it votes.
+/// Minimum number of consecutive failures before an observer votes. An observer that was suspended
+/// sees a long time without a response when it resumes, so the elapsed time alone is not enough.
 const FAILURES_MIN: u32 = 2;
 
 /// Number of consecutive responses that withdraw the observer's own vote, so that a flapping link
@@ -15,32 +17,33 @@
 /// Factor by which an observer waits longer if it receives votes from too few failure domains.
 const ISOLATED_TIMEOUT_FACTOR: u32 = 2;
 
-/// What an observer says about a primary.
+/// An observer's vote on a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VoteKind {
-    /// The primary answered lately.
+    /// The primary responded recently.
     Heard,
-    /// The primary has been silent for too long.
+    /// The primary has not responded for too long.
     Unheard,
 }
 
 plain_data! {
     /// The latest vote of one observer.
     pub struct ObserverVote {
-        /// The instance that observes.
+        /// The observing instance.
         pub observer: InstanceName,
-        /// The failure domain that it stands in.
+        /// The failure domain of that instance.
         pub domain: DomainName,
-        /// What it says.
+        /// The vote.
         pub kind: VoteKind,
-        /// When the vote arrived here.
+        /// Time at which the vote arrived at this instance.
         pub at: Duration,
     }
 }
 
 plain_data! {
-    /// One observer's tally over one primary. Times count from any origin of the owner.
+    /// One observer's failure detector for one primary. Times count from an origin chosen by the
+    /// owner.
     pub struct SuspicionTally {
         suspect_after: Duration,
         domain: DomainName,
@@ -55,9 +58,10 @@
 }
 
 impl SuspicionTally {
-    /// A tally that has just heard the primary.
+    /// Creates a tally for a primary that has responded just now.
     ///
-    /// `domains_expected` counts the failure domains that have an observer, the own included.
+    /// `domains_expected` is the number of failure domains that have an observer, including this
+    /// observer's own.
     ///
     /// ```
     /// use rudder_core::SuspicionTally;
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Takes in an answer of the primary to a statement that was sent at `sent_at`.
+    /// Records a response of the primary to a statement that was sent at `sent_at`.
     ///
     /// ```
     /// use rudder_core::{SuspicionTally, VoteKind};
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Takes in a failed request or probe.
+    /// Records a failed request or probe.
     ///
     /// ```
     /// use rudder_core::{SuspicionTally, VoteKind};
@@ -128,7 +132,8 @@
         self.unheard |= self.is_unresponsive(now);
     }
 
-    /// Starts anew over a primary that was just confirmed; votes over the lost one do not count.
+    /// Resets the tally for a primary that was just confirmed. Votes on the previous primary are
+    /// dropped.
     ///
     /// ```
     /// use rudder_core::SuspicionTally;
@@ -149,7 +154,7 @@
         self.votes.clear();
     }
 
-    /// Takes in the vote of another observer; it replaces that observer's earlier one.
+    /// Records the vote of another observer, which replaces that observer's earlier vote.
     ///
     /// ```
     /// use rudder_core::{ObserverVote, SuspicionTally, VoteKind};
@@ -173,7 +178,7 @@
         }
     }
 
-    /// The own vote, to be told to the other observers.
+    /// Returns this observer's vote, to be sent to the other observers.
     ///
     /// ```
     /// use rudder_core::{SuspicionTally, VoteKind};
@@ -189,7 +194,8 @@
         if is_unheard { VoteKind::Unheard } else { VoteKind::Heard }
     }
 
-    /// When the own vote turns to unheard if nothing is heard before; none while all is well.
+    /// Returns the earliest time at which this observer's vote can become `Unheard` without a
+    /// response, or `None` if no request has failed since the last response.
     ///
     /// ```
     /// use rudder_core::SuspicionTally;
@@ -212,8 +218,8 @@
         self.failures >= FAILURES_MIN && now >= self.last_response_at + self.suspect_after
     }
 
-    /// Whether the primary is suspected: the own vote and those of observers in a majority of the
-    /// failure domains that can speak say that it is unheard.
+    /// Returns whether the primary is suspected: this observer votes `Unheard`, and so does a
+    /// majority of the failure domains with a current vote.
     ///
     /// ```
     /// use rudder_core::SuspicionTally;
@@ -237,8 +243,8 @@
         }
         let domains = self.domain_votes(now);
         let unheard = domains.iter().filter(|(_, kind)| *kind == VoteKind::Unheard).count();
-        // Guards against one cut link: the observer behind it is alone in its vote, and the
-        // other failure domains outvote it.
+        // If a single link fails, only the observer behind it votes `Unheard`, and the other
+        // failure domains outvote it.
         if 2 * unheard <= domains.len() {
             return false;
         }
@@ -248,7 +254,7 @@
         !is_isolated || now >= self.last_response_at + ISOLATED_TIMEOUT_FACTOR * self.suspect_after
     }
 
-    /// Changes how many failure domains have an observer.
+    /// Sets the number of failure domains that have an observer.
     ///
     /// ```
     /// use rudder_core::SuspicionTally;
--- a/crates/rudder-core/src/unit.rs
+++ b/crates/rudder-core/src/unit.rs
@@ -8,11 +8,11 @@
     ByteSize(u64)
 }
 number_type! {
-    /// How many statements a member runs at the same time.
+    /// Number of statements that a member runs concurrently.
     SlotCount(u32)
 }
 number_type! {
-    /// How many connections a member accepts from all instances together.
+    /// Number of connections that a member accepts from all instances together.
     ConnectionCount(u32)
 }
 number_type! {
--- a/crates/rudder-core/tests/ack.rs
+++ b/crates/rudder-core/tests/ack.rs
@@ -1,4 +1,4 @@
-//! When a commit may be acknowledged.
+//! Tests of the decision whether a commit may be acknowledged.
 
 use rudder_core::{
     AckVerdict, LogStamp, LogTerm, MemberName, MemberRole, MemberStatus, judge_commit,
@@ -22,8 +22,8 @@
     assert_eq!(verdict, AckVerdict::Acknowledged);
 }
 
-// A cut-off primary takes a write after its successor was made. The caller must not wait for an
-// acknowledgement that cannot come.
+// An isolated primary accepts a write after its successor was promoted. The caller must not wait for
+// an acknowledgement that can never arrive.
 #[test]
 fn greater_accepted_term_supersedes_the_commit() {
     let reports = [report("m0", 2, COMMIT), report("m1", 3, LogStamp::new(2, 8))];
@@ -33,8 +33,8 @@
     assert_eq!(verdict, AckVerdict::Superseded);
 }
 
-// A member that has not accepted the primary's term can still be fenced by a lower one, and its
-// log be cut; its report says nothing about the commit.
+// A member that has not accepted the primary's term can still be fenced by a lower term, and its log
+// truncated, so its report does not count for the commit.
 #[test]
 fn report_of_a_lower_term_does_not_count() {
     let reports = [report("m0", 2, COMMIT), report("m1", 1, COMMIT)];
@@ -48,8 +48,8 @@
     MemberStatus { role, accepted: LogTerm(accepted), received, applied: received }
 }
 
-// A caller is told that its claim was made, and it is gone. The member commits it, is superseded,
-// drops it, and leads again before it says how far its log goes.
+// A caller receives an acknowledgement for a commit that was dropped: the member commits it, is
+// superseded, drops it, and is promoted again before it reports the end of its log.
 #[test]
 fn member_promoted_again_in_between_gives_no_stamp() {
     let promoted_again = status(MemberRole::Primary, 3, LogStamp::new(3, 12));
--- a/crates/rudder-core/tests/freshness.rs
+++ b/crates/rudder-core/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! Ages never come out too small, and reads are refused rather than answered with old data.
+//! Tests that computed ages are never too small and that reads which could return data older than
+//! allowed are rejected.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,8 +33,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A reader is shown data older than its bound because old samples were thinned out wrongly.
-    // The ledger's age must never be below that of all samples, and never be unbounded more.
+    // A reader receives data older than its bound because the wrong samples were dropped. The
+    // ledger's age must never be less than the age computed from all samples, and must equal it
+    // while no sample has been dropped.
     #[test]
     fn age_is_never_too_small(
         mut samples in proptest::collection::vec((0..5000_u64, 0..5000_u64), 1..400),
@@ -71,8 +73,8 @@
     assert!(ages[2].is_some_and(|age| age <= secs(1500)), "{ages:?}");
 }
 
-// A replica has stopped applying; the last sample that it covers lies far back. A reader with a
-// bound of five seconds must not be shown its data.
+// A replica has stopped applying its log, and the last sample that it covers is old. A reader with a
+// bound of five seconds must not receive its data.
 #[test]
 fn lagging_replica_is_too_old_for_the_bound() {
     let mut ledger = AgeLedger::default();
@@ -88,8 +90,8 @@
     assert_eq!(verdicts, [serve, too_old, too_old, serve, too_old]);
 }
 
-// A session wrote at term 2 and reads from a member that was left behind at term 1 with a longer
-// log; by position alone it would seem to hold the write.
+// A session wrote at term 2 and reads from a member that is still at term 1 with a longer log.
+// Compared by position alone, the member would seem to have the write.
 #[test]
 fn session_floor_compares_terms_first() {
     let mut ledger = AgeLedger::default();
@@ -104,8 +106,8 @@
     assert_eq!(verdicts, [too_old, too_old, ReadVerdict::Serve]);
 }
 
-// A primary is cut off from its group but still answers this proxy. Its log is not the newest any
-// more; only a majority at its own term confirms it.
+// A primary is isolated from its group but still responds to this proxy. Its log may no longer be
+// the newest; only a majority at its own term confirms it.
 #[test]
 fn isolated_primary_gives_no_sample() {
     // The primary was just restarted and has not yet applied again what it acknowledged.
--- a/crates/rudder-core/tests/history.rs
+++ b/crates/rudder-core/tests/history.rs
@@ -1,4 +1,4 @@
-//! Feeds the history checker runs that break one rule each.
+//! Tests of the consistency checker: a valid run, and runs that violate one rule each.
 
 use rudder_core::{
     HistoryFault, HistoryLog, OutcomeClass, ReadRecord, StoredValue, WriteOutcome, WriteRecord,
--- a/crates/rudder-core/tests/succession/faults.rs
+++ b/crates/rudder-core/tests/succession/faults.rs
@@ -1,4 +1,4 @@
-//! Generated schedules of faults over a group in memory, one or two promoters and writers.
+//! Randomly generated fault schedules on an in-memory group with up to two promoters and with writers.
 
 use super::model::{ModelGroup, ModelMember, member_name};
 use proptest::prelude::*;
@@ -39,7 +39,7 @@
     Poll(usize),
     Deliver(usize),
     DeliverAll,
-    /// The promoter gives up waiting; the statement stays under way and may run late.
+    /// The promoter stops waiting; the statement stays in flight and may run late.
     TimeOut(usize),
     Drop(usize),
     Reply {
@@ -138,7 +138,7 @@
         if self.writes.is_empty() || !self.group.members[member].up {
             return;
         }
-        // The newest writes are the ones worth asking about.
+        // Small indexes select the newest writes, whose acknowledgement is still undecided.
         let index = self.writes.len() - 1 - write % self.writes.len();
         let (name, status) = (member_name(member), self.group.members[member].status());
         let write = &mut self.writes[index];
@@ -327,7 +327,8 @@
     ]
 }
 
-/// A fixed seed unless `PROPTEST_RNG_SEED` gives another; more cases by `PROPTEST_CASES`.
+/// Uses a fixed seed unless `PROPTEST_RNG_SEED` is set, and the default number of cases unless
+/// `PROPTEST_CASES` is set.
 fn config() -> ProptestConfig {
     let config = ProptestConfig { failure_persistence: None, ..ProptestConfig::default() };
     let is_set = |name| std::env::var_os(name).is_some();
@@ -341,9 +342,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Callers lose a change that was acknowledged, or two primaries both take changes. Members are
-    // killed and return, statements run late or their answers are lost, and two promoters work at
-    // the same time. Cause to be excluded: a promotion that misses what an acknowledgement rests on.
+    // An acknowledged write is lost, or two primaries of one term accept writes, because a promotion
+    // misses the majority that received a write. Members stop and restart, statements run late or
+    // lose their replies, and two promoters run concurrently.
     #[test]
     fn no_acknowledged_write_is_lost(
         size in prop_oneof![4 => Just(3_usize), 1 => Just(5_usize)],
--- a/crates/rudder-core/tests/succession/grant.rs
+++ b/crates/rudder-core/tests/succession/grant.rs
@@ -1,4 +1,4 @@
-//! Terms of different runs never meet.
+//! Tests that no two runs ever use the same term.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug)]
 enum GrantStep {
-    /// Reads the object; its changes are based on this version until the next read.
+    /// Reads the object; the keeper bases its changes on this version until its next read.
     Read(usize),
     Take(usize),
     Enrol(usize),
@@ -47,7 +47,7 @@
         Self { versions: vec![first], keepers, accepted: LogTerm(1), used_terms: Vec::new() }
     }
 
-    /// A conditional update: it takes effect only on the latest version.
+    /// Applies a conditional update, which takes effect only on the latest version.
     fn put(&mut self, index: usize, grant: Option<SuccessionGrant>) -> bool {
         let is_latest = self.keepers[index].read_version + 1 == self.versions.len();
         if is_latest {
@@ -116,9 +116,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Two members become primary of the same term, and each counts the other's reports. Keepers
-    // read at different times, update by condition, spend reserved terms during an outage on old
-    // copies, and restart under the same name.
+    // Two members become primary of the same term, and each counts the reports for the other.
+    // Keepers read at different times, update conditionally, use reserved terms from old copies
+    // during an outage of the platform, and restart under the same name.
     #[test]
     fn no_term_is_used_twice(steps in proptest::collection::vec(grant_step(), 5..80)) {
         let mut simulation = GrantSimulation::new();
@@ -132,8 +132,8 @@
     }
 }
 
-// An instance restarts under its name during a quiet time. Without a reservation for its new run
-// it could not act in an outage of the platform.
+// An instance restarts under its name while nothing else changes the grant. Without a reservation
+// for its new run, it could not promote a member during an outage of the platform.
 #[test]
 fn restarted_keeper_gets_a_reservation_of_its_own() {
     let names = [instance(0)];
@@ -157,8 +157,8 @@
     grant.enrol(&keeper(1).seat, &names, LogTerm(1)).expect("a change")
 }
 
-// One keeper used most of its terms during an outage; writing that down gives new ones to all. The
-// other keeper still holds its old ones in memory, so the new ones must lie above those too.
+// One keeper used most of its terms during an outage, and recording its primary reserves new terms
+// for all. The other keeper still has its old terms in memory, so the new ones must be above these.
 #[test]
 fn recorded_primary_never_reuses_terms() {
     let grant = grant_of_two();
--- a/crates/rudder-core/tests/succession/main.rs
+++ b/crates/rudder-core/tests/succession/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the succession decisions: single steps, and generated schedules of faults.
+//! Tests of the succession decisions: single steps, and randomly generated fault schedules.
 
 mod faults;
 mod grant;
--- a/crates/rudder-core/tests/succession/model.rs
+++ b/crates/rudder-core/tests/succession/model.rs
@@ -1,5 +1,6 @@
-//! A database group in memory, with the exact meaning of the control statements and the worst
-//! behaviour that it leaves open: a primary told to follow gives up its role and cuts its log.
+//! An in-memory model of a database group. It implements the control statements exactly and, where
+//! they leave a choice, behaves in the worst permitted way: a primary that receives `follow` becomes
+//! a replica and truncates its log.
 
 use rudder_core::{
     ControlStatement, LogStamp, LogTerm, MemberName, MemberRole, MemberStatus, PlanReply,
@@ -48,7 +49,7 @@
 }
 
 impl ModelGroup {
-    /// A group whose first member leads at term 1 and is followed by all others.
+    /// Creates a group whose first member is primary of term 1 and from which all others replicate.
     pub(crate) fn new(count: usize) -> Self {
         let member = |index| ModelMember {
             name: member_name(index),
@@ -98,7 +99,8 @@
         PlanReply::Status(member.status())
     }
 
-    /// Lets a member fetch from its leader: cuts what the leader lacks, takes up to `count` more.
+    /// Replicates from the member's leader: drops the entries that the leader lacks, and appends up
+    /// to `count` more.
     pub(crate) fn replicate(&mut self, index: usize, count: usize) {
         let Some(leader) = self.members[index].leader.clone() else { return };
         let leader = self.members[self.index_of(&leader)].clone();
@@ -125,7 +127,7 @@
         self.members[index].up = false;
     }
 
-    /// Brings a member back as a replica that follows nobody.
+    /// Restarts a stopped member as a replica that does not replicate from any member.
     pub(crate) fn restart(&mut self, index: usize) {
         let member = &mut self.members[index];
         if !member.up {
--- a/crates/rudder-core/tests/succession/plan.rs
+++ b/crates/rudder-core/tests/succession/plan.rs
@@ -1,4 +1,4 @@
-//! Single steps of a succession plan that generated schedules reach too seldom.
+//! Tests of single steps of a succession plan that generated schedules rarely reach.
 
 use super::model::{ModelGroup, member_name};
 use rudder_core::{
@@ -73,8 +73,8 @@
     assert_eq!(group.members[1].leader, Some(member_name(2)));
 }
 
-// A write is acknowledged by the old primary and the one member that the promoter cannot reach.
-// The promoter has fenced a single member. Promoting on its word alone would lose the write.
+// A write was acknowledged by the old primary and one other member, and the promoter reaches only
+// the third. Promoting that member without a fenced majority would lose the write.
 #[test]
 fn fenced_minority_does_not_promote() {
     let mut plan = plan();
@@ -86,8 +86,8 @@
     assert_eq!(requests, vec![request(0, fence()), request(2, fence())]);
 }
 
-// A member answers the fence while it still stands at the old term and goes on taking the old
-// primary's writes; were it counted as fenced, its log could grow after it was compared.
+// A member replies to the fence with the old term and continues to receive the old primary's writes.
+// If it counted as fenced, its log could grow after the logs were compared.
 #[test]
 fn member_at_lower_term_is_not_fenced() {
     let mut plan = plan();
@@ -99,8 +99,8 @@
     assert!(requests.contains(&request(0, ControlStatement::Fence(TERM))));
 }
 
-// A write that the slowest member alone received besides the primary would be cut although it
-// could be kept: the plan waits a short while for more answers than the bare majority.
+// Besides the primary, only the slowest member received a write. The write can be kept if the plan
+// waits a short time for more replies after a majority is fenced.
 #[test]
 fn plan_waits_for_replies_beyond_the_majority() {
     let mut plan = plan();
@@ -117,8 +117,8 @@
     assert_eq!(late, vec![request(2, ControlStatement::Promote(TERM))]);
 }
 
-// The answer to the promotion is lost: the member may be primary of this term. Promoting another
-// one under the same term would make two primaries whose commits pass for each other's.
+// The reply to the promotion is lost, so the member may be primary of this term. Promoting another
+// member at the same term would make two primaries whose commits could not be told apart.
 #[test]
 fn unanswered_promotion_ends_the_plan() {
     let mut plan = plan();
@@ -134,7 +134,7 @@
     assert_eq!(plan.state(), PlanState::CandidateLost(member_name(1)));
 }
 
-// A member refuses the promotion, either in words or by naming a term that is not greater.
+// A member rejects the promotion, either explicitly or by returning a term that is not greater.
 #[test]
 fn refused_promotion_ends_the_plan() {
     for refusal in [PlanReply::Refused, PlanReply::Superseded(LogTerm(1))] {
@@ -148,8 +148,8 @@
     }
 }
 
-// The new primary dies after it answered the promotion. A status that was asked for before the
-// others followed must not open the group for writes.
+// The new primary fails after it replied to the promotion. A status that was requested before the
+// others replicate from it must not confirm it and make the group writable.
 #[test]
 fn confirmation_must_be_requested_after_the_others_follow() {
     let mut plan = plan();
@@ -186,8 +186,8 @@
     assert_eq!(plan.state(), PlanState::CandidateLost(member_name(1)));
 }
 
-// The promoter is frozen after it fenced. Another one goes on at a greater term. The first wakes
-// and sends its promotion; the refusal ends its plan, so it cuts nobody's log.
+// A promoter is suspended after fencing, and another one begins at a greater term. When the first
+// one resumes and sends its promotion, the rejection ends its plan, so it truncates no log.
 #[test]
 fn resumed_promoter_is_superseded() {
     let mut group = ModelGroup::new(3);
@@ -218,8 +218,9 @@
     assert_eq!(group.members[0].leader, Some(member_name(1)));
 }
 
-// The target of a switch freezes with the catch-up statement unanswered. If it were promoted and
-// ran that statement on waking, it would give up its role and cut acknowledged writes.
+// The target of a switch is suspended before it replies to the catch-up statement. If it were
+// promoted and ran that statement on resuming, it would become a replica again and truncate
+// acknowledged writes.
 #[test]
 fn target_with_unanswered_follow_is_not_promoted() {
     let mut plan = plan().switch_to(member_name(1));
--- a/crates/rudder-core/tests/succession/suspicion.rs
+++ b/crates/rudder-core/tests/succession/suspicion.rs
@@ -1,4 +1,4 @@
-//! When a primary is suspected and when it is not.
+//! Tests of failure detection, group condition and stall detection.
 
 use rudder_core::{
     GroupCondition, LogStamp, LogTerm, MemberRole, MemberStatus, ObserverVote, StallWatch,
@@ -38,8 +38,8 @@
     assert_eq!(suspicions, [false, true]);
 }
 
-// One link is cut: the observer behind it hears nothing, the other failure domains hear the
-// primary. A promotion would only interrupt service.
+// A single link fails: the observer behind it receives no responses, while the other failure domains
+// do. A promotion would interrupt the service without need.
 #[test]
 fn single_failed_link_is_not_suspected() {
     let mut tally = unresponsive_tally(3);
@@ -54,8 +54,8 @@
     assert!(with_second_vote);
 }
 
-// Two observers of one failure domain lose the primary together when their switch fails; they
-// count as one voice.
+// Observers in one failure domain lose the connection to the primary together when their network
+// switch fails, so they count as one vote.
 #[test]
 fn observers_of_one_domain_count_as_one_vote() {
     let mut tally = unresponsive_tally(3);
@@ -77,8 +77,8 @@
     assert_eq!(suspicions, [false, true]);
 }
 
-// An instance that is cut off from its peers and from the primary hears nobody's vote. It waits
-// longer than an observer whose peers agree.
+// An instance that is isolated from its peers and the primary receives no votes. It waits longer
+// than an observer whose peers agree with it.
 #[test]
 fn observer_without_peers_waits_longer() {
     let mut tally = unresponsive_tally(3);
@@ -90,8 +90,8 @@
     assert!(tally.is_suspected(at(1600)));
 }
 
-// An instance is frozen for a minute. On waking the primary seems silent for a minute, but only
-// one probe has failed: the one that was under way.
+// An instance is suspended for a minute. When it resumes, the last response is a minute old, but only
+// one probe has failed: the one that was in flight.
 #[test]
 fn resumed_observer_does_not_suspect_immediately() {
     let mut tally = tally(1);
@@ -101,8 +101,8 @@
     assert!(!tally.is_suspected(at(60_000)));
 }
 
-// A keeper is frozen while it suspects. By the time it wakes another one has replaced the
-// primary; it must look again before it fences the new one.
+// A keeper is suspended while it suspects the primary, and another keeper replaces the primary
+// meanwhile. After resuming it must probe again before it fences the new primary.
 #[test]
 fn resumed_keeper_ignores_old_failures() {
     let tally = unresponsive_tally(1);
@@ -129,8 +129,8 @@
     (name.parse().expect("a valid name"), status)
 }
 
-// The old primary was cut off and comes back while its successor serves. It still says that it
-// leads; pointing anyone to it would cut acknowledged writes.
+// The old primary was isolated and is reachable again after its successor was promoted. It still
+// reports itself as primary; a member made to replicate from it would truncate acknowledged writes.
 #[test]
 fn superseded_primary_is_reported_behind() {
     let reports = [
@@ -147,7 +147,7 @@
     assert_eq!(condition, led);
 }
 
-// A promoter died after fencing. The old primary answers, but its writes are refused by then.
+// A promoter failed after fencing. The old primary responds, but members already reject its writes.
 #[test]
 fn fenced_group_ignores_primary_of_lower_term() {
     let reports = [
