--- a/crates/arbutusrudder/src/caller/acknowledge.rs
+++ b/crates/arbutusrudder/src/caller/acknowledge.rs
@@ -9,50 +9,50 @@
 use tokio::time::timeout;
 
 /// A status may take this many times as long as a primary may stay unheard.
-const STATUS_PATIENCE: u32 = 2;
+const STATUS_TIMEOUT_FACTOR: u32 = 2;
 
 /// Queues the question for a member's status on a connection in use.
-pub(crate) fn ask_status(pooled: &mut PooledConnection) -> Result<(), ExchangeError> {
-    let question = ControlStatement::Status.to_string();
-    pooled.connection.queue_query(&question).map_err(|_| ExchangeError::MemberSilent)
+pub(crate) fn request_status(pooled: &mut PooledConnection) -> Result<(), ExchangeError> {
+    let request = ControlStatement::Status.to_string();
+    pooled.connection.queue_query(&request).map_err(|_| ExchangeError::MemberUnresponsive)
 }
 
-/// Reads the answer to [`ask_status`], and notes it as asked for at `asked_at`.
+/// Reads the answer to [`request_status`], and notes it as asked for at `status_requested_at`.
 pub(crate) async fn read_status(
     group: &GroupState,
     member: usize,
     pooled: &mut PooledConnection,
-    asked_at: Duration,
+    status_requested_at: Duration,
 ) -> Result<MemberStatus, ExchangeError> {
     // Guards against a connection that went silent for good while new ones work: a status takes no
     // slot, so its answer is never late for work's sake.
-    let bound = group.timing.suspect_after * STATUS_PATIENCE;
+    let bound = group.timing.suspect_after * STATUS_TIMEOUT_FACTOR;
     match timeout(bound, pooled.connection.next_status()).await {
         Ok(Ok(status)) => {
-            group.take_report(member, asked_at, Some(status));
+            group.take_report(member, status_requested_at, Some(status));
             Ok(status)
         }
         Ok(Err(ControlError::Unreachable(_))) => Err(ExchangeError::Member(WireError::Closed)),
-        Ok(Err(_)) | Err(_) => Err(ExchangeError::MemberSilent),
+        Ok(Err(_)) | Err(_) => Err(ExchangeError::MemberUnresponsive),
     }
 }
 
 /// The stamp of what was committed at `term`, by the member's own status after it; `None` if nobody
-/// can tell. The question for that status must have been queued already, at `asked_at` or later.
+/// can tell. The question for that status must have been queued already, at `status_requested_at` or later.
 pub(crate) async fn commit_stamp(
     group: &GroupState,
     member: usize,
     pooled: &mut PooledConnection,
     term: Option<LogTerm>,
-    asked_at: Duration,
+    status_requested_at: Duration,
 ) -> Option<LogStamp> {
-    let after = read_status(group, member, pooled, asked_at).await.ok()?;
+    let after = read_status(group, member, pooled, status_requested_at).await.ok()?;
     stamp_of_commit(term?, &after)
 }
 
 /// Waits until a majority holds the commit; `false` if nobody can tell whether it stays. Needs no
 /// connection, so that the member's scarce ones serve others meanwhile.
-pub(crate) async fn confirm(group: &GroupState, member: usize, commit: LogStamp) -> bool {
+pub(crate) async fn await_majority(group: &GroupState, member: usize, commit: LogStamp) -> bool {
     let nothing_to_lose = commit == LogStamp::default();
     if nothing_to_lose || group.service.ack == AckRule::Primary {
         return true;
--- a/crates/arbutusrudder/src/caller/attempt.rs
+++ b/crates/arbutusrudder/src/caller/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to run a batch at one member: a slot, a connection, and the status that the member
 //! gives on the same connection before the batch.
 
-use super::acknowledge::{ask_status, commit_stamp, read_status};
+use super::acknowledge::{commit_stamp, read_status, request_status};
 use super::session::CallerSession;
 use crate::exchange::{CallerBatch, ExchangeError, RelayBounds, sync_settings};
 use crate::group::{AdmissionPass, GroupState, PoolError, PooledConnection};
@@ -40,7 +40,7 @@
     settings_queued: bool,
     fingerprint: u64,
     started: Instant,
-    asked_at: Duration,
+    status_requested_at: Duration,
     _pass: AdmissionPass,
     _load: LoadGuard,
 }
@@ -81,7 +81,7 @@
 }
 
 /// Waits for a slot at a member, as long as the caller's kind allows.
-pub(crate) async fn enter(
+pub(crate) async fn acquire_slot(
     session: &CallerSession,
     group: &Arc<GroupState>,
     member: usize,
@@ -100,10 +100,10 @@
         queue_wait: session.caller.queue_wait,
         deadline,
     };
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let outcome = group.desk.enter(&request).await;
     metrics::histogram!("rudder_queue_seconds", "class" => class.to_string())
-        .record(asked.elapsed());
+        .record(requested_at.elapsed());
     if let Err(reason) = &outcome {
         log::info!(
             target: "rudder::admission", service:% = group.service.name,
@@ -125,8 +125,9 @@
         work: AttemptWork,
         deadline: Instant,
     ) -> Result<Self, AttemptError> {
-        let pass =
-            enter(session, group, member, work, deadline).await.map_err(AttemptError::Refused)?;
+        let pass = acquire_slot(session, group, member, work, deadline)
+            .await
+            .map_err(AttemptError::Refused)?;
         let load = LoadGuard::new(group, member);
         let within = deadline.saturating_duration_since(Instant::now());
         let timing = &group.timing;
@@ -138,12 +139,12 @@
         let unsent = |error| AttemptError::Pool(PoolError::Endpoint(error));
         let settings_queued = sync_settings(&mut pooled, &session.settings).map_err(unsent)?;
         let mut settings_queued = settings_queued;
-        if settings_queued && !session.settings_proven {
+        if settings_queued && !session.settings_verified {
             settings_queued = false;
-            prove_settings(session, &mut pooled, timing.statement_timeout).await?;
+            verify_settings(session, &mut pooled, timing.statement_timeout).await?;
         }
-        let question = ControlStatement::Status.to_string();
-        pooled.connection.queue_query(&question).map_err(unsent)?;
+        let request_text = ControlStatement::Status.to_string();
+        pooled.connection.queue_query(&request_text).map_err(unsent)?;
         let target = (pool.address().address, pooled.connection.cancel_target());
         *session.cancel.slot.lock().await = Some(target);
         Ok(Self {
@@ -153,15 +154,15 @@
             settings_queued,
             fingerprint: work.fingerprint,
             started: Instant::now(),
-            asked_at: group.board.now(),
+            status_requested_at: group.board.now(),
             _pass: pass,
             _load: load,
         })
     }
 
     /// Queues the question for the member's status after the batch.
-    pub(crate) fn ask_again(&mut self) -> Result<(), ExchangeError> {
-        ask_status(&mut self.pooled)
+    pub(crate) fn request_next_status(&mut self) -> Result<(), ExchangeError> {
+        request_status(&mut self.pooled)
     }
 
     /// Reads the status that was asked for before the batch.
@@ -171,33 +172,34 @@
             let bound = self.group.timing.statement_timeout;
             skip_reply(&mut self.pooled, bound).await?;
         }
-        self.last_status().await
+        self.next_status().await
     }
 
     /// Reads the status that was asked for after the batch. It was queued together with the batch,
     /// so it counts as asked for when the batch began.
-    pub(crate) async fn last_status(&mut self) -> Result<MemberStatus, ExchangeError> {
-        read_status(&self.group, self.member, &mut self.pooled, self.asked_at).await
+    pub(crate) async fn next_status(&mut self) -> Result<MemberStatus, ExchangeError> {
+        read_status(&self.group, self.member, &mut self.pooled, self.status_requested_at).await
     }
 
     /// The stamp of what the batch committed at `term`; `None` if nobody can tell.
     pub(crate) async fn commit_stamp(
         &mut self,
         term: Option<LogTerm>,
-        asked_again: bool,
+        status_requested: bool,
     ) -> Option<LogStamp> {
-        if !asked_again {
-            self.ask_again().ok()?;
+        if !status_requested {
+            self.request_next_status().ok()?;
         }
-        commit_stamp(&self.group, self.member, &mut self.pooled, term, self.asked_at).await
+        commit_stamp(&self.group, self.member, &mut self.pooled, term, self.status_requested_at)
+            .await
     }
 
     /// Ends an attempt whose member is ready and outside of a transaction.
     pub(crate) async fn finish(self, session: &CallerSession) {
         let member = &self.group.members[self.member];
-        let held = self.started.elapsed();
-        member.observe(held);
-        self.group.note_work(self.fingerprint, held.saturating_sub(member.link()));
+        let elapsed = self.started.elapsed();
+        member.observe(elapsed);
+        self.group.note_work(self.fingerprint, elapsed.saturating_sub(member.link()));
         self.group.note_outcome(self.member, true);
         // Waits for a cancel on its way: it must not hit the connection's next caller.
         *session.cancel.slot.lock().await = None;
@@ -210,7 +212,7 @@
         let member = &self.group.members[self.member];
         if !matches!(error, ExchangeError::Caller(_)) {
             self.group.note_outcome(self.member, false);
-            self.group.take_report(self.member, self.asked_at, None);
+            self.group.take_report(self.member, self.status_requested_at, None);
         }
         *session.cancel.slot.lock().await = None;
         log::info!(
@@ -244,19 +246,19 @@
             }
         }
     };
-    timeout(within, skip).await.map_err(|_| ExchangeError::MemberSilent)?
+    timeout(within, skip).await.map_err(|_| ExchangeError::MemberUnresponsive)?
 }
 
 /// Waits for the member to take settings that no member has taken yet: those of a login may be
 /// wrong, and the session's statements must not run without them.
-async fn prove_settings(
+async fn verify_settings(
     session: &mut CallerSession,
     pooled: &mut PooledConnection,
     within: Duration,
 ) -> Result<(), AttemptError> {
     match skip_reply(pooled, within).await {
         Ok(()) => {
-            session.settings_proven = true;
+            session.settings_verified = true;
             Ok(())
         }
         Err(ExchangeError::Settings(fields)) => Err(AttemptError::Settings(fields)),
@@ -272,8 +274,8 @@
 ) -> RelayBounds<'a> {
     RelayBounds {
         member: &group.members[member],
-        member_silence: group.timing.statement_timeout,
-        caller_silence: group.timing.transaction_idle_timeout,
+        member_timeout: group.timing.statement_timeout,
+        caller_timeout: group.timing.transaction_idle_timeout,
         end: batch.end,
     }
 }
--- a/crates/arbutusrudder/src/caller/cancel.rs
+++ b/crates/arbutusrudder/src/caller/cancel.rs
@@ -44,7 +44,7 @@
 
 impl CancelBoard {
     /// Enters a caller under a fresh key.
-    pub(crate) fn enter(self: &Arc<Self>) -> CancelEntry {
+    pub(crate) fn register(self: &Arc<Self>) -> CancelEntry {
         let slot = CancelSlot::default();
         let mut entries = self.lock();
         loop {
--- a/crates/arbutusrudder/src/caller/collect.rs
+++ b/crates/arbutusrudder/src/caller/collect.rs
@@ -13,7 +13,7 @@
     /// A batch to answer.
     Batch(CallerBatch),
     /// The end of the connection.
-    Goodbye,
+    Terminate,
 }
 
 /// Frames of one batch at most; a longer pipeline without Sync is refused.
@@ -27,7 +27,7 @@
     session: &mut CallerSession,
     facts: &FactsCache,
 ) -> Result<CallerInput, WireError> {
-    session.names_before.clear();
+    session.previous_names.clear();
     let mut batch = CallerBatch {
         frames: Vec::new(),
         end: BatchEnd::Sync,
@@ -64,7 +64,7 @@
                 batch.end = BatchEnd::Flush;
                 return Ok(CallerInput::Batch(batch));
             }
-            tag::TERMINATE => return Ok(CallerInput::Goodbye),
+            tag::TERMINATE => return Ok(CallerInput::Terminate),
             // Left over from a COPY that the member ended with an error.
             tag::COPY_DATA | tag::COPY_DONE | tag::COPY_FAIL => size = 0,
             tag::PARSE | tag::BIND | tag::DESCRIBE | tag::EXECUTE | tag::CLOSE => {
@@ -99,7 +99,7 @@
             }
         }
         tag::CLOSE if body.first() == Some(&b'S') => {
-            session.forget(text_of(&body[1..])?);
+            session.remove_statement(text_of(&body[1..])?);
             BatchFrame::CloseStatement
         }
         tag::EXECUTE => {
@@ -127,7 +127,7 @@
         // A copy: a slice would keep the whole buffer that it was read into.
         definition: Bytes::copy_from_slice(&definition),
     });
-    session.remember(name, Arc::clone(&statement));
+    session.add_statement(name, Arc::clone(&statement));
     Ok(statement)
 }
 
--- a/crates/arbutusrudder/src/caller/keyed.rs
+++ b/crates/arbutusrudder/src/caller/keyed.rs
@@ -1,13 +1,13 @@
 //! Requests with a key: the key is written in the same transaction as the change, under a unique
 //! index on the endpoint, so that a repeat on any instance, after any failover, finds it.
 
-use super::acknowledge::{confirm, leading_term};
-use super::answer::{put_complete, put_ready};
+use super::acknowledge::{await_majority, leading_term};
 use super::attempt::{MemberAttempt, bounds_of};
+use super::response::{put_complete, put_ready};
 use super::serve::{SessionEnd, refuse};
 use super::session::CallerSession;
 use super::session_change;
-use super::write::{self, WriteEnd, answer_unresolved, is_not_run, note_commit};
+use super::write::{self, WriteEnd, is_not_run, record_commit, report_unresolved};
 use crate::exchange::{
     BatchEnd, BatchOutcome, CallerBatch, ExchangeError, HeldReplies, HoldRule, ReplySink,
     encode_batch, relay_batch,
@@ -29,7 +29,7 @@
 const CREATE_TABLE: &str =
     "CREATE TABLE IF NOT EXISTS rudder_requests (key text PRIMARY KEY, outcome text)";
 
-const WHOLE_TRANSACTION: &str =
+const WHOLE_TRANSACTION_REFUSAL: &str =
     "a request with a key must be one statement or an explicit transaction";
 
 /// A request that must run at most once.
@@ -38,25 +38,25 @@
     pub(crate) key: RequestKey,
     /// Whether an attempt of ours got as far as sending its commit: if the key is then found, it is
     /// most likely our own, and the first outcome is the answer.
-    committing: bool,
+    commit_sent: bool,
 }
 
 impl KeyedRequest {
     /// The key of a batch, from its comment or from the session's setting, which serves once.
     pub(crate) fn of(session: &mut CallerSession, batch: &CallerBatch) -> Option<Self> {
         let key = batch.key().cloned().or_else(|| session.key.take())?;
-        Some(Self { key, committing: false })
+        Some(Self { key, commit_sent: false })
     }
 
     /// Whether an attempt of ours may have committed.
     pub(crate) fn may_have_committed(&self) -> bool {
-        self.committing
+        self.commit_sent
     }
 }
 
 /// What a simple statement of our own brought.
 #[derive(Debug, Default)]
-pub(crate) struct OwnReply {
+pub(crate) struct InternalReply {
     /// The error, if it failed.
     pub(crate) error: Option<ErrorFields>,
     /// The first column of the first row.
@@ -66,7 +66,7 @@
 }
 
 /// The statement that enters a key.
-pub(crate) fn insert_of(key: &RequestKey) -> String {
+pub(crate) fn key_insert_statement(key: &RequestKey) -> String {
     format!("INSERT INTO rudder_requests (key, outcome) VALUES ('{key}', '')")
 }
 
@@ -83,17 +83,17 @@
     keyed: &mut KeyedRequest,
 ) -> Result<WriteEnd, SessionEnd> {
     if batch.ends() {
-        attempt.abandon(session, &ExchangeError::MemberSilent).await;
-        let notice = RefusalNotice::Unsupported(WHOLE_TRANSACTION.to_owned());
+        attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
+        let notice = RefusalNotice::Unsupported(WHOLE_TRANSACTION_REFUSAL.to_owned());
         refuse(session, batch, &notice).await?;
         return Ok(WriteEnd::Answered);
     }
-    match enter_key(&mut attempt, keyed).await {
-        Ok(KeyEntry::Entered(term)) => change(session, batch, attempt, keyed, term).await,
-        Ok(KeyEntry::Duplicate(term)) => {
-            answer_duplicate(session, batch, attempt, keyed, term).await
+    match insert_key(&mut attempt, keyed).await {
+        Ok(KeyInsertion::Inserted(term)) => run_change(session, batch, attempt, keyed, term).await,
+        Ok(KeyInsertion::Duplicate(term)) => {
+            resolve_duplicate(session, batch, attempt, keyed, term).await
         }
-        Ok(KeyEntry::NotRun) => {
+        Ok(KeyInsertion::NotRun) => {
             attempt.finish(session).await;
             Ok(WriteEnd::NotRun)
         }
@@ -105,35 +105,35 @@
     }
 }
 
-enum KeyEntry {
-    Entered(Option<LogTerm>),
+enum KeyInsertion {
+    Inserted(Option<LogTerm>),
     Duplicate(Option<LogTerm>),
     NotRun,
 }
 
-async fn enter_key(
+async fn insert_key(
     attempt: &mut MemberAttempt,
     keyed: &KeyedRequest,
-) -> Result<KeyEntry, ExchangeError> {
+) -> Result<KeyInsertion, ExchangeError> {
     let status = attempt.first_status().await?;
     let bound = attempt.group.timing.statement_timeout;
     let pooled = &mut attempt.pooled;
-    run_own(pooled, "BEGIN", bound).await?;
-    let reply = run_own(pooled, &insert_of(&keyed.key), bound).await?;
+    run_internal(pooled, "BEGIN", bound).await?;
+    let reply = run_internal(pooled, &key_insert_statement(&keyed.key), bound).await?;
     let Some(error) = reply.error else {
-        return Ok(KeyEntry::Entered(leading_term(&status)));
+        return Ok(KeyInsertion::Inserted(leading_term(&status)));
     };
-    run_own(pooled, "ROLLBACK", bound).await?;
+    run_internal(pooled, "ROLLBACK", bound).await?;
     if is_duplicate(&error) {
-        return Ok(KeyEntry::Duplicate(leading_term(&status)));
+        return Ok(KeyInsertion::Duplicate(leading_term(&status)));
     }
     if error.sqlstate == TABLE_MISSING {
-        run_own(pooled, CREATE_TABLE, bound).await?;
+        run_internal(pooled, CREATE_TABLE, bound).await?;
     }
-    Ok(KeyEntry::NotRun)
+    Ok(KeyInsertion::NotRun)
 }
 
-async fn change(
+async fn run_change(
     session: &mut CallerSession,
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
@@ -156,36 +156,36 @@
         }
     };
     if outcome.error.is_some() {
-        return Ok(undo(session, batch, attempt, &outcome, held).await);
+        return Ok(roll_back(session, batch, attempt, &outcome, held).await);
     }
-    keyed.committing = true;
+    keyed.commit_sent = true;
     let stamp = match commit(&mut attempt, keyed, &outcome.last_tag).await {
         Ok(true) => attempt.commit_stamp(term, false).await,
         Ok(false) => {
             // The member rolled back: a request with the same key was faster, or it is fenced.
             attempt.finish(session).await;
-            return Ok(try_again(session, &held));
+            return Ok(retry_if_unseen(session, &held));
         }
         Err(_) => None,
     };
     let Some(stamp) = stamp else {
-        attempt.abandon(session, &ExchangeError::MemberSilent).await;
-        return Ok(try_again(session, &held));
+        attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
+        return Ok(retry_if_unseen(session, &held));
     };
     session_change::apply(session, batch, &mut attempt.pooled, &outcome);
     let member = attempt.member;
     attempt.finish(session).await;
-    if !confirm(&group, member, stamp).await {
-        return Ok(try_again(session, &held));
+    if !await_majority(&group, member, stamp).await {
+        return Ok(retry_if_unseen(session, &held));
     }
     held.release(&mut session.link);
-    note_commit(session, stamp);
+    record_commit(session, stamp);
     put_ready(session.link.outgoing(), b'I');
     Ok(WriteEnd::Answered)
 }
 
 /// Rolls back a change that failed, and hands on its error unless another member may do better.
-async fn undo(
+async fn roll_back(
     session: &mut CallerSession,
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
@@ -194,7 +194,7 @@
 ) -> WriteEnd {
     let retry = is_not_run(outcome, &held);
     let bound = attempt.group.timing.statement_timeout;
-    let rolled_back = run_own(&mut attempt.pooled, "ROLLBACK", bound).await;
+    let rolled_back = run_internal(&mut attempt.pooled, "ROLLBACK", bound).await;
     if retry {
         match rolled_back {
             Ok(_) => attempt.finish(session).await,
@@ -204,7 +204,7 @@
     }
     held.release(&mut session.link);
     match rolled_back {
-        Ok(_) => write::answer(session, batch, attempt, outcome).await,
+        Ok(_) => write::finish_uncommitted(session, batch, attempt, outcome).await,
         Err(error) => {
             attempt.abandon(session, &error).await;
             put_ready(session.link.outgoing(), b'I');
@@ -215,9 +215,9 @@
 
 /// Trying again is safe under the key, also after a commit of unknown outcome: if the change
 /// stays, its key is found. Not once the caller has part of the answer, though.
-fn try_again(session: &mut CallerSession, held: &HeldReplies) -> WriteEnd {
+fn retry_if_unseen(session: &mut CallerSession, held: &HeldReplies) -> WriteEnd {
     if held.relayed {
-        answer_unresolved(session);
+        report_unresolved(session);
         return WriteEnd::Answered;
     }
     WriteEnd::NotRun
@@ -233,14 +233,14 @@
     let outcome = String::from_utf8_lossy(last_tag).replace('\'', "");
     let record =
         format!("UPDATE rudder_requests SET outcome = '{outcome}' WHERE key = '{}'", keyed.key);
-    run_own(&mut attempt.pooled, &record, bound).await?;
-    let reply = run_own(&mut attempt.pooled, "COMMIT", bound).await?;
+    run_internal(&mut attempt.pooled, &record, bound).await?;
+    let reply = run_internal(&mut attempt.pooled, "COMMIT", bound).await?;
     Ok(reply.error.is_none() && reply.tag == b"COMMIT")
 }
 
 /// Answers a request whose key is there: with the first outcome if the first run was our own, else
 /// with a refusal that names it. Either way what was found must be there to stay.
-async fn answer_duplicate(
+async fn resolve_duplicate(
     session: &mut CallerSession,
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
@@ -248,8 +248,8 @@
     term: Option<LogTerm>,
 ) -> Result<WriteEnd, SessionEnd> {
     let bound = attempt.group.timing.statement_timeout;
-    let question = format!("SELECT outcome FROM rudder_requests WHERE key = '{}'", keyed.key);
-    let found = run_own(&mut attempt.pooled, &question, bound).await;
+    let query = format!("SELECT outcome FROM rudder_requests WHERE key = '{}'", keyed.key);
+    let found = run_internal(&mut attempt.pooled, &query, bound).await;
     let value = match found {
         Ok(reply) => reply.value.unwrap_or_default(),
         Err(error) => {
@@ -258,17 +258,17 @@
         }
     };
     let Some(stamp) = attempt.commit_stamp(term, false).await else {
-        attempt.abandon(session, &ExchangeError::MemberSilent).await;
+        attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
         return Ok(WriteEnd::NotRun);
     };
     let (group, member) = (Arc::clone(&attempt.group), attempt.member);
     attempt.finish(session).await;
-    if !confirm(&group, member, stamp).await {
+    if !await_majority(&group, member, stamp).await {
         return Ok(WriteEnd::NotRun);
     }
-    note_commit(session, stamp);
+    record_commit(session, stamp);
     let simple = batch.end == BatchEnd::Simple;
-    if keyed.committing && simple && !value.is_empty() {
+    if keyed.commit_sent && simple && !value.is_empty() {
         put_complete(session.link.outgoing(), &value);
         put_ready(session.link.outgoing(), b'I');
     } else {
@@ -278,21 +278,23 @@
 }
 
 /// Runs a simple statement of our own on a connection in use.
-pub(crate) async fn run_own(
+pub(crate) async fn run_internal(
     pooled: &mut PooledConnection,
     text: &str,
     bound: Duration,
-) -> Result<OwnReply, ExchangeError> {
-    pooled.connection.queue_query(text).map_err(|_| ExchangeError::MemberSilent)?;
-    timeout(bound, read_own(pooled))
+) -> Result<InternalReply, ExchangeError> {
+    pooled.connection.queue_query(text).map_err(|_| ExchangeError::MemberUnresponsive)?;
+    timeout(bound, read_internal_reply(pooled))
         .await
-        .map_err(|_| ExchangeError::MemberSilent)?
+        .map_err(|_| ExchangeError::MemberUnresponsive)?
         .map_err(ExchangeError::Member)
 }
 
 /// Reads the reply to a simple statement of our own that was queued before.
-pub(crate) async fn read_own(pooled: &mut PooledConnection) -> Result<OwnReply, WireError> {
-    let mut reply = OwnReply::default();
+pub(crate) async fn read_internal_reply(
+    pooled: &mut PooledConnection,
+) -> Result<InternalReply, WireError> {
+    let mut reply = InternalReply::default();
     loop {
         let frame = pooled.connection.link().next_frame().await?;
         match frame.tag {
--- a/crates/arbutusrudder/src/caller/local.rs
+++ b/crates/arbutusrudder/src/caller/local.rs
@@ -1,6 +1,6 @@
 //! Statements that concern this proxy alone and never reach a member.
 
-use super::answer::{
+use super::response::{
     put_complete, put_error, put_parameter, put_ready, put_text_column, put_text_value,
 };
 use super::session::CallerSession;
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 /// Prefix of the settings that are this proxy's own.
-pub(crate) const OWN_PREFIX: &str = "rudder.";
+pub(crate) const PROXY_PREFIX: &str = "rudder.";
 
 /// SQLSTATE of a setting that does not exist.
 const UNKNOWN_SETTING: &str = "42704";
 
 /// SQLSTATE of a setting's value that is not allowed.
-const WRONG_VALUE: &str = "22023";
+const INVALID_VALUE: &str = "22023";
 
 /// Why a setting of this proxy's own was not taken.
 pub(crate) struct SettingRefusal {
@@ -26,7 +26,7 @@
 }
 
 /// Answers a simple query that concerns this proxy alone; `false` if a member must answer it.
-pub(crate) fn answer_locally(session: &mut CallerSession, batch: &CallerBatch) -> bool {
+pub(crate) fn serve_locally(session: &mut CallerSession, batch: &CallerBatch) -> bool {
     if batch.end != BatchEnd::Simple {
         return false;
     }
@@ -37,13 +37,13 @@
     let Some(change) = &only.change else {
         return false;
     };
-    if !is_own(change) {
+    if !is_proxy_change(change) {
         return false;
     }
-    let outcome = run_own_change(session, change);
+    let outcome = run_proxy_change(session, change);
     let out = session.link.outgoing();
     match outcome {
-        Ok(OwnAnswer { value, tag }) => {
+        Ok(ProxyReply { value, tag }) => {
             if let (Some(value), SessionChange::Show { name }) = (value, change) {
                 put_text_column(out, name);
                 put_text_value(out, &value);
@@ -59,26 +59,26 @@
 
 /// Whether a batch mixes statements of this proxy's own with others, in a way that cannot be
 /// served: on a member, DEALLOCATE would drop what other callers prepared, and SHOW knows nothing.
-pub(crate) fn mixes_own(batch: &CallerBatch) -> bool {
+pub(crate) fn mixes_proxy_statements(batch: &CallerBatch) -> bool {
     batch.changes().any(|change| {
         let shows = matches!(change, SessionChange::Show { .. });
-        is_own(change) && (shows || matches!(change, SessionChange::Deallocate { .. }))
+        is_proxy_change(change) && (shows || matches!(change, SessionChange::Deallocate { .. }))
     })
 }
 
 /// Whether a change concerns this proxy alone.
-pub(crate) fn is_own(change: &SessionChange) -> bool {
+pub(crate) fn is_proxy_change(change: &SessionChange) -> bool {
     match change {
         SessionChange::Set { name, .. }
         | SessionChange::Reset { name }
-        | SessionChange::Show { name } => name.starts_with(OWN_PREFIX),
+        | SessionChange::Show { name } => name.starts_with(PROXY_PREFIX),
         SessionChange::Deallocate { .. } => true,
         SessionChange::ResetAll | SessionChange::DiscardAll => false,
     }
 }
 
 /// What a statement of this proxy's own answers.
-pub(crate) struct OwnAnswer {
+pub(crate) struct ProxyReply {
     /// The value that it shows, if it shows one.
     pub(crate) value: Option<String>,
     /// The command's tag.
@@ -86,22 +86,22 @@
 }
 
 /// Runs a statement that concerns this proxy alone.
-pub(crate) fn run_own_change(
+pub(crate) fn run_proxy_change(
     session: &mut CallerSession,
     change: &SessionChange,
-) -> Result<OwnAnswer, SettingRefusal> {
+) -> Result<ProxyReply, SettingRefusal> {
     let (value, tag) = match change {
         SessionChange::Set { name, value, .. } => {
-            set_own(session, name, value.as_deref())?;
+            set_proxy_setting(session, name, value.as_deref())?;
             (None, "SET")
         }
         SessionChange::Reset { name } => {
-            reset_own(session, name)?;
+            reset_proxy_setting(session, name)?;
             (None, "RESET")
         }
-        SessionChange::Show { name } => (Some(own_value(session, name)?), "SHOW"),
+        SessionChange::Show { name } => (Some(proxy_setting(session, name)?), "SHOW"),
         SessionChange::Deallocate { name: Some(name) } => {
-            session.forget(name);
+            session.remove_statement(name);
             (None, "DEALLOCATE")
         }
         SessionChange::Deallocate { name: None } => {
@@ -110,59 +110,61 @@
         }
         SessionChange::ResetAll | SessionChange::DiscardAll => (None, "RESET"),
     };
-    Ok(OwnAnswer { value, tag })
+    Ok(ProxyReply { value, tag })
 }
 
 /// Takes the settings of this proxy's own that a login gave.
-pub(crate) fn set_all_own(
+pub(crate) fn set_proxy_settings(
     session: &mut CallerSession,
     settings: &[(String, String)],
 ) -> Result<(), SettingRefusal> {
-    settings.iter().try_for_each(|(name, value)| set_own(session, name, Some(value)))
+    settings.iter().try_for_each(|(name, value)| set_proxy_setting(session, name, Some(value)))
 }
 
 /// Takes a setting of this proxy's own.
-pub(crate) fn set_own(
+pub(crate) fn set_proxy_setting(
     session: &mut CallerSession,
     name: &str,
     value: Option<&str>,
 ) -> Result<(), SettingRefusal> {
-    let value = value.ok_or_else(|| wrong(name, "a single literal value"))?;
+    let value = value.ok_or_else(|| invalid_value(name, "a single literal value"))?;
     match name {
         "rudder.session" => {
-            let token: rudder_core::SessionToken =
-                value.parse().map_err(|_| wrong(name, "a token that this proxy reported"))?;
+            let token: rudder_core::SessionToken = value
+                .parse()
+                .map_err(|_| invalid_value(name, "a token that this proxy reported"))?;
             session.token.merge(&token);
         }
         "rudder.key" => {
-            session.key =
-                Some(value.parse().map_err(|_| wrong(name, "1 to 200 printable characters"))?);
+            session.key = Some(
+                value.parse().map_err(|_| invalid_value(name, "1 to 200 printable characters"))?,
+            );
         }
         "rudder.staleness_ms" => {
-            let bound = value.parse().map_err(|_| wrong(name, "a whole number of ms"))?;
+            let bound = value.parse().map_err(|_| invalid_value(name, "a whole number of ms"))?;
             session.staleness = Some(Duration::from_millis(bound));
         }
-        _ => return Err(unknown(name)),
+        _ => return Err(unknown_setting(name)),
     }
     Ok(())
 }
 
-fn reset_own(session: &mut CallerSession, name: &str) -> Result<(), SettingRefusal> {
+fn reset_proxy_setting(session: &mut CallerSession, name: &str) -> Result<(), SettingRefusal> {
     match name {
         "rudder.key" => session.key = None,
         "rudder.staleness_ms" => session.staleness = None,
-        _ => return Err(unknown(name)),
+        _ => return Err(unknown_setting(name)),
     }
     Ok(())
 }
 
-fn own_value(session: &CallerSession, name: &str) -> Result<String, SettingRefusal> {
+fn proxy_setting(session: &CallerSession, name: &str) -> Result<String, SettingRefusal> {
     match name {
         "rudder.session" => Ok(session.token.to_string()),
         "rudder.session_id" => Ok(session.token.id().to_string()),
         "rudder.key" => Ok(session.key.as_ref().map(ToString::to_string).unwrap_or_default()),
         "rudder.staleness_ms" => Ok(session.bound().as_millis().to_string()),
-        _ => Err(unknown(name)),
+        _ => Err(unknown_setting(name)),
     }
 }
 
@@ -172,7 +174,7 @@
     put_parameter(session.link.outgoing(), "rudder.session", &token);
 }
 
-fn unknown(name: &str) -> SettingRefusal {
+fn unknown_setting(name: &str) -> SettingRefusal {
     let message = format!(
         "there is no setting {name}: the proxy's own are rudder.session, rudder.session_id, \
          rudder.key and rudder.staleness_ms"
@@ -180,6 +182,6 @@
     SettingRefusal { sqlstate: UNKNOWN_SETTING, message }
 }
 
-fn wrong(name: &str, expected: &str) -> SettingRefusal {
-    SettingRefusal { sqlstate: WRONG_VALUE, message: format!("{name} takes {expected}") }
+fn invalid_value(name: &str, expected: &str) -> SettingRefusal {
+    SettingRefusal { sqlstate: INVALID_VALUE, message: format!("{name} takes {expected}") }
 }
--- a/crates/arbutusrudder/src/caller/login.rs
+++ b/crates/arbutusrudder/src/caller/login.rs
@@ -1,8 +1,8 @@
 //! A caller's login: negotiation, parameters, authentication.
 
-use super::answer::{put_fatal, put_parameter, put_ready};
 use super::cancel::CancelEntry;
-use super::local::OWN_PREFIX;
+use super::local::PROXY_PREFIX;
+use super::response::{put_fatal, put_parameter, put_ready};
 use crate::process::LoginRule;
 use bytes::Bytes;
 use displaydoc::Display;
@@ -19,7 +19,7 @@
 const SCRAM_MECHANISM: &str = "SCRAM-SHA-256";
 
 /// Parameters that the login itself uses or that must not be set on shared connections.
-const OWN_PARAMETERS: [&str; 6] =
+const RESERVED_PARAMETERS: [&str; 6] =
     ["database", "options", "replication", "rudder.session", "rudder.session_id", "user"];
 
 /// Why a caller's login failed.
@@ -75,7 +75,7 @@
     /// The session that it continues, if it named one.
     pub(crate) session: Option<SessionClaim>,
     /// Settings of this proxy's own.
-    pub(crate) own: Vec<(String, String)>,
+    pub(crate) proxy_settings: Vec<(String, String)>,
     /// Settings for its statements, sorted by name.
     pub(crate) settings: Vec<(String, String)>,
 }
@@ -99,7 +99,7 @@
         all.push((name.to_ascii_lowercase(), value));
     }
     // Names become part of SET statements, so nothing else may hide in one.
-    if !all.iter().all(|(name, _)| is_plain(name)) {
+    if !all.iter().all(|(name, _)| is_plain_name(name)) {
         return Err(LoginError::Options);
     }
     let find =
@@ -115,13 +115,14 @@
         (None, None) => None,
     };
     let service = database.parse().map_err(LoginError::Service)?;
-    let is_own =
-        |name: &str| name.starts_with(OWN_PREFIX) && OWN_PARAMETERS.binary_search(&name).is_err();
-    let own = all.iter().filter(|(name, _)| is_own(name)).cloned().collect();
-    Ok(LoginRequest { user, service, session, own, settings: settings_of(&all) })
+    let is_proxy_setting = |name: &str| {
+        name.starts_with(PROXY_PREFIX) && RESERVED_PARAMETERS.binary_search(&name).is_err()
+    };
+    let proxy_settings = all.iter().filter(|(name, _)| is_proxy_setting(name)).cloned().collect();
+    Ok(LoginRequest { user, service, session, proxy_settings, settings: settings_of(&all) })
 }
 
-fn is_plain(name: &str) -> bool {
+fn is_plain_name(name: &str) -> bool {
     !name.is_empty()
         && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"._".contains(&byte))
 }
@@ -131,8 +132,8 @@
     for (name, value) in parameters {
         let protocol = name.starts_with("_pq_.");
         if protocol
-            || name.starts_with(OWN_PREFIX)
-            || OWN_PARAMETERS.binary_search(&name.as_str()).is_ok()
+            || name.starts_with(PROXY_PREFIX)
+            || RESERVED_PARAMETERS.binary_search(&name.as_str()).is_ok()
         {
             continue;
         }
@@ -186,12 +187,13 @@
     let expected = Password::new(Some(salt.to_vec()), salted);
     let mut scram = ScramServerAuth::new();
     scram.set_iterations(SCRAM_ITERATIONS);
-    let (answer, exchange) =
+    let (server_message, exchange) =
         scram.on_client_first_message(data, expected).map_err(|_| LoginError::Password)?;
-    put_authentication(link, &Authentication::SASLContinue(Bytes::from(answer)));
+    put_authentication(link, &Authentication::SASLContinue(Bytes::from(server_message)));
     let proof = read_password(link).await?;
-    let answer = exchange.on_client_final_message(&proof).map_err(|_| LoginError::Password)?;
-    put_authentication(link, &Authentication::SASLFinal(Bytes::from(answer)));
+    let server_message =
+        exchange.on_client_final_message(&proof).map_err(|_| LoginError::Password)?;
+    put_authentication(link, &Authentication::SASLFinal(Bytes::from(server_message)));
     Ok(())
 }
 
@@ -208,7 +210,7 @@
 }
 
 /// Tells the caller that it is logged in.
-pub(crate) fn put_welcome(
+pub(crate) fn put_login_complete(
     link: &mut WireLink,
     parameters: &[(String, String)],
     token: &SessionToken,
--- a/crates/arbutusrudder/src/caller/mod.rs
+++ b/crates/arbutusrudder/src/caller/mod.rs
@@ -1,15 +1,16 @@
 //! Serving one caller: login, batches, the session that outlives connections, and the answers.
 
 mod acknowledge;
-mod answer;
+
 mod attempt;
 mod cancel;
 mod collect;
 mod keyed;
 mod local;
 mod login;
-mod own_batch;
+mod proxy_batch;
 mod read;
+mod response;
 mod serve;
 mod session;
 mod session_change;
@@ -18,6 +19,6 @@
 mod transaction;
 mod write;
 
-pub(crate) use answer::put_fatal;
 pub(crate) use cancel::CancelBoard;
+pub(crate) use response::put_fatal;
 pub(crate) use serve::serve_caller;
--- a/crates/arbutusrudder/src/caller/own_batch.rs
+++ b/crates/arbutusrudder/src/caller/proxy_batch.rs
@@ -1,7 +1,7 @@
 //! Extended batches of a statement that concerns this proxy alone, answered as a member would.
 
-use super::answer::{put_complete, put_error, put_ready, put_text_column, put_text_value};
-use super::local::{OwnAnswer, SettingRefusal, is_own, run_own_change};
+use super::local::{ProxyReply, SettingRefusal, is_proxy_change, run_proxy_change};
+use super::response::{put_complete, put_error, put_ready, put_text_column, put_text_value};
 use super::session::CallerSession;
 use crate::classify::{SessionChange, StatementsSummary};
 use crate::exchange::{BatchEnd, BatchFrame, CallerBatch, PreparedStatement};
@@ -16,9 +16,9 @@
 const NO_PARAMETERS: &[u8] = b"t\0\0\0\x06\0\0";
 
 /// Whether each statement of an extended batch concerns this proxy alone.
-pub(crate) fn is_own_batch(batch: &CallerBatch) -> bool {
+pub(crate) fn is_proxy_batch(batch: &CallerBatch) -> bool {
     let is_single = |statement: &Arc<StatementsSummary>| {
-        statement.statements.len() == 1 && change_in(statement).is_some_and(is_own)
+        statement.statements.len() == 1 && change_in(statement).is_some_and(is_proxy_change)
     };
     batch.end != BatchEnd::Simple
         && !batch.summaries.is_empty()
@@ -26,7 +26,7 @@
 }
 
 /// Answers such a batch; `false` if it failed, so that the rest up to its Sync is to be skipped.
-pub(crate) fn answer_own_batch(session: &mut CallerSession, batch: &CallerBatch) -> bool {
+pub(crate) fn serve_proxy_batch(session: &mut CallerSession, batch: &CallerBatch) -> bool {
     let mut portal = None;
     let mut names_changed = 0;
     for frame in &batch.frames {
@@ -34,7 +34,7 @@
             names_changed += 1;
         }
         if let Err(refusal) = answer_frame(session, frame, &mut portal) {
-            session.undo_names(names_changed);
+            session.restore_names(names_changed);
             put_error(session.link.outgoing(), refusal.sqlstate, &refusal.message);
             return false;
         }
@@ -76,7 +76,7 @@
 }
 
 fn execute(session: &mut CallerSession, change: &SessionChange) -> Result<(), SettingRefusal> {
-    let OwnAnswer { value, tag } = run_own_change(session, change)?;
+    let ProxyReply { value, tag } = run_proxy_change(session, change)?;
     let out = session.link.outgoing();
     if let Some(value) = value {
         put_text_value(out, &value);
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -1,8 +1,8 @@
 //! Serving a read: from a replica that holds what the session must see and is young enough, else
 //! from the primary, else a refusal that says so.
 
-use super::answer::put_ready;
 use super::attempt::{AttemptError, AttemptWork, MemberAttempt, bounds_of};
+use super::response::put_ready;
 use super::serve::{SessionEnd, refuse, refuse_settings};
 use super::session::{CallerSession, FloorKnowledge, PinnedConnection};
 use super::write::READ_ONLY;
@@ -47,14 +47,14 @@
     group.touch(session.caller.queue_wait).await;
     let arrived = group.board.now();
     let deadline = Instant::now() + session.caller.queue_wait + group.timing.read_wait;
-    let mut avoided: Vec<usize> = Vec::new();
+    let mut excluded: Vec<usize> = Vec::new();
     let mut waited = Duration::ZERO;
     let work = AttemptWork::of(batch, WorkClass::Read);
     let mut attempts = 0;
     let mut too_old = false;
     while attempts < ATTEMPTS_MAX {
         let mut changes = group.board.subscribe();
-        let choice = choose(context, session, group, &avoided, waited);
+        let choice = choose(context, session, group, &excluded, waited);
         let member = match choice.route {
             ReadRoute::Replica(member) | ReadRoute::Primary(member) => member,
             // Once it should have caught up, it is asked: what is known of it here may be old.
@@ -66,7 +66,7 @@
             // Without this, a read is refused because the first reports of a group that nobody
             // used lately are on their way, or because a failover is.
             ReadRoute::Refuse => {
-                avoided.clear();
+                excluded.clear();
                 match timeout_at(deadline.into(), changes.changed()).await {
                     Ok(Ok(())) => continue,
                     _ => break,
@@ -90,7 +90,7 @@
             }
             Err(AttemptError::Pool(_)) => {
                 group.note_outcome(member, false);
-                avoided.push(member);
+                excluded.push(member);
                 continue;
             }
         };
@@ -99,9 +99,9 @@
             ReadEnd::Writes => return write::serve(session, batch, group).await,
             ReadEnd::TooOld => {
                 too_old = true;
-                avoided.push(member);
+                excluded.push(member);
             }
-            ReadEnd::Failed if group.may_retry(WorkClass::Read) => avoided.push(member),
+            ReadEnd::Failed if group.may_retry(WorkClass::Read) => excluded.push(member),
             ReadEnd::Failed => break,
         }
     }
@@ -117,14 +117,14 @@
     context: &InstanceContext,
     session: &mut CallerSession,
     group: &GroupState,
-    avoided: &[usize],
+    excluded: &[usize],
     waited: Duration,
 ) -> RouteChoice {
     let known = session.learn_floor(group);
     let (mut views, mut indexes) = group.views();
     for index in (0..indexes.len()).rev() {
         let barred = !known && views[index].role == MemberRole::Replica;
-        if barred || avoided.contains(&indexes[index]) {
+        if barred || excluded.contains(&indexes[index]) {
             views.remove(index);
             indexes.remove(index);
         }
@@ -174,7 +174,7 @@
                 Ok(ReadEnd::TooOld)
             }
             Ok(_) => {
-                attempt.abandon(session, &ExchangeError::MemberSilent).await;
+                attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
                 Ok(ReadEnd::TooOld)
             }
             Err(error) => fail(session, attempt, &error).await,
@@ -231,15 +231,19 @@
     let need = ReadNeed { floor: session.floor(), bound, as_of: group.board.now() };
     let verdict = group.board.with_ledger(|ledger| judge_read(status, &need, ledger));
     match verdict {
-        ReadVerdict::Serve => !unknown || confirm(attempt, status, arrived).await,
+        ReadVerdict::Serve => !unknown || confirm_leadership(attempt, status, arrived).await,
         ReadVerdict::TooOldForSession => false,
-        ReadVerdict::TooOldForBound => confirm(attempt, status, arrived).await,
+        ReadVerdict::TooOldForBound => confirm_leadership(attempt, status, arrived).await,
     }
 }
 
 /// Guards against an isolated primary that shows an old picture as today's: a majority, asked
 /// after the read arrived, must not have accepted a greater term.
-async fn confirm(attempt: &MemberAttempt, status: &MemberStatus, arrived: Duration) -> bool {
+async fn confirm_leadership(
+    attempt: &MemberAttempt,
+    status: &MemberStatus,
+    arrived: Duration,
+) -> bool {
     if status.role != MemberRole::Primary {
         return false;
     }
--- a/crates/arbutusrudder/src/caller/answer.rs
+++ b/crates/arbutusrudder/src/caller/response.rs
@@ -13,7 +13,7 @@
 const TEXT_TYPE: u32 = 25;
 
 /// What the encoders of small messages cannot fail at.
-const SMALL: &str = "the message is below the protocol's limits";
+const WITHIN_LIMITS: &str = "the message is below the protocol's limits";
 
 /// Adds a refusal; when to come back stands in the hint, the outcome class in the detail.
 pub(crate) fn put_refusal(out: &mut BytesMut, notice: &RefusalNotice) {
@@ -22,17 +22,17 @@
     if let Some(delay) = notice.retry_after() {
         fields.push((b'H', format!("retry after {} ms", delay.as_millis())));
     }
-    ErrorResponse::new(fields).encode(out).expect(SMALL);
+    ErrorResponse::new(fields).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds an error that ends the connection.
 pub(crate) fn put_fatal(out: &mut BytesMut, sqlstate: &str, message: &str) {
-    ErrorResponse::new(error_fields("FATAL", sqlstate, message)).encode(out).expect(SMALL);
+    ErrorResponse::new(error_fields("FATAL", sqlstate, message)).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds an error of this proxy that is no refusal: the request itself is wrong.
 pub(crate) fn put_error(out: &mut BytesMut, sqlstate: &str, message: &str) {
-    ErrorResponse::new(error_fields("ERROR", sqlstate, message)).encode(out).expect(SMALL);
+    ErrorResponse::new(error_fields("ERROR", sqlstate, message)).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds the end of an answer, with the transaction status `I`, `T` or `E`.
@@ -42,23 +42,23 @@
         b'E' => TransactionStatus::Error,
         _ => TransactionStatus::Idle,
     };
-    ReadyForQuery::new(status).encode(out).expect(SMALL);
+    ReadyForQuery::new(status).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds the end of a statement.
 pub(crate) fn put_complete(out: &mut BytesMut, tag: &str) {
-    CommandComplete::new(tag.to_owned()).encode(out).expect(SMALL);
+    CommandComplete::new(tag.to_owned()).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds a reported setting.
 pub(crate) fn put_parameter(out: &mut BytesMut, name: &str, value: &str) {
-    ParameterStatus::new(name.to_owned(), value.to_owned()).encode(out).expect(SMALL);
+    ParameterStatus::new(name.to_owned(), value.to_owned()).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds the description of a result of one text column.
 pub(crate) fn put_text_column(out: &mut BytesMut, column: &str) {
     let field = FieldDescription::new(column.to_owned(), 0, 0, TEXT_TYPE, -1, -1, 0);
-    RowDescription::new(vec![field]).encode(out).expect(SMALL);
+    RowDescription::new(vec![field]).encode(out).expect(WITHIN_LIMITS);
 }
 
 /// Adds a row of one text value.
@@ -66,7 +66,7 @@
     let mut data = BytesMut::new();
     data.extend_from_slice(&u32::try_from(value.len()).unwrap_or_default().to_be_bytes());
     data.extend_from_slice(value.as_bytes());
-    DataRow::new(data, 1).encode(out).expect(SMALL);
+    DataRow::new(data, 1).encode(out).expect(WITHIN_LIMITS);
 }
 
 fn error_fields(severity: &str, sqlstate: &str, message: &str) -> Vec<(u8, String)> {
--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -1,13 +1,13 @@
 //! A caller's connection from login to its end.
 
-use super::answer::{put_error, put_fatal, put_ready, put_refusal};
 use super::collect::{CallerInput, collect_batch};
-use super::local::{answer_locally, mixes_own, set_all_own};
+use super::local::{mixes_proxy_statements, serve_locally, set_proxy_settings};
 use super::login::{
-    LoginError, LoginRequest, SessionClaim, authenticate, negotiate, put_welcome, read_login,
-    refuse_login,
+    LoginError, LoginRequest, SessionClaim, authenticate, negotiate, put_login_complete,
+    read_login, refuse_login,
 };
-use super::own_batch::{answer_own_batch, is_own_batch};
+use super::proxy_batch::{is_proxy_batch, serve_proxy_batch};
+use super::response::{put_error, put_fatal, put_ready, put_refusal};
 use super::session::{CallerSession, FloorKnowledge};
 use super::{read, transaction, write};
 use crate::context::InstanceContext;
@@ -24,10 +24,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// SQLSTATE of a caller that was idle for too long.
-const IDLE_TOO_LONG: &str = "57P05";
+const IDLE_SESSION_TIMEOUT: &str = "57P05";
 
 /// When a caller of an instance without settings should come back.
-const STARTING_RETRY: Duration = Duration::from_millis(500);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// SQLSTATE of a protocol violation.
 const PROTOCOL_VIOLATION: &str = "08P01";
@@ -50,7 +50,7 @@
 #[ignore_extra_doc_attributes]
 pub(crate) enum SessionEnd {
     /// the caller said goodbye
-    Goodbye,
+    Terminate,
     /// the login failed: {0}
     Login(LoginError),
     /// the caller's connection failed: {0}
@@ -87,24 +87,24 @@
     transaction::abandon(&mut session).await;
     match &end {
         Err(SessionEnd::Idle) => {
-            say_goodbye(&mut session, IDLE_TOO_LONG, "idle for too long").await;
+            send_fatal(&mut session, IDLE_SESSION_TIMEOUT, "idle for too long").await;
         }
         Err(SessionEnd::Leaving) => {
             let notice = RefusalNotice::Leaving;
-            say_goodbye(&mut session, notice.sqlstate(), &notice.to_string()).await;
+            send_fatal(&mut session, notice.sqlstate(), &notice.to_string()).await;
         }
         Err(SessionEnd::Caller(WireError::Malformed(what))) => {
-            say_goodbye(&mut session, PROTOCOL_VIOLATION, what).await;
+            send_fatal(&mut session, PROTOCOL_VIOLATION, what).await;
         }
         Err(SessionEnd::Caller(error @ WireError::TooLong { .. })) => {
-            say_goodbye(&mut session, PROTOCOL_VIOLATION, &error.to_string()).await;
+            send_fatal(&mut session, PROTOCOL_VIOLATION, &error.to_string()).await;
         }
         _ => {}
     }
     end
 }
 
-async fn say_goodbye(session: &mut CallerSession, sqlstate: &str, message: &str) {
+async fn send_fatal(session: &mut CallerSession, sqlstate: &str, message: &str) {
     put_fatal(session.link.outgoing(), sqlstate, message);
     let _ = timeout(Duration::from_secs(1), session.link.flush()).await;
 }
@@ -128,15 +128,15 @@
     match open_session(context, &mut link, parameters).await {
         Ok(parts) => {
             link.set_frame_size_max(ByteSize(context.process.message_size_max));
-            let own = parts.request.own.clone();
+            let proxy_settings = parts.request.proxy_settings.clone();
             let mut session = parts.into_session(context, link);
-            if let Err(refusal) = set_all_own(&mut session, &own) {
+            if let Err(refusal) = set_proxy_settings(&mut session, &proxy_settings) {
                 let error = LoginError::Setting(refusal.message);
                 refuse_login(&mut session.link, &error).await;
                 return Err(SessionEnd::Login(error));
             }
             let parameters = reported_parameters(context, &session);
-            put_welcome(&mut session.link, &parameters, &session.token, &session.cancel);
+            put_login_complete(&mut session.link, &parameters, &session.token, &session.cancel);
             session.link.flush().await.map_err(SessionEnd::Caller)?;
             Ok(Some(session))
         }
@@ -184,14 +184,14 @@
             token: self.token,
             floor_at: Instant::now(),
             knowledge: self.knowledge,
-            settings_proven: self.request.settings.is_empty(),
+            settings_verified: self.request.settings.is_empty(),
             settings: self.request.settings,
             prepared: Vec::new(),
-            names_before: Vec::new(),
+            previous_names: Vec::new(),
             pinned: None,
             key: None,
             staleness: None,
-            cancel: context.cancel.enter(),
+            cancel: context.cancel.register(),
         }
     }
 }
@@ -217,7 +217,7 @@
     loop {
         let batch = match next_input(context, session).await? {
             CallerInput::Batch(batch) => batch,
-            CallerInput::Goodbye => return Err(SessionEnd::Goodbye),
+            CallerInput::Terminate => return Err(SessionEnd::Terminate),
         };
         serve_batch(context, session, &batch).await?;
         if !session.link.has_buffered_frame() || session.link.is_congested() {
@@ -249,16 +249,16 @@
     session: &mut CallerSession,
     batch: &CallerBatch,
 ) -> Result<(), SessionEnd> {
-    if answer_locally(session, batch) {
+    if serve_locally(session, batch) {
         return Ok(());
     }
-    if is_own_batch(batch) {
-        return match answer_own_batch(session, batch) {
+    if is_proxy_batch(batch) {
+        return match serve_proxy_batch(session, batch) {
             true => Ok(()),
             false => finish_refusal(session, batch).await,
         };
     }
-    if mixes_own(batch) {
+    if mixes_proxy_statements(batch) {
         let reason =
             "DEALLOCATE and SHOW of the proxy's own settings stand in batches of their own";
         return refuse(session, batch, &RefusalNotice::Unsupported(reason.to_owned())).await;
@@ -274,7 +274,7 @@
         return Ok(());
     }
     if !await_settings(context, session.caller.queue_wait).await {
-        let notice = RefusalNotice::Starting { retry_after: STARTING_RETRY };
+        let notice = RefusalNotice::Starting { retry_after: STARTING_RETRY_AFTER };
         return refuse(session, batch, &notice).await;
     }
     let Some(group) = context.fleet.load().group(&session.service).cloned() else {
@@ -316,7 +316,7 @@
     metrics::counter!("rudder_refusals_total", "class" => notice.class().to_string(),
         "sqlstate" => notice.sqlstate())
     .increment(1);
-    session.undo_names(0);
+    session.restore_names(0);
     put_refusal(session.link.outgoing(), notice);
     finish_refusal(session, batch).await
 }
@@ -327,7 +327,7 @@
     batch: &CallerBatch,
     fields: &ErrorFields,
 ) -> Result<(), SessionEnd> {
-    session.undo_names(0);
+    session.restore_names(0);
     let message = format!("the settings of this session are refused: {}", fields.message);
     put_error(session.link.outgoing(), &fields.sqlstate, &message);
     finish_refusal(session, batch).await
--- a/crates/arbutusrudder/src/caller/session.rs
+++ b/crates/arbutusrudder/src/caller/session.rs
@@ -60,11 +60,11 @@
     /// Its settings, sorted by name, with their SET statements.
     pub(crate) settings: Vec<(String, String)>,
     /// Whether some member took all of them; those of a login may be wrong.
-    pub(crate) settings_proven: bool,
+    pub(crate) settings_verified: bool,
     /// Its prepared statements, sorted by name; the unnamed one has the empty name.
     pub(crate) prepared: Vec<(String, Arc<PreparedStatement>)>,
     /// What names stood for before the present batch changed them, in the order of the changes.
-    pub(crate) names_before: Vec<(String, Option<Arc<PreparedStatement>>)>,
+    pub(crate) previous_names: Vec<(String, Option<Arc<PreparedStatement>>)>,
     /// The connection of its open transaction.
     pub(crate) pinned: Option<PinnedConnection>,
     /// The key for its next request.
@@ -110,12 +110,12 @@
     }
 
     /// Remembers a prepared statement.
-    pub(crate) fn remember(&mut self, name: &str, statement: Arc<PreparedStatement>) {
-        self.names_before.push((name.to_owned(), self.statement(name).cloned()));
-        self.put_name(name, statement);
+    pub(crate) fn add_statement(&mut self, name: &str, statement: Arc<PreparedStatement>) {
+        self.previous_names.push((name.to_owned(), self.statement(name).cloned()));
+        self.insert_name(name, statement);
     }
 
-    fn put_name(&mut self, name: &str, statement: Arc<PreparedStatement>) {
+    fn insert_name(&mut self, name: &str, statement: Arc<PreparedStatement>) {
         match self.prepared.binary_search_by(|(known, _)| known.as_str().cmp(name)) {
             Ok(index) => self.prepared[index].1 = statement,
             Err(index) => self.prepared.insert(index, (name.to_owned(), statement)),
@@ -123,24 +123,24 @@
     }
 
     /// Forgets a prepared statement.
-    pub(crate) fn forget(&mut self, name: &str) {
-        self.names_before.push((name.to_owned(), self.statement(name).cloned()));
-        self.drop_name(name);
+    pub(crate) fn remove_statement(&mut self, name: &str) {
+        self.previous_names.push((name.to_owned(), self.statement(name).cloned()));
+        self.remove_name(name);
     }
 
     /// Takes back the changes of names beyond the first `done` of the present batch: after an
     /// error the rest of a batch is skipped, so its names still stand for what they did before.
-    pub(crate) fn undo_names(&mut self, done: usize) {
-        while self.names_before.len() > done {
-            match self.names_before.pop() {
-                Some((name, Some(statement))) => self.put_name(&name, statement),
-                Some((name, None)) => self.drop_name(&name),
+    pub(crate) fn restore_names(&mut self, done: usize) {
+        while self.previous_names.len() > done {
+            match self.previous_names.pop() {
+                Some((name, Some(statement))) => self.insert_name(&name, statement),
+                Some((name, None)) => self.remove_name(&name),
                 None => return,
             }
         }
     }
 
-    fn drop_name(&mut self, name: &str) {
+    fn remove_name(&mut self, name: &str) {
         if let Ok(index) = self.prepared.binary_search_by(|(known, _)| known.as_str().cmp(name)) {
             self.prepared.remove(index);
         }
--- a/crates/arbutusrudder/src/caller/session_change.rs
+++ b/crates/arbutusrudder/src/caller/session_change.rs
@@ -1,7 +1,7 @@
 //! Following what statements do to the session's own settings, so that they hold on whichever
 //! connection serves the session next.
 
-use super::local::{is_own, set_own};
+use super::local::{is_proxy_change, set_proxy_setting};
 use super::session::CallerSession;
 use crate::classify::SessionChange;
 use crate::exchange::{BatchOutcome, CallerBatch};
@@ -15,7 +15,7 @@
     outcome: &BatchOutcome,
 ) {
     if outcome.error.is_some() {
-        session.undo_names(outcome.names_changed);
+        session.restore_names(outcome.names_changed);
         if batch.changes().next().is_some() {
             // Guards against a setting that stays although a later statement of its batch failed
             // (it was committed in between): the connection's next caller would get it. What is
@@ -28,10 +28,10 @@
         return;
     }
     for change in batch.changes() {
-        if is_own(change) {
+        if is_proxy_change(change) {
             if let SessionChange::Set { name, value, .. } = change {
                 // The member took the value; a wrong one simply has no effect here.
-                let _ = set_own(session, name, value.as_deref());
+                let _ = set_proxy_setting(session, name, value.as_deref());
             }
             continue;
         }
--- a/crates/arbutusrudder/src/caller/transaction.rs
+++ b/crates/arbutusrudder/src/caller/transaction.rs
@@ -1,13 +1,13 @@
 //! Batches inside a transaction: on the connection that the transaction began on, until it ends.
 
-use super::acknowledge::{ask_status, commit_stamp, confirm, read_status};
-use super::answer::put_ready;
+use super::acknowledge::{await_majority, commit_stamp, read_status, request_status};
 use super::attempt::bounds_of;
-use super::keyed::{insert_of, is_duplicate, run_own};
+use super::keyed::{is_duplicate, key_insert_statement, run_internal};
+use super::response::put_ready;
 use super::serve::{SessionEnd, refuse};
 use super::session::{CallerSession, PinnedConnection};
 use super::session_change;
-use super::write::{answer_unresolved, note_commit};
+use super::write::{record_commit, report_unresolved};
 use crate::exchange::{
     BatchEnd, BatchOutcome, CallerBatch, ExchangeError, HeldReplies, HoldRule, ReplySink,
     encode_batch, relay_batch,
@@ -22,9 +22,9 @@
 /// How a batch was sent, and what of its answer is still held.
 struct SentBatch {
     /// Whether the member was asked for its status after the batch.
-    asked: bool,
+    status_requested: bool,
     /// When, on this instance's time line.
-    asked_at: Duration,
+    status_requested_at: Duration,
     /// What is held of the answer.
     held: HeldReplies,
 }
@@ -40,7 +40,7 @@
     if !pinned.skipping {
         return serve_on(session, batch, pinned).await;
     }
-    session.undo_names(0);
+    session.restore_names(0);
     if batch.end == BatchEnd::Flush {
         session.pinned = Some(pinned);
         return Ok(());
@@ -56,17 +56,17 @@
     batch: &CallerBatch,
     mut pinned: PinnedConnection,
 ) -> Result<(), SessionEnd> {
-    if let Some(notice) = enter_key(&mut pinned, batch).await {
+    if let Some(notice) = insert_key(&mut pinned, batch).await {
         roll_back(session, pinned).await;
         return refuse(session, batch, &notice).await;
     }
-    let asked_at = pinned.group.board.now();
+    let status_requested_at = pinned.group.board.now();
     let mut queue = encode_batch(&mut pinned.pooled, batch);
     // Between a Flush and its Sync the member is outside of a declared transaction, and commits
     // at the Sync.
     let closes = batch.ends() || (pinned.status == b'I' && batch.end != BatchEnd::Flush);
-    let ahead = closes && batch.end != BatchEnd::Flush && !batch.copies_in();
-    let asked = ahead && ask_status(&mut pinned.pooled).is_ok();
+    let pipelined = closes && batch.end != BatchEnd::Flush && !batch.copies_in();
+    let status_requested = pipelined && request_status(&mut pinned.pooled).is_ok();
     let rule = if closes { HoldRule::UntilCommit } else { HoldRule::Pass };
     let group = Arc::clone(&pinned.group);
     let bounds = bounds_of(&group, pinned.member, batch);
@@ -75,13 +75,13 @@
     let held = sink.into_held();
     match relayed {
         Ok(outcome) => {
-            let sent = SentBatch { asked, asked_at, held };
+            let sent = SentBatch { status_requested, status_requested_at, held };
             conclude(session, batch, pinned, &outcome, sent).await
         }
         Err(error) if held.relayed || matches!(error, ExchangeError::Caller(_)) => {
             Err(SessionEnd::Broken(error))
         }
-        Err(_) if closes => lose_commit(session),
+        Err(_) if closes => end_unresolved(session),
         Err(_) => refuse(session, batch, &RefusalNotice::TransactionLost).await,
     }
 }
@@ -92,10 +92,10 @@
 }
 
 /// Enters the transaction's key, if it has one, before its commit; answers a refusal if that fails.
-async fn enter_key(pinned: &mut PinnedConnection, batch: &CallerBatch) -> Option<RefusalNotice> {
+async fn insert_key(pinned: &mut PinnedConnection, batch: &CallerBatch) -> Option<RefusalNotice> {
     let key = pinned.key.as_ref().filter(|_| commits(batch))?;
     let bound = pinned.group.timing.statement_timeout;
-    match run_own(&mut pinned.pooled, &insert_of(key), bound).await {
+    match run_internal(&mut pinned.pooled, &key_insert_statement(key), bound).await {
         Ok(reply) => match reply.error {
             None => None,
             Some(error) if is_duplicate(&error) => {
@@ -124,7 +124,7 @@
     if outcome.status == b'I' {
         return end_transaction(session, pinned, outcome, sent).await;
     }
-    if sent.asked && !settle(&mut pinned, sent.asked_at).await {
+    if sent.status_requested && !read_pending_status(&mut pinned, sent.status_requested_at).await {
         return refuse(session, batch, &RefusalNotice::TransactionLost).await;
     }
     sent.held.release(&mut session.link);
@@ -136,9 +136,9 @@
 }
 
 /// Reads the status that was asked for after a batch that committed nothing.
-async fn settle(pinned: &mut PinnedConnection, asked_at: Duration) -> bool {
+async fn read_pending_status(pinned: &mut PinnedConnection, status_requested_at: Duration) -> bool {
     let group = &pinned.group;
-    read_status(group, pinned.member, &mut pinned.pooled, asked_at).await.is_ok()
+    read_status(group, pinned.member, &mut pinned.pooled, status_requested_at).await.is_ok()
 }
 
 async fn end_transaction(
@@ -152,53 +152,53 @@
         session.settings.clone_from(&pinned.settings_before);
         pinned.pooled.settings.clone_from(&pinned.settings_before);
     }
-    if !sent.asked && ask_status(&mut pinned.pooled).is_err() {
-        return lose_commit(session);
+    if !sent.status_requested && request_status(&mut pinned.pooled).is_err() {
+        return end_unresolved(session);
     }
     let group = Arc::clone(&pinned.group);
     let (member, term) = (pinned.member, pinned.term);
     // A transaction without a term is a read-only one on a replica, and one that failed before a
     // Flush is gone: there is nothing to commit.
     if rolled_back || pinned.skipping || term.is_none() {
-        if !settle(&mut pinned, sent.asked_at).await {
-            return lose_commit(session);
+        if !read_pending_status(&mut pinned, sent.status_requested_at).await {
+            return end_unresolved(session);
         }
-        give_back(session, pinned).await;
+        return_connection(session, pinned).await;
         sent.held.release(&mut session.link);
     } else {
         let pooled = &mut pinned.pooled;
-        let stamp = commit_stamp(&group, member, pooled, term, sent.asked_at).await;
+        let stamp = commit_stamp(&group, member, pooled, term, sent.status_requested_at).await;
         let Some(stamp) = stamp else {
-            return lose_commit(session);
+            return end_unresolved(session);
         };
-        give_back(session, pinned).await;
-        if !confirm(&group, member, stamp).await {
-            return lose_commit(session);
+        return_connection(session, pinned).await;
+        if !await_majority(&group, member, stamp).await {
+            return end_unresolved(session);
         }
         sent.held.release(&mut session.link);
-        note_commit(session, stamp);
+        record_commit(session, stamp);
     }
     put_ready(session.link.outgoing(), b'I');
     Ok(())
 }
 
-async fn give_back(session: &CallerSession, pinned: PinnedConnection) {
+async fn return_connection(session: &CallerSession, pinned: PinnedConnection) {
     // Waits for a cancel on its way: it must not hit the connection's next caller.
     *session.cancel.slot.lock().await = None;
     pinned.group.members[pinned.member].pool.give_back(pinned.pooled);
 }
 
-fn lose_commit(session: &mut CallerSession) -> Result<(), SessionEnd> {
-    answer_unresolved(session);
+fn end_unresolved(session: &mut CallerSession) -> Result<(), SessionEnd> {
+    report_unresolved(session);
     Ok(())
 }
 
 async fn roll_back(session: &mut CallerSession, mut pinned: PinnedConnection) {
     let bound = pinned.group.timing.statement_timeout.min(ROLLBACK_TIMEOUT);
-    if run_own(&mut pinned.pooled, "ROLLBACK", bound).await.is_ok() {
+    if run_internal(&mut pinned.pooled, "ROLLBACK", bound).await.is_ok() {
         session.settings.clone_from(&pinned.settings_before);
         pinned.pooled.settings.clone_from(&pinned.settings_before);
-        give_back(session, pinned).await;
+        return_connection(session, pinned).await;
     }
 }
 
--- a/crates/arbutusrudder/src/caller/write.rs
+++ b/crates/arbutusrudder/src/caller/write.rs
@@ -1,12 +1,12 @@
 //! Serving a write: at the primary, acknowledged only once a majority holds it at the primary's
 //! own term.
 
-use super::acknowledge::{confirm, leading_term};
-use super::answer::{put_ready, put_refusal};
+use super::acknowledge::{await_majority, leading_term};
 use super::attempt::{AttemptError, AttemptWork, MemberAttempt, bounds_of};
-use super::keyed::{self, KeyedRequest, run_own};
+use super::keyed::{self, KeyedRequest, run_internal};
 use super::local::report_token;
 use super::read::may_serve;
+use super::response::{put_ready, put_refusal};
 use super::serve::{SessionEnd, refuse, refuse_settings};
 use super::session::{CallerSession, FloorKnowledge, PinnedConnection};
 use super::session_change;
@@ -28,7 +28,7 @@
 pub(super) const READ_ONLY: &str = "25006";
 
 /// Pause before a member that turned out not to lead is tried again.
-const REROUTE_PAUSE: Duration = Duration::from_millis(20);
+const REROUTE_DELAY: Duration = Duration::from_millis(20);
 
 /// How an attempt ended.
 pub(crate) enum WriteEnd {
@@ -53,22 +53,22 @@
         let primary = await_primary(group, deadline).await;
         let Some(member) = primary.filter(|_| Instant::now() < deadline) else {
             let notice = RefusalNotice::NoPrimary { retry_after: RETRY_AFTER };
-            return give_up(session, batch, keyed.as_ref(), notice).await;
+            return refuse_write(session, batch, keyed.as_ref(), notice).await;
         };
         log_route(session, group, member);
         let attempt = MemberAttempt::begin(session, group, member, work, deadline).await;
         let attempt = match attempt {
             Ok(attempt) => attempt,
             Err(AttemptError::Refused(reason)) => {
-                let notice = notice_of(&reason, tried);
-                return give_up(session, batch, keyed.as_ref(), notice).await;
+                let notice = refusal_notice(&reason, tried);
+                return refuse_write(session, batch, keyed.as_ref(), notice).await;
             }
             Err(AttemptError::Settings(fields)) => {
                 return refuse_settings(session, batch, &fields).await;
             }
             Err(AttemptError::Pool(_)) => {
                 group.note_outcome(member, false);
-                tokio::time::sleep(REROUTE_PAUSE).await;
+                tokio::time::sleep(REROUTE_DELAY).await;
                 continue;
             }
         };
@@ -83,7 +83,7 @@
         }
         match end {
             WriteEnd::Answered => return Ok(()),
-            WriteEnd::NotRun => tokio::time::sleep(REROUTE_PAUSE).await,
+            WriteEnd::NotRun => tokio::time::sleep(REROUTE_DELAY).await,
         }
         tried = true;
     }
@@ -94,7 +94,7 @@
 ///
 /// Guards against a caller that is told of too many waiting requests while nothing waits: the time
 /// for finding a primary ran out between two attempts, and the gate lets nothing in that is late.
-pub(super) fn notice_of(reason: &RefusalReason, tried: bool) -> RefusalNotice {
+pub(super) fn refusal_notice(reason: &RefusalReason, tried: bool) -> RefusalNotice {
     if tried {
         return RefusalNotice::NoPrimary { retry_after: RETRY_AFTER };
     }
@@ -103,7 +103,7 @@
 
 /// Refuses a write for which no attempt is left. Guards against a refusal that says "not run" after
 /// an attempt under a key that may have committed.
-async fn give_up(
+async fn refuse_write(
     session: &mut CallerSession,
     batch: &CallerBatch,
     keyed: Option<&KeyedRequest>,
@@ -142,17 +142,17 @@
 ) -> Result<WriteEnd, SessionEnd> {
     let arrived = attempt.group.board.now();
     let mut queue = encode_batch(&mut attempt.pooled, batch);
-    let asked_again = may_ask_ahead(batch) && attempt.ask_again().is_ok();
+    let status_requested = may_pipeline_status(batch) && attempt.request_next_status().is_ok();
     let before = match attempt.first_status().await {
         Ok(status) => status,
-        Err(error) => return Ok(lose(session, batch, attempt, &error).await),
+        Err(error) => return Ok(fail_attempt(session, batch, attempt, &error).await),
     };
     // Guards against a transaction that reads at an isolated primary: its commit would end as
     // unknown, but what it read before would be yesterday's picture, or lack the session's own
     // writes.
     let begins = batch.begins().is_some() && !batch.ends();
     if begins && !may_serve(session, &attempt, &before, arrived).await {
-        return Ok(turn_away(session, batch, attempt, queue).await);
+        return Ok(reject_transaction(session, batch, attempt, queue).await);
     }
     let group = Arc::clone(&attempt.group);
     let bounds = bounds_of(&group, attempt.member, batch);
@@ -165,10 +165,10 @@
             attempt.abandon(session, &error).await;
             return Err(SessionEnd::Broken(error));
         }
-        Err(error) => return Ok(lose(session, batch, attempt, &error).await),
+        Err(error) => return Ok(fail_attempt(session, batch, attempt, &error).await),
     };
     if is_not_run(&outcome, &held) {
-        let settled = !asked_again || attempt.last_status().await.is_ok();
+        let settled = !status_requested || attempt.next_status().await.is_ok();
         if settled && outcome.status == b'I' {
             attempt.finish(session).await;
         }
@@ -176,23 +176,23 @@
     }
     if outcome.status != b'I' {
         held.release(&mut session.link);
-        return Ok(pin(session, batch, attempt, &outcome, &before, asked_again).await);
+        return Ok(pin(session, batch, attempt, &outcome, &before, status_requested).await);
     }
     let committed = held.completions > 0 && outcome.last_tag != b"ROLLBACK" && batch.executes;
     if !committed {
-        let settled = !asked_again || attempt.last_status().await.is_ok();
+        let settled = !status_requested || attempt.next_status().await.is_ok();
         if !settled {
-            attempt.abandon(session, &ExchangeError::MemberSilent).await;
-            answer_unresolved(session);
+            attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
+            report_unresolved(session);
             return Ok(WriteEnd::Answered);
         }
         held.release(&mut session.link);
-        answer(session, batch, attempt, &outcome).await;
+        finish_uncommitted(session, batch, attempt, &outcome).await;
         return Ok(WriteEnd::Answered);
     }
-    let Some(stamp) = attempt.commit_stamp(leading_term(&before), asked_again).await else {
-        attempt.abandon(session, &ExchangeError::MemberSilent).await;
-        answer_unresolved(session);
+    let Some(stamp) = attempt.commit_stamp(leading_term(&before), status_requested).await else {
+        attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
+        report_unresolved(session);
         return Ok(WriteEnd::Answered);
     };
     if outcome.error.is_none() {
@@ -200,18 +200,18 @@
     }
     let member = attempt.member;
     attempt.finish(session).await;
-    if confirm(&group, member, stamp).await {
+    if await_majority(&group, member, stamp).await {
         held.release(&mut session.link);
-        note_commit(session, stamp);
+        record_commit(session, stamp);
         put_ready(session.link.outgoing(), b'I');
     } else {
-        answer_unresolved(session);
+        report_unresolved(session);
     }
     Ok(WriteEnd::Answered)
 }
 
 /// Rolls back a transaction that began at a member which may not serve it. Nothing was committed.
-async fn turn_away(
+async fn reject_transaction(
     session: &CallerSession,
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
@@ -221,7 +221,9 @@
     let bounds = bounds_of(&group, attempt.member, batch);
     let drained = drain_batch(&mut attempt.pooled, &mut queue, bounds).await;
     let undone = match drained {
-        Ok(_) => run_own(&mut attempt.pooled, "ROLLBACK", bounds.member_silence).await.map(drop),
+        Ok(_) => {
+            run_internal(&mut attempt.pooled, "ROLLBACK", bounds.member_timeout).await.map(drop)
+        }
         Err(error) => Err(error),
     };
     match undone {
@@ -233,7 +235,7 @@
 
 /// Whether the question for the status after the batch can be sent along with it. A COPY would
 /// take it for data, and a Flush leaves the batch open.
-fn may_ask_ahead(batch: &CallerBatch) -> bool {
+fn may_pipeline_status(batch: &CallerBatch) -> bool {
     batch.end != BatchEnd::Flush && !batch.copies_in() && batch.begins().is_none()
 }
 
@@ -248,7 +250,7 @@
 
 /// Ends an attempt whose connection failed after the batch was sent: nobody can tell whether it
 /// ran.
-async fn lose(
+async fn fail_attempt(
     session: &mut CallerSession,
     batch: &CallerBatch,
     attempt: MemberAttempt,
@@ -258,12 +260,12 @@
     if !batch.executes {
         return WriteEnd::NotRun;
     }
-    answer_unresolved(session);
+    report_unresolved(session);
     WriteEnd::Answered
 }
 
 /// Tells the caller that nobody can tell.
-pub(crate) fn answer_unresolved(session: &mut CallerSession) {
+pub(crate) fn report_unresolved(session: &mut CallerSession) {
     metrics::counter!("rudder_refusals_total", "class" => "unknown", "sqlstate" => "08007")
         .increment(1);
     put_refusal(session.link.outgoing(), &RefusalNotice::Unresolved);
@@ -271,7 +273,7 @@
 }
 
 /// Ends the answer to a batch that committed nothing and left no transaction open.
-pub(crate) async fn answer(
+pub(crate) async fn finish_uncommitted(
     session: &mut CallerSession,
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
@@ -283,7 +285,7 @@
 }
 
 /// Raises what the session must see to a commit that was acknowledged, and reports its token.
-pub(crate) fn note_commit(session: &mut CallerSession, stamp: LogStamp) {
+pub(crate) fn record_commit(session: &mut CallerSession, stamp: LogStamp) {
     metrics::counter!("rudder_commits_total").increment(1);
     let service = session.service.clone();
     session.token.raise(&service, stamp);
@@ -300,11 +302,11 @@
     mut attempt: MemberAttempt,
     outcome: &BatchOutcome,
     before: &MemberStatus,
-    asked_again: bool,
+    status_requested: bool,
 ) -> WriteEnd {
-    if asked_again && attempt.last_status().await.is_err() {
-        attempt.abandon(session, &ExchangeError::MemberSilent).await;
-        answer_unresolved(session);
+    if status_requested && attempt.next_status().await.is_err() {
+        attempt.abandon(session, &ExchangeError::MemberUnresponsive).await;
+        report_unresolved(session);
         return WriteEnd::Answered;
     }
     let settings_before = session.settings.clone();
--- a/crates/arbutusrudder/src/classify/cache.rs
+++ b/crates/arbutusrudder/src/classify/cache.rs
@@ -28,7 +28,7 @@
             return summary;
         }
         let summary = Arc::new(classify_text(text));
-        self.remember(hash, Arc::clone(&summary));
+        self.insert_summary(hash, Arc::clone(&summary));
         summary
     }
 
@@ -38,7 +38,7 @@
         Some(Arc::clone(&entries[index].1))
     }
 
-    fn remember(&self, hash: u128, summary: Arc<StatementsSummary>) {
+    fn insert_summary(&self, hash: u128, summary: Arc<StatementsSummary>) {
         let mut entries = self.entries.write().expect("no holder of this lock panics");
         if entries.len() >= CACHE_ENTRIES_MAX {
             entries.clear();
--- a/crates/arbutusrudder/src/classify/scan.rs
+++ b/crates/arbutusrudder/src/classify/scan.rs
@@ -9,15 +9,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Comment by which a request names its key: `/* rudder:key=... */`.
-const KEY_MARK: &str = "rudder:key=";
+const KEY_PREFIX: &str = "rudder:key=";
 
 /// Words that, anywhere in a query, make it more than a read.
-const WRITING_WORDS: [&str; 5] = ["DELETE", "INSERT", "INTO", "MERGE", "UPDATE"];
+const WRITE_KEYWORDS: [&str; 5] = ["DELETE", "INSERT", "INTO", "MERGE", "UPDATE"];
 
 /// Functions known to read only, and words that may stand before a parenthesis. Sorted.
 /// Everything else may write (a function of the operator's own, `nextval`, an advisory lock), so
 /// it goes to the primary.
-const READING_WORDS: [&str; 78] = [
+const READ_SAFE_WORDS: [&str; 78] = [
     "ABS",
     "ALL",
     "AND",
@@ -133,7 +133,7 @@
     let key = tokens.iter().find_map(key_of);
     let statements = tokens
         .split(|token| matches!(token, Token::SemiColon))
-        .map(significant)
+        .map(without_whitespace)
         .filter(|tokens| !tokens.is_empty())
         .map(|tokens| classify_tokens(&tokens))
         .collect();
@@ -146,7 +146,7 @@
     else {
         return None;
     };
-    comment.trim().strip_prefix(KEY_MARK)?.trim().parse().ok()
+    comment.trim().strip_prefix(KEY_PREFIX)?.trim().parse().ok()
 }
 
 fn fingerprint_of(tokens: &[Token]) -> u64 {
@@ -162,12 +162,12 @@
     xxh3_64(shape.as_bytes())
 }
 
-fn significant(tokens: &[Token]) -> Vec<Token> {
+fn without_whitespace(tokens: &[Token]) -> Vec<Token> {
     tokens.iter().filter(|token| !matches!(token, Token::Whitespace(_))).cloned().collect()
 }
 
 fn classify_tokens(tokens: &[Token]) -> StatementFacts {
-    let words: Vec<String> = tokens.iter().filter_map(bare_word).collect();
+    let words: Vec<String> = tokens.iter().filter_map(unquoted_word).collect();
     let word = |index: usize| words.get(index).map_or("", String::as_str);
     match word(0) {
         "SELECT" | "VALUES" | "TABLE" | "WITH" => classify_query(tokens, &words),
@@ -205,7 +205,7 @@
 }
 
 fn classify_query(tokens: &[Token], words: &[String]) -> StatementFacts {
-    let writes = words.iter().any(|word| WRITING_WORDS.contains(&word.as_str()));
+    let writes = words.iter().any(|word| WRITE_KEYWORDS.contains(&word.as_str()));
     let locks = ["UPDATE", "SHARE", "NO", "KEY"].iter().any(|next| has_pair(words, "FOR", next));
     let calls: Vec<String> = tokens
         .windows(2)
@@ -219,7 +219,7 @@
         return refusal(CONFIG_REFUSAL);
     }
     let unknown_call =
-        calls.iter().any(|name| READING_WORDS.binary_search(&name.as_str()).is_err());
+        calls.iter().any(|name| READ_SAFE_WORDS.binary_search(&name.as_str()).is_err());
     if writes || locks || unknown_call { StatementFacts::write() } else { StatementFacts::read() }
 }
 
@@ -309,7 +309,7 @@
     }
 }
 
-fn bare_word(token: &Token) -> Option<String> {
+fn unquoted_word(token: &Token) -> Option<String> {
     match token {
         Token::Word(word) if word.quote_style.is_none() => Some(word.value.to_ascii_uppercase()),
         _ => None,
--- a/crates/arbutusrudder/src/classify/tests.rs
+++ b/crates/arbutusrudder/src/classify/tests.rs
@@ -4,7 +4,7 @@
 use super::scan::classify_text;
 
 #[test]
-fn only_sure_reads_are_reads() {
+fn only_provable_reads_are_reads() {
     let reads = [
         "SELECT 1",
         "select count(*) from pages where state = 'claimed' -- update",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn transaction_steps_are_seen() {
+fn transaction_steps_are_recognized() {
     let step_of = |text: &str| classify_text(text).statements[0].step;
 
     let steps =
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn settings_are_named_and_valued() {
+fn set_and_show_give_name_and_value() {
     let change_of = |text: &str| classify_text(text).statements[0].change.clone();
 
     let set = change_of("SET rudder.key = 'claim-7'");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn keys_come_from_comments_only() {
+fn request_keys_are_read_from_comments_only() {
     let commented = classify_text("/* rudder:key=claim-7 */ UPDATE pages SET by = 'anna'");
     let quoted = classify_text("SELECT '/* rudder:key=claim-7 */'");
 
--- a/crates/arbutusrudder/src/exchange/encode.rs
+++ b/crates/arbutusrudder/src/exchange/encode.rs
@@ -54,7 +54,7 @@
     match frame {
         BatchFrame::Parse(statement) => {
             if is_prepared(pooled, statement, queue) {
-                queue.expect(ExpectedReply::MadeUpParse);
+                queue.expect(ExpectedReply::SyntheticParse);
             } else {
                 prepare(pooled, statement, true, queue);
             }
@@ -73,7 +73,7 @@
             put_frame(outgoing, tag::DESCRIBE, &[b"S", name.as_bytes(), b"\0"]);
             queue.expect(ExpectedReply::Describe);
         }
-        BatchFrame::CloseStatement => queue.expect(ExpectedReply::MadeUpClose),
+        BatchFrame::CloseStatement => queue.expect(ExpectedReply::SyntheticClose),
         BatchFrame::Plain(frame) => {
             pooled.connection.link().outgoing().extend_from_slice(&frame.bytes);
             if end != BatchEnd::Simple {
@@ -115,7 +115,7 @@
     relayed: bool,
     queue: &mut ReplyQueue,
 ) {
-    make_room(pooled, statement.hash, queue);
+    evict_prepared(pooled, statement.hash, queue);
     let name = member_name(statement);
     let outgoing = pooled.connection.link().outgoing();
     put_frame(outgoing, tag::PARSE, &[name.as_bytes(), b"\0", &statement.definition]);
@@ -124,7 +124,7 @@
 
 /// Closes one prepared statement if the connection holds too many. Which one is as good as random:
 /// the neighbour of the new one in the order of hashes.
-fn make_room(pooled: &mut PooledConnection, hash: u128, queue: &mut ReplyQueue) {
+fn evict_prepared(pooled: &mut PooledConnection, hash: u128, queue: &mut ReplyQueue) {
     if pooled.prepared.len() < PREPARED_MAX {
         return;
     }
@@ -132,7 +132,7 @@
     let closed = pooled.prepared.remove(index);
     let name = name_of(closed);
     put_frame(pooled.connection.link().outgoing(), tag::CLOSE, &[b"S", name.as_bytes(), b"\0"]);
-    queue.expect(ExpectedReply::SilentClose(closed));
+    queue.expect(ExpectedReply::InternalClose(closed));
 }
 
 fn member_name(statement: &PreparedStatement) -> String {
--- a/crates/arbutusrudder/src/exchange/relay.rs
+++ b/crates/arbutusrudder/src/exchange/relay.rs
@@ -16,13 +16,13 @@
     /// the member's connection failed: {0}
     Member(WireError),
     /// the member did not answer in time
-    MemberSilent,
+    MemberUnresponsive,
     /// the caller's connection failed: {0}
     Caller(WireError),
     /// the member refused the session's settings: {0:?}
     Settings(ErrorFields),
     /// the answer that waits for its commit is too large to hold
-    Overfull,
+    ResponseTooLarge,
 }
 
 impl std::error::Error for ExchangeError {}
@@ -33,9 +33,9 @@
     /// The member: when it is known not to answer, nothing more is waited for.
     pub(crate) member: &'a GroupMember,
     /// How long the member may send nothing.
-    pub(crate) member_silence: Duration,
+    pub(crate) member_timeout: Duration,
     /// How long the caller may take to send or take data.
-    pub(crate) caller_silence: Duration,
+    pub(crate) caller_timeout: Duration,
     /// How the batch ends. After a Flush it is over when all replies have come.
     pub(crate) end: BatchEnd,
 }
@@ -63,7 +63,7 @@
     let mut outcome = BatchOutcome::default();
     let mut copying = false;
     loop {
-        queue.make_up(|bytes| sink.push_bytes(bytes));
+        queue.write_synthetic(|bytes| sink.push_bytes(bytes));
         if bounds.end == BatchEnd::Flush && queue.is_empty() {
             return Ok(outcome);
         }
@@ -73,16 +73,16 @@
             outcome.status = frame.body().first().copied().unwrap_or(b'I');
             return Ok(outcome);
         }
-        note_reply(&frame, &mut outcome);
+        record_reply(&frame, &mut outcome);
         let whole = matches!(frame.part, FramePart::Whole);
         outcome.names_changed = queue.names_changed();
-        if whole && queue.take(frame.tag) == ReplyAction::Swallow {
+        if whole && queue.take(frame.tag) == ReplyAction::Discard {
             continue;
         }
-        remember_prepared(pooled, queue);
+        record_prepared(pooled, queue);
         sink.push(&frame);
-        if sink.is_overfull() {
-            return Err(ExchangeError::Overfull);
+        if sink.exceeds_limit() {
+            return Err(ExchangeError::ResponseTooLarge);
         }
         // A member that refuses a simple COPY in the middle is ready at once, and what the caller
         // still sends is dropped later on; in an extended batch it waits for the caller's Sync.
@@ -116,16 +116,16 @@
 ) -> Result<BatchOutcome, ExchangeError> {
     let mut outcome = BatchOutcome::default();
     loop {
-        queue.make_up(|_| {});
+        queue.write_synthetic(|_| {});
         let frame = next_reply(pooled, bounds).await?;
         if frame.tag == tag::READY {
             outcome.status = frame.body().first().copied().unwrap_or(b'I');
             return Ok(outcome);
         }
-        note_reply(&frame, &mut outcome);
+        record_reply(&frame, &mut outcome);
         if matches!(frame.part, FramePart::Whole) {
             queue.take(frame.tag);
-            remember_prepared(pooled, queue);
+            record_prepared(pooled, queue);
         }
     }
 }
@@ -140,10 +140,10 @@
     }
     tokio::select! {
         biased;
-        frame = timeout(bounds.member_silence, link.next_frame()) => {
-            frame.map_err(|_| ExchangeError::MemberSilent)?.map_err(ExchangeError::Member)
+        frame = timeout(bounds.member_timeout, link.next_frame()) => {
+            frame.map_err(|_| ExchangeError::MemberUnresponsive)?.map_err(ExchangeError::Member)
         }
-        () = bounds.member.wait_down() => Err(ExchangeError::MemberSilent),
+        () = bounds.member.wait_down() => Err(ExchangeError::MemberUnresponsive),
     }
 }
 
@@ -165,13 +165,13 @@
     sink: &mut ReplySink<'_>,
     bounds: RelayBounds<'_>,
 ) -> Result<(), ExchangeError> {
-    timeout(bounds.caller_silence, sink.caller().flush())
+    timeout(bounds.caller_timeout, sink.caller().flush())
         .await
         .map_err(|_| ExchangeError::Caller(WireError::Closed))?
         .map_err(ExchangeError::Caller)
 }
 
-fn note_reply(frame: &WireFrame, outcome: &mut BatchOutcome) {
+fn record_reply(frame: &WireFrame, outcome: &mut BatchOutcome) {
     match frame.tag {
         tag::ERROR if outcome.error.is_none() => {
             outcome.error = Some(read_error_fields(frame.body()));
@@ -183,7 +183,7 @@
     }
 }
 
-fn remember_prepared(pooled: &mut PooledConnection, queue: &mut ReplyQueue) {
+fn record_prepared(pooled: &mut PooledConnection, queue: &mut ReplyQueue) {
     for hash in queue.take_prepared() {
         if let Err(index) = pooled.prepared.binary_search(&hash) {
             pooled.prepared.insert(index, hash);
@@ -201,11 +201,11 @@
     flush_caller(sink, bounds).await?;
     loop {
         let member = pooled.connection.link();
-        let next = timeout(bounds.caller_silence, sink.caller().next_frame());
+        let next = timeout(bounds.caller_timeout, sink.caller().next_frame());
         let frame = tokio::select! {
             frame = next => frame,
-            spoken = member.await_frame() => {
-                return spoken.map(|()| false).map_err(ExchangeError::Member);
+            readable = member.await_frame() => {
+                return readable.map(|()| false).map_err(ExchangeError::Member);
             }
         };
         let frame = frame
@@ -216,9 +216,9 @@
             return Ok(true);
         }
         if member.is_congested() {
-            timeout(bounds.member_silence, member.flush())
+            timeout(bounds.member_timeout, member.flush())
                 .await
-                .map_err(|_| ExchangeError::MemberSilent)?
+                .map_err(|_| ExchangeError::MemberUnresponsive)?
                 .map_err(ExchangeError::Member)?;
         }
     }
--- a/crates/arbutusrudder/src/exchange/replies.rs
+++ b/crates/arbutusrudder/src/exchange/replies.rs
@@ -21,7 +21,7 @@
         relayed: bool,
     },
     /// To a Close of our own, of the statement with this hash.
-    SilentClose(u128),
+    InternalClose(u128),
     /// To a Bind or a Close of the caller's.
     Single,
     /// To a Describe: ends with the row description or with its absence.
@@ -29,9 +29,9 @@
     /// To an Execute: ends with completion, suspension or emptiness.
     Execute,
     /// Made up: the frame was not sent.
-    MadeUpParse,
+    SyntheticParse,
     /// Made up: the frame was not sent.
-    MadeUpClose,
+    SyntheticClose,
 }
 
 /// What to do with a frame that a member sent.
@@ -40,7 +40,7 @@
     /// Hand it to the caller.
     Relay,
     /// Keep it back.
-    Swallow,
+    Discard,
 }
 
 /// The replies that are still to come for one batch.
@@ -80,11 +80,11 @@
     }
 
     /// Writes the made-up replies that are due before the member's next one.
-    pub(crate) fn make_up(&mut self, mut write: impl FnMut(&'static [u8])) {
+    pub(crate) fn write_synthetic(&mut self, mut write: impl FnMut(&'static [u8])) {
         loop {
             match self.expected.front() {
-                Some(ExpectedReply::MadeUpParse) => write(PARSE_COMPLETE),
-                Some(ExpectedReply::MadeUpClose) => write(CLOSE_COMPLETE),
+                Some(ExpectedReply::SyntheticParse) => write(PARSE_COMPLETE),
+                Some(ExpectedReply::SyntheticClose) => write(CLOSE_COMPLETE),
                 _ => return,
             }
             self.names_changed += 1;
@@ -112,7 +112,7 @@
                 // Guards against a statement that we think closed although its Close was skipped:
                 // preparing it again would fail, as its name is still taken.
                 self.prepared.extend(skipped.iter().filter_map(|reply| match reply {
-                    ExpectedReply::SilentClose(hash) => Some(*hash),
+                    ExpectedReply::InternalClose(hash) => Some(*hash),
                     _ => None,
                 }));
                 ReplyAction::Relay
@@ -127,12 +127,12 @@
         };
         self.prepared.push(hash);
         self.names_changed += usize::from(relayed);
-        if relayed { ReplyAction::Relay } else { ReplyAction::Swallow }
+        if relayed { ReplyAction::Relay } else { ReplyAction::Discard }
     }
 
     fn take_close(&mut self) -> ReplyAction {
         match self.expected.pop_front() {
-            Some(ExpectedReply::SilentClose(_)) => ReplyAction::Swallow,
+            Some(ExpectedReply::InternalClose(_)) => ReplyAction::Discard,
             _ => ReplyAction::Relay,
         }
     }
--- a/crates/arbutusrudder/src/exchange/sink.rs
+++ b/crates/arbutusrudder/src/exchange/sink.rs
@@ -73,7 +73,7 @@
     pub(crate) fn push(&mut self, frame: &WireFrame) {
         let begins = matches!(frame.part, FramePart::Whole | FramePart::Start);
         if begins {
-            self.note_tag(frame.tag);
+            self.record_tag(frame.tag);
         }
         self.write(&frame.bytes);
     }
@@ -84,7 +84,7 @@
     }
 
     /// Whether more is held than a commit may hold.
-    pub(crate) fn is_overfull(&self) -> bool {
+    pub(crate) fn exceeds_limit(&self) -> bool {
         self.held.len() > COMMIT_HELD_MAX
     }
 
@@ -99,7 +99,7 @@
         self.caller.outgoing().extend_from_slice(&held);
     }
 
-    fn note_tag(&mut self, frame_tag: u8) {
+    fn record_tag(&mut self, frame_tag: u8) {
         match frame_tag {
             tag::DATA_ROW | tag::COPY_OUT | tag::COPY_IN | tag::PORTAL_SUSPENDED => self.stream(),
             tag::COMMAND_COMPLETE => {
