--- a/crates/arbutusrudder/src/caller/transaction.rs
+++ b/crates/arbutusrudder/src/caller/transaction.rs
@@ -67,7 +67,7 @@
     let closes = batch.ends() || (pinned.status == b'I' && batch.end != BatchEnd::Flush);
     let pipelined = closes && batch.end != BatchEnd::Flush && !batch.copies_in();
     let status_requested = pipelined && request_status(&mut pinned.pooled).is_ok();
-    let rule = if closes { HoldRule::UntilCommit } else { HoldRule::Pass };
+    let rule = if closes { HoldRule::UntilCommit } else { HoldRule::Never };
     let group = Arc::clone(&pinned.group);
     let bounds = bounds_of(&group, pinned.member, batch);
     let mut sink = ReplySink::new(&mut session.link, rule);
@@ -87,13 +87,13 @@
 }
 
 /// Whether a batch commits its transaction, as far as its text says.
-fn commits(batch: &CallerBatch) -> bool {
+fn ends_transaction(batch: &CallerBatch) -> bool {
     batch.ends() && batch.executes
 }
 
 /// Enters the transaction's key, if it has one, before its commit; answers a refusal if that fails.
 async fn insert_key(pinned: &mut PinnedConnection, batch: &CallerBatch) -> Option<RefusalNotice> {
-    let key = pinned.key.as_ref().filter(|_| commits(batch))?;
+    let key = pinned.key.as_ref().filter(|_| ends_transaction(batch))?;
     let bound = pinned.group.timing.statement_timeout;
     match run_internal(&mut pinned.pooled, &key_insert_statement(key), bound).await {
         Ok(reply) => match reply.error {
--- a/crates/arbutusrudder/src/exchange/sink.rs
+++ b/crates/arbutusrudder/src/exchange/sink.rs
@@ -18,7 +18,7 @@
     /// As `UntilRow`, and again from the first completion on, until the commit is acknowledged.
     UntilCommit,
     /// Not at all.
-    Pass,
+    Never,
 }
 
 /// The replies that were held back to the end of a batch.
@@ -52,7 +52,7 @@
 impl<'a> ReplySink<'a> {
     /// A sink towards `caller`.
     pub(crate) fn new(caller: &'a mut WireLink, rule: HoldRule) -> Self {
-        let streaming = rule == HoldRule::Pass;
+        let streaming = rule == HoldRule::Never;
         Self {
             caller,
             rule,
