--- a/crates/arbutusrudder/src/caller/attempt.rs
+++ b/crates/arbutusrudder/src/caller/attempt.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum AttemptError {
-    /// turned away at the gate: {0:?}
+    /// rejected by admission control: {0:?}
     Refused(RefusalReason),
     /// no connection: {0}
     Pool(PoolError),
@@ -109,7 +109,7 @@
             target: "rudder::admission", service:% = group.service.name,
             member:% = group.members[member].name(), kind:% = session.caller.kind,
             class:% = class, reason:% = reason.word,
-            retry_after_ms = reason.retry_after.as_millis() as u64; "request turned away"
+            retry_after_ms = reason.retry_after.as_millis() as u64; "request rejected by admission control"
         );
     }
     outcome
@@ -217,7 +217,7 @@
         *session.cancel.slot.lock().await = None;
         log::info!(
             target: "rudder::attempt", service:% = self.group.service.name,
-            member:% = member.name(), reason:% = error; "connection to member given up"
+            member:% = member.name(), reason:% = error; "connection to member closed after a failure"
         );
     }
 
--- a/crates/arbutusrudder/src/caller/cancel.rs
+++ b/crates/arbutusrudder/src/caller/cancel.rs
@@ -69,7 +69,7 @@
         let target = slot.lock().await;
         if let Some((address, cancel)) = *target {
             let sent = MemberConnection::send_cancel(address, cancel, CANCEL_TIMEOUT).await;
-            log::info!(target: "rudder::cancel", member:% = address, delivered = sent.is_ok(); "cancel request passed on");
+            log::info!(target: "rudder::cancel", member:% = address, delivered = sent.is_ok(); "cancel request forwarded");
         }
     }
 
--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum SessionEnd {
-    /// the caller said goodbye
+    /// the caller closed the connection
     Terminate,
     /// the login failed: {0}
     Login(LoginError),
@@ -59,7 +59,7 @@
     Idle,
     /// this instance is leaving
     Leaving,
-    /// an answer broke off in the middle: {0}
+    /// a response was interrupted: {0}
     Broken(ExchangeError),
 }
 
--- a/crates/arbutusrudder/src/exchange/relay.rs
+++ b/crates/arbutusrudder/src/exchange/relay.rs
@@ -21,7 +21,7 @@
     Caller(WireError),
     /// the member refused the session's settings: {0:?}
     Settings(ErrorFields),
-    /// the answer that waits for its commit is too large to hold
+    /// the response held until its commit is acknowledged is too large
     ResponseTooLarge,
 }
 
