--- a/crates/arbutusrudder/src/caller/acknowledge.rs
+++ b/crates/arbutusrudder/src/caller/acknowledge.rs
@@ -1,4 +1,5 @@
-//! Acknowledging a commit: the member's own status after it, then a majority of the group.
+//! Acknowledges a commit: reads the member's status after it, then waits for a majority of the
+//! group.
 
 use crate::exchange::ExchangeError;
 use crate::group::{ConfirmOutcome, GroupState, PooledConnection};
@@ -8,24 +9,25 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A status may take this many times as long as a primary may stay unheard.
+/// Timeout of a status request, as a multiple of the time after which an unresponsive
+/// primary is suspected.
 const STATUS_TIMEOUT_FACTOR: u32 = 2;
 
-/// Queues the question for a member's status on a connection in use.
+/// Queues a request for a member's status on a connection in use.
 pub(crate) fn request_status(pooled: &mut PooledConnection) -> Result<(), ExchangeError> {
     let request = ControlStatement::Status.to_string();
     pooled.connection.queue_query(&request).map_err(|_| ExchangeError::MemberUnresponsive)
 }
 
-/// Reads the answer to [`request_status`], and notes it as asked for at `status_requested_at`.
+/// Reads the response to [`request_status`], and records it as requested at `status_requested_at`.
 pub(crate) async fn read_status(
     group: &GroupState,
     member: usize,
     pooled: &mut PooledConnection,
     status_requested_at: Duration,
 ) -> Result<MemberStatus, ExchangeError> {
-    // Guards against a connection that went silent for good while new ones work: a status takes no
-    // slot, so its answer is never late for work's sake.
+    // Detects a connection that stopped responding for good while new ones work. A status takes no
+    // slot, so load never delays its response.
     let bound = group.timing.suspect_after * STATUS_TIMEOUT_FACTOR;
     match timeout(bound, pooled.connection.next_status()).await {
         Ok(Ok(status)) => {
@@ -37,8 +39,9 @@
     }
 }
 
-/// The stamp of what was committed at `term`, by the member's own status after it; `None` if nobody
-/// can tell. The question for that status must have been queued already, at `status_requested_at` or later.
+/// Returns the stamp of what was committed at `term`, from the member's own status after it, or
+/// `None` if it cannot be determined. The status request must have been queued already, at
+/// `status_requested_at` or later.
 pub(crate) async fn commit_stamp(
     group: &GroupState,
     member: usize,
@@ -50,8 +53,8 @@
     stamp_of_commit(term?, &after)
 }
 
-/// Waits until a majority holds the commit; `false` if nobody can tell whether it stays. Needs no
-/// connection, so that the member's scarce ones serve others meanwhile.
+/// Waits until a majority holds the commit. Returns `false` if its durability is unknown. Uses no
+/// member connection, so that the few there are can serve others meanwhile.
 pub(crate) async fn await_majority(group: &GroupState, member: usize, commit: LogStamp) -> bool {
     let nothing_to_lose = commit == LogStamp::default();
     if nothing_to_lose || group.service.ack == AckRule::Primary {
@@ -69,7 +72,7 @@
     outcome == ConfirmOutcome::Acknowledged
 }
 
-/// The term at which a member leads, if it does.
+/// Returns the term at which a member is primary, or `None` if it is not.
 pub(crate) fn leading_term(status: &MemberStatus) -> Option<LogTerm> {
     (status.role == MemberRole::Primary).then_some(status.accepted)
 }
--- a/crates/arbutusrudder/src/caller/attempt.rs
+++ b/crates/arbutusrudder/src/caller/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt to run a batch at one member: a slot, a connection, and the status that the member
-//! gives on the same connection before the batch.
+//! One attempt to run a batch at one member. It takes an admission slot and a connection, and reads
+//! the member's status on that connection before the batch.
 
 use super::acknowledge::{commit_stamp, read_status, request_status};
 use super::session::CallerSession;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Why an attempt did not come to run its batch: nothing of the batch took effect.
+/// Reason why an attempt did not start its batch. Nothing of the batch took effect.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum AttemptError {
@@ -28,15 +28,13 @@
 
 impl std::error::Error for AttemptError {}
 
-/// A member's connection in use for one batch.
+/// A member connection in use for one batch.
 pub(crate) struct MemberAttempt {
-    /// The group.
     pub(crate) group: Arc<GroupState>,
     /// The member's index.
     pub(crate) member: usize,
-    /// The connection.
     pub(crate) pooled: PooledConnection,
-    /// The settings statements that were queued first have a reply to skip.
+    /// Whether settings statements were queued first, so that their reply is to be skipped.
     settings_queued: bool,
     fingerprint: u64,
     started: Instant,
@@ -45,7 +43,7 @@
     _load: LoadGuard,
 }
 
-/// Counts a statement in flight at a member while it lives.
+/// Counts a statement as in flight at a member until dropped.
 struct LoadGuard {
     group: Arc<GroupState>,
     member: usize,
@@ -64,23 +62,23 @@
     }
 }
 
-/// What an attempt is meant to run.
+/// Properties of a batch that matter for admission.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptWork {
-    /// Whether it may change data.
+    /// Whether it reads or writes.
     pub(crate) class: WorkClass,
-    /// What work of the same shape shares.
+    /// Hash that is equal for batches that differ only in their literals.
     pub(crate) fingerprint: u64,
 }
 
 impl AttemptWork {
-    /// The work of a batch.
+    /// Returns the properties of `batch`.
     pub(crate) fn of(batch: &CallerBatch, class: WorkClass) -> Self {
         Self { class, fingerprint: batch.fingerprint() }
     }
 }
 
-/// Waits for a slot at a member, as long as the caller's kind allows.
+/// Waits for an admission slot at a member, within the limits of the caller's kind.
 pub(crate) async fn acquire_slot(
     session: &CallerSession,
     group: &Arc<GroupState>,
@@ -116,8 +114,8 @@
 }
 
 impl MemberAttempt {
-    /// Takes a slot and a connection, and queues what goes before the batch: the session's
-    /// settings and the question for the member's status.
+    /// Takes a slot and a connection, and queues what precedes the batch: the session's settings
+    /// and a request for the member's status.
     pub(crate) async fn begin(
         session: &mut CallerSession,
         group: &Arc<GroupState>,
@@ -160,12 +158,12 @@
         })
     }
 
-    /// Queues the question for the member's status after the batch.
+    /// Queues a request for the member's status after the batch.
     pub(crate) fn request_next_status(&mut self) -> Result<(), ExchangeError> {
         request_status(&mut self.pooled)
     }
 
-    /// Reads the status that was asked for before the batch.
+    /// Reads the status that was requested before the batch.
     pub(crate) async fn first_status(&mut self) -> Result<MemberStatus, ExchangeError> {
         if self.settings_queued {
             self.settings_queued = false;
@@ -175,13 +173,14 @@
         self.next_status().await
     }
 
-    /// Reads the status that was asked for after the batch. It was queued together with the batch,
-    /// so it counts as asked for when the batch began.
+    /// Reads the next requested status. A request after the batch was queued together with it, so
+    /// it counts as requested when the batch began.
     pub(crate) async fn next_status(&mut self) -> Result<MemberStatus, ExchangeError> {
         read_status(&self.group, self.member, &mut self.pooled, self.status_requested_at).await
     }
 
-    /// The stamp of what the batch committed at `term`; `None` if nobody can tell.
+    /// Returns the stamp of what the batch committed at `term`, or `None` if it cannot be
+    /// determined.
     pub(crate) async fn commit_stamp(
         &mut self,
         term: Option<LogTerm>,
@@ -194,20 +193,21 @@
             .await
     }
 
-    /// Ends an attempt whose member is ready and outside of a transaction.
+    /// Ends an attempt and returns its connection to the pool. The member must be ready and outside
+    /// of a transaction.
     pub(crate) async fn finish(self, session: &CallerSession) {
         let member = &self.group.members[self.member];
         let elapsed = self.started.elapsed();
         member.observe(elapsed);
         self.group.note_work(self.fingerprint, elapsed.saturating_sub(member.link()));
         self.group.note_outcome(self.member, true);
-        // Waits for a cancel on its way: it must not hit the connection's next caller.
+        // Waits for a cancel request in progress: it must not affect the connection's next caller.
         *session.cancel.slot.lock().await = None;
         member.pool.give_back(self.pooled);
     }
 
-    /// Ends an attempt whose connection cannot be trusted any more: it is closed, so that a late
-    /// answer reaches nobody.
+    /// Ends an attempt and closes its connection, whose state is unknown, so that a late reply
+    /// reaches no other caller.
     pub(crate) async fn abandon(self, session: &CallerSession, error: &ExchangeError) {
         let member = &self.group.members[self.member];
         if !matches!(error, ExchangeError::Caller(_)) {
@@ -221,14 +221,14 @@
         );
     }
 
-    /// Gives up the slot and keeps the connection, for a transaction.
+    /// Releases the slot and keeps the connection for a transaction.
     pub(crate) fn into_pooled(self) -> PooledConnection {
         self.group.members[self.member].observe(self.started.elapsed());
         self.pooled
     }
 }
 
-/// Reads the reply to the settings that were queued.
+/// Reads the reply to the queued settings statements.
 async fn skip_reply(pooled: &mut PooledConnection, within: Duration) -> Result<(), ExchangeError> {
     let link = pooled.connection.link();
     let skip = async {
@@ -236,9 +236,9 @@
             let frame = link.next_frame().await.map_err(ExchangeError::Member)?;
             match frame.tag {
                 rudder_endpoint::tag::READY => return Ok(()),
-                // Guards against a caller that gets the settings of the connection's last one
-                // because its own were refused: they are set in one transaction with the RESET,
-                // which is then undone, too.
+                // The settings run in one transaction with the RESET, which is rolled back with
+                // them. Without this error, the caller would get the settings of the
+                // connection's previous caller.
                 rudder_endpoint::tag::ERROR => {
                     return Err(ExchangeError::Settings(read_error_fields(frame.body())));
                 }
@@ -249,8 +249,8 @@
     timeout(within, skip).await.map_err(|_| ExchangeError::MemberUnresponsive)?
 }
 
-/// Waits for the member to take settings that no member has taken yet: those of a login may be
-/// wrong, and the session's statements must not run without them.
+/// Waits until the member accepts settings that no member has accepted yet. Login settings may be
+/// invalid, and the session's statements must not run without them.
 async fn verify_settings(
     session: &mut CallerSession,
     pooled: &mut PooledConnection,
@@ -266,7 +266,7 @@
     }
 }
 
-/// Bounds for relaying `batch` at a member of `group`.
+/// Returns the timeouts for relaying `batch` at a member of `group`.
 pub(crate) fn bounds_of<'a>(
     group: &'a GroupState,
     member: usize,
--- a/crates/arbutusrudder/src/caller/cancel.rs
+++ b/crates/arbutusrudder/src/caller/cancel.rs
@@ -1,15 +1,15 @@
-//! Cancel requests: a caller names its own key, and the statement that it runs is found here.
+//! Cancel requests: maps a caller's cancel key to the statement that it runs at a member.
 
 use rudder_endpoint::{CancelTarget, MemberConnection};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a cancel request may take at a member.
+/// Timeout of a cancel request at a member.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The statement that a session runs now. Held while a cancel is on its way, so that the
-/// connection is not given to another caller before the member has taken the cancel.
+/// The statement that a session is running. Locked while a cancel request is sent, so that no other
+/// caller gets the connection before the member has processed the request.
 pub(crate) type CancelSlot = Arc<tokio::sync::Mutex<Option<(SocketAddr, CancelTarget)>>>;
 
 /// The cancel keys of this instance's callers, sorted.
@@ -18,16 +18,16 @@
     entries: Mutex<Vec<((i32, i32), CancelSlot)>>,
 }
 
-/// A caller's entry on the board; dropping it removes the entry.
+/// Registration of a caller's cancel key; dropping it removes the key.
 pub(crate) struct CancelEntry {
     board: Arc<CancelBoard>,
     key: (i32, i32),
-    /// Where the running statement is noted.
+    /// The running statement.
     pub(crate) slot: CancelSlot,
 }
 
 impl CancelEntry {
-    /// The process id and the secret that the caller is told.
+    /// Returns the process id and the secret that the caller receives.
     pub(crate) fn key(&self) -> (i32, i32) {
         self.key
     }
@@ -43,7 +43,7 @@
 }
 
 impl CancelBoard {
-    /// Enters a caller under a fresh key.
+    /// Registers a caller under a new key.
     pub(crate) fn register(self: &Arc<Self>) -> CancelEntry {
         let slot = CancelSlot::default();
         let mut entries = self.lock();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Passes a cancel request on to the member that runs the caller's statement.
+    /// Forwards a cancel request to the member that runs the caller's statement.
     pub(crate) async fn cancel(&self, process_id: i32, secret: i32) {
         let slot = {
             let entries = self.lock();
--- a/crates/arbutusrudder/src/caller/collect.rs
+++ b/crates/arbutusrudder/src/caller/collect.rs
@@ -1,4 +1,4 @@
-//! Collecting a batch from the caller's frames.
+//! Collects a batch from the caller's frames.
 
 use super::session::CallerSession;
 use crate::classify::FactsCache;
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// What a caller sent.
+/// Input of a caller.
 pub(crate) enum CallerInput {
-    /// A batch to answer.
+    /// A batch to serve.
     Batch(CallerBatch),
-    /// The end of the connection.
+    /// A request to end the connection.
     Terminate,
 }
 
-/// Frames of one batch at most; a longer pipeline without Sync is refused.
+/// Maximum number of frames in one batch; a longer pipeline without Sync is rejected.
 const BATCH_FRAMES_MAX: usize = 65_536;
 
-/// Bytes of one batch at most: a pipeline without an end would fill memory.
+/// Maximum bytes of one batch; an endless pipeline would fill memory.
 const BATCH_SIZE_MAX: usize = 64 * 1024 * 1024;
 
-/// Reads frames until the caller waits for an answer.
+/// Reads frames until the caller waits for a response.
 pub(crate) async fn collect_batch(
     session: &mut CallerSession,
     facts: &FactsCache,
@@ -44,8 +44,8 @@
         if size > BATCH_SIZE_MAX {
             return Err(WireError::Malformed("a batch is larger than 64 MiB"));
         }
-        // Guards against a Describe that is announced as large as a row: its parts would pass for
-        // messages of their own, and pile up.
+        // A Describe with a declared length as large as a row arrives in parts, which would be
+        // taken for separate messages and accumulate.
         if frame.part != FramePart::Whole && frame.tag != tag::COPY_DATA {
             return Err(WireError::Malformed("a message is too long for its type"));
         }
@@ -65,7 +65,7 @@
                 return Ok(CallerInput::Batch(batch));
             }
             tag::TERMINATE => return Ok(CallerInput::Terminate),
-            // Left over from a COPY that the member ended with an error.
+            // Remaining data of a COPY that the member ended with an error.
             tag::COPY_DATA | tag::COPY_DONE | tag::COPY_FAIL => size = 0,
             tag::PARSE | tag::BIND | tag::DESCRIBE | tag::EXECUTE | tag::CLOSE => {
                 collect_frame(session, facts, &mut batch, frame)?;
@@ -124,7 +124,7 @@
     let statement = Arc::new(PreparedStatement {
         hash: xxh3_128(&definition),
         summary: facts.summary_of(text),
-        // A copy: a slice would keep the whole buffer that it was read into.
+        // Copied, because a slice would keep the whole read buffer alive.
         definition: Bytes::copy_from_slice(&definition),
     });
     session.add_statement(name, Arc::clone(&statement));
@@ -141,7 +141,7 @@
     let name_end = end_of_text(body, portal_end + 1)?;
     let name = text_of(&body[portal_end + 1..=name_end])?;
     let Some(statement) = session.statement(name) else {
-        // The member says that there is no such statement.
+        // The member reports that there is no such statement.
         return Ok(BatchFrame::Plain(frame));
     };
     batch.summaries.push(Arc::clone(&statement.summary));
--- a/crates/arbutusrudder/src/caller/keyed.rs
+++ b/crates/arbutusrudder/src/caller/keyed.rs
@@ -1,5 +1,6 @@
-//! Requests with a key: the key is written in the same transaction as the change, under a unique
-//! index on the endpoint, so that a repeat on any instance, after any failover, finds it.
+//! Requests with an idempotency key. The key is written in the same transaction as the change,
+//! under a unique index on the endpoint, so that a retry at any instance, after any failover, finds
+//! it.
 
 use super::acknowledge::{await_majority, leading_term};
 use super::attempt::{MemberAttempt, bounds_of};
@@ -19,13 +20,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// SQLSTATE of a key that is there already.
+/// SQLSTATE of a key that exists already.
 const UNIQUE_VIOLATION: &str = "23505";
 
-/// SQLSTATE of a table that is not there yet.
+/// SQLSTATE of a table that does not exist.
 const TABLE_MISSING: &str = "42P01";
 
-/// The table of keys. Operators may create it beforehand and prune it.
+/// Statement that creates the table of keys. Operators may create it beforehand and prune it.
 const CREATE_TABLE: &str =
     "CREATE TABLE IF NOT EXISTS rudder_requests (key text PRIMARY KEY, outcome text)";
 
@@ -34,43 +35,44 @@
 
 /// A request that must run at most once.
 pub(crate) struct KeyedRequest {
-    /// Its key.
+    /// Its idempotency key.
     pub(crate) key: RequestKey,
-    /// Whether an attempt of ours got as far as sending its commit: if the key is then found, it is
-    /// most likely our own, and the first outcome is the answer.
+    /// Whether an earlier attempt sent its commit. A key found afterwards most likely comes from
+    /// that attempt, so the recorded outcome is the response.
     commit_sent: bool,
 }
 
 impl KeyedRequest {
-    /// The key of a batch, from its comment or from the session's setting, which serves once.
+    /// Returns the key of a batch, from its comment or from the session's setting, which is used
+    /// once.
     pub(crate) fn of(session: &mut CallerSession, batch: &CallerBatch) -> Option<Self> {
         let key = batch.key().cloned().or_else(|| session.key.take())?;
         Some(Self { key, commit_sent: false })
     }
 
-    /// Whether an attempt of ours may have committed.
+    /// Whether an earlier attempt may have committed.
     pub(crate) fn may_have_committed(&self) -> bool {
         self.commit_sent
     }
 }
 
-/// What a simple statement of our own brought.
+/// Result of a simple statement that the proxy itself runs.
 #[derive(Debug, Default)]
 pub(crate) struct InternalReply {
     /// The error, if it failed.
     pub(crate) error: Option<ErrorFields>,
     /// The first column of the first row.
     pub(crate) value: Option<String>,
-    /// The tag of its completion.
+    /// Its command tag.
     pub(crate) tag: Vec<u8>,
 }
 
-/// The statement that enters a key.
+/// Returns the statement that inserts a key.
 pub(crate) fn key_insert_statement(key: &RequestKey) -> String {
     format!("INSERT INTO rudder_requests (key, outcome) VALUES ('{key}', '')")
 }
 
-/// Whether an error says that the key is there already.
+/// Whether an error means that the key exists already.
 pub(crate) fn is_duplicate(error: &ErrorFields) -> bool {
     error.sqlstate == UNIQUE_VIOLATION
 }
@@ -98,7 +100,7 @@
             Ok(WriteEnd::NotRun)
         }
         Err(error) => {
-            // Nothing but the key was sent, and its transaction was not committed.
+            // Only the key was sent, and its transaction was not committed.
             attempt.abandon(session, &error).await;
             Ok(WriteEnd::NotRun)
         }
@@ -149,7 +151,7 @@
     let outcome = match relayed {
         Ok(outcome) => outcome,
         Err(error) => {
-            // The transaction was not committed, so the change is undone with the connection.
+            // The transaction was not committed, so closing the connection rolls it back.
             attempt.abandon(session, &error).await;
             let broken = held.relayed || matches!(error, ExchangeError::Caller(_));
             return if broken { Err(SessionEnd::Broken(error)) } else { Ok(WriteEnd::NotRun) };
@@ -162,7 +164,7 @@
     let stamp = match commit(&mut attempt, keyed, &outcome.last_tag).await {
         Ok(true) => attempt.commit_stamp(term, false).await,
         Ok(false) => {
-            // The member rolled back: a request with the same key was faster, or it is fenced.
+            // The member rolled back: a request with the same key committed first, or it is fenced.
             attempt.finish(session).await;
             return Ok(retry_if_unseen(session, &held));
         }
@@ -184,7 +186,7 @@
     Ok(WriteEnd::Answered)
 }
 
-/// Rolls back a change that failed, and hands on its error unless another member may do better.
+/// Rolls back a failed change, and relays its error unless a retry at another member may succeed.
 async fn roll_back(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -213,8 +215,8 @@
     WriteEnd::Answered
 }
 
-/// Trying again is safe under the key, also after a commit of unknown outcome: if the change
-/// stays, its key is found. Not once the caller has part of the answer, though.
+/// Requests a retry unless the caller has received part of the response. A retry under the key is
+/// safe even after a commit of unknown outcome: if the change was kept, its key is found.
 fn retry_if_unseen(session: &mut CallerSession, held: &HeldReplies) -> WriteEnd {
     if held.relayed {
         report_unresolved(session);
@@ -223,7 +225,7 @@
     WriteEnd::NotRun
 }
 
-/// Records the outcome and commits; answers whether the member committed.
+/// Records the outcome and commits. Returns whether the member committed.
 async fn commit(
     attempt: &mut MemberAttempt,
     keyed: &KeyedRequest,
@@ -238,8 +240,8 @@
     Ok(reply.error.is_none() && reply.tag == b"COMMIT")
 }
 
-/// Answers a request whose key is there: with the first outcome if the first run was our own, else
-/// with a refusal that names it. Either way what was found must be there to stay.
+/// Responds to a request whose key exists: with the recorded outcome if this request wrote it, else
+/// with a refusal that names it. In both cases a majority must first hold what was found.
 async fn resolve_duplicate(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -277,7 +279,7 @@
     Ok(WriteEnd::Answered)
 }
 
-/// Runs a simple statement of our own on a connection in use.
+/// Runs a simple statement of the proxy itself on a connection in use.
 pub(crate) async fn run_internal(
     pooled: &mut PooledConnection,
     text: &str,
@@ -290,7 +292,7 @@
         .map_err(ExchangeError::Member)
 }
 
-/// Reads the reply to a simple statement of our own that was queued before.
+/// Reads the reply to a simple statement of the proxy itself that was queued before.
 pub(crate) async fn read_internal_reply(
     pooled: &mut PooledConnection,
 ) -> Result<InternalReply, WireError> {
--- a/crates/arbutusrudder/src/caller/local.rs
+++ b/crates/arbutusrudder/src/caller/local.rs
@@ -1,4 +1,4 @@
-//! Statements that concern this proxy alone and never reach a member.
+//! Statements on the proxy's own settings, which are served without a member.
 
 use super::response::{
     put_complete, put_error, put_parameter, put_ready, put_text_column, put_text_value,
@@ -8,24 +8,24 @@
 use crate::exchange::{BatchEnd, CallerBatch};
 use std::time::Duration;
 
-/// Prefix of the settings that are this proxy's own.
+/// Name prefix of the proxy's own settings.
 pub(crate) const PROXY_PREFIX: &str = "rudder.";
 
 /// SQLSTATE of a setting that does not exist.
 const UNKNOWN_SETTING: &str = "42704";
 
-/// SQLSTATE of a setting's value that is not allowed.
+/// SQLSTATE of an invalid value of a setting.
 const INVALID_VALUE: &str = "22023";
 
-/// Why a setting of this proxy's own was not taken.
+/// Reason why a change of a proxy setting was rejected.
 pub(crate) struct SettingRefusal {
     /// The SQLSTATE for the caller.
     pub(crate) sqlstate: &'static str,
-    /// The sentence for the caller.
+    /// The message for the caller.
     pub(crate) message: String,
 }
 
-/// Answers a simple query that concerns this proxy alone; `false` if a member must answer it.
+/// Serves a simple query that concerns this proxy alone. Returns `false` if a member must serve it.
 pub(crate) fn serve_locally(session: &mut CallerSession, batch: &CallerBatch) -> bool {
     if batch.end != BatchEnd::Simple {
         return false;
@@ -57,8 +57,8 @@
     true
 }
 
-/// Whether a batch mixes statements of this proxy's own with others, in a way that cannot be
-/// served: on a member, DEALLOCATE would drop what other callers prepared, and SHOW knows nothing.
+/// Whether a batch mixes statements for this proxy with others in a way that cannot be served. On a
+/// member, DEALLOCATE would drop what other callers prepared, and SHOW would not know the setting.
 pub(crate) fn mixes_proxy_statements(batch: &CallerBatch) -> bool {
     batch.changes().any(|change| {
         let shows = matches!(change, SessionChange::Show { .. });
@@ -77,11 +77,11 @@
     }
 }
 
-/// What a statement of this proxy's own answers.
+/// Result of a statement that this proxy serves itself.
 pub(crate) struct ProxyReply {
-    /// The value that it shows, if it shows one.
+    /// The value to show, if any.
     pub(crate) value: Option<String>,
-    /// The command's tag.
+    /// The command tag.
     pub(crate) tag: &'static str,
 }
 
@@ -113,7 +113,7 @@
     Ok(ProxyReply { value, tag })
 }
 
-/// Takes the settings of this proxy's own that a login gave.
+/// Applies the proxy settings given at login.
 pub(crate) fn set_proxy_settings(
     session: &mut CallerSession,
     settings: &[(String, String)],
@@ -121,7 +121,7 @@
     settings.iter().try_for_each(|(name, value)| set_proxy_setting(session, name, Some(value)))
 }
 
-/// Takes a setting of this proxy's own.
+/// Applies one proxy setting.
 pub(crate) fn set_proxy_setting(
     session: &mut CallerSession,
     name: &str,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Reports the session's token, for the caller to hand in elsewhere.
+/// Reports the session's token, which the caller can present to other instances.
 pub(crate) fn report_token(session: &mut CallerSession) {
     let token = session.token.to_string();
     put_parameter(session.link.outgoing(), "rudder.session", &token);
--- a/crates/arbutusrudder/src/caller/login.rs
+++ b/crates/arbutusrudder/src/caller/login.rs
@@ -1,4 +1,4 @@
-//! A caller's login: negotiation, parameters, authentication.
+//! Login of a caller: negotiation, parameters, authentication.
 
 use super::cancel::CancelEntry;
 use super::local::PROXY_PREFIX;
@@ -13,16 +13,16 @@
 use rudder_core::{ParseError, ServiceName, SessionId, SessionToken};
 use rudder_endpoint::{StartupPacket, WireError, WireLink, tag};
 
-/// Iterations of the password hash, the least that the standard allows.
+/// Iterations of the password hash, the minimum that the standard allows.
 const SCRAM_ITERATIONS: usize = 4096;
 
 const SCRAM_MECHANISM: &str = "SCRAM-SHA-256";
 
-/// Parameters that the login itself uses or that must not be set on shared connections.
+/// Parameters used by the login itself, or not allowed on shared connections. Sorted.
 const RESERVED_PARAMETERS: [&str; 6] =
     ["database", "options", "replication", "rudder.session", "rudder.session_id", "user"];
 
-/// Why a caller's login failed.
+/// Reason why a caller's login failed.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum LoginError {
@@ -53,7 +53,7 @@
 }
 
 impl LoginError {
-    /// The SQLSTATE that the caller is given.
+    /// Returns the SQLSTATE for the caller.
     pub(crate) fn sqlstate(&self) -> &'static str {
         match self {
             Self::Wire(_) => "08P01",
@@ -65,16 +65,15 @@
     }
 }
 
-/// What a caller asked for at login.
+/// Parameters of a caller's login.
 #[derive(Debug)]
 pub(crate) struct LoginRequest {
-    /// The user.
     pub(crate) user: String,
-    /// The service that it wants.
+    /// The requested service.
     pub(crate) service: ServiceName,
-    /// The session that it continues, if it named one.
+    /// The session that it continues, if any.
     pub(crate) session: Option<SessionClaim>,
-    /// Settings of this proxy's own.
+    /// Settings of the proxy itself.
     pub(crate) proxy_settings: Vec<(String, String)>,
     /// Settings for its statements, sorted by name.
     pub(crate) settings: Vec<(String, String)>,
@@ -83,13 +82,13 @@
 /// The session that a caller continues.
 #[derive(Debug)]
 pub(crate) enum SessionClaim {
-    /// With its token.
+    /// By its token.
     Token(SessionToken),
-    /// By its id only: what it must see has to be found out.
+    /// By its id only: the least log position that it must see is not known yet.
     Id(SessionId),
 }
 
-/// Reads the parameters of a login.
+/// Parses the parameters of a login.
 pub(crate) fn read_login(parameters: Vec<(String, String)>) -> Result<LoginRequest, LoginError> {
     let mut all: Vec<(String, String)> = Vec::with_capacity(parameters.len());
     for (name, value) in parameters {
@@ -98,7 +97,7 @@
         }
         all.push((name.to_ascii_lowercase(), value));
     }
-    // Names become part of SET statements, so nothing else may hide in one.
+    // Names become part of SET statements, so other characters would allow SQL injection.
     if !all.iter().all(|(name, _)| is_plain_name(name)) {
         return Err(LoginError::Options);
     }
@@ -146,7 +145,7 @@
     settings
 }
 
-/// Reads `-c name=value` options; a backslash escapes a space.
+/// Parses `-c name=value` options; a backslash escapes a space.
 fn read_options(text: &str) -> Result<Vec<(String, String)>, LoginError> {
     let marked = text.replace("\\ ", "\u{1}");
     let mut words = marked.split_whitespace().map(|word| word.replace('\u{1}', " "));
@@ -209,7 +208,7 @@
     message.encode(link.outgoing()).expect("the message is below the protocol's limits");
 }
 
-/// Tells the caller that it is logged in.
+/// Adds the messages that complete a login.
 pub(crate) fn put_login_complete(
     link: &mut WireLink,
     parameters: &[(String, String)],
@@ -228,14 +227,15 @@
     put_ready(out, b'I');
 }
 
-/// Tells the caller why its login failed.
+/// Sends the error of a failed login.
 pub(crate) async fn refuse_login(link: &mut WireLink, error: &LoginError) {
     put_fatal(link.outgoing(), error.sqlstate(), &error.to_string());
-    // The caller may be gone already; there is nobody else to tell.
+    // Ignored: the caller may have closed the connection already.
     let _ = link.flush().await;
 }
 
-/// The first packet that is a login or a cancel request; declines GSS, and TLS where none is set.
+/// Reads startup packets up to a login or cancel request. Accepts TLS if it is configured, and
+/// declines GSS.
 pub(crate) async fn negotiate(
     mut link: WireLink,
     tls: Option<&tokio_rustls::TlsAcceptor>,
--- a/crates/arbutusrudder/src/caller/mod.rs
+++ b/crates/arbutusrudder/src/caller/mod.rs
@@ -1,4 +1,5 @@
-//! Serving one caller: login, batches, the session that outlives connections, and the answers.
+//! Serves one caller: login, batches, responses, and the session state that is kept across member
+//! connections.
 
 mod acknowledge;
 
--- a/crates/arbutusrudder/src/caller/proxy_batch.rs
+++ b/crates/arbutusrudder/src/caller/proxy_batch.rs
@@ -1,4 +1,5 @@
-//! Extended batches of a statement that concerns this proxy alone, answered as a member would.
+//! Serves extended batches that concern this proxy alone, with the replies that a member would
+//! send.
 
 use super::local::{ProxyReply, SettingRefusal, is_proxy_change, run_proxy_change};
 use super::response::{put_complete, put_error, put_ready, put_text_column, put_text_value};
@@ -25,7 +26,7 @@
         && batch.summaries.iter().all(is_single)
 }
 
-/// Answers such a batch; `false` if it failed, so that the rest up to its Sync is to be skipped.
+/// Serves such a batch. Returns `false` if it failed and the rest up to its Sync is to be skipped.
 pub(crate) fn serve_proxy_batch(session: &mut CallerSession, batch: &CallerBatch) -> bool {
     let mut portal = None;
     let mut names_changed = 0;
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -1,5 +1,5 @@
-//! Serving a read: from a replica that holds what the session must see and is young enough, else
-//! from the primary, else a refusal that says so.
+//! Serves a read from a replica that holds what the session must see and is fresh enough, else from
+//! the primary, else refuses it with the reason.
 
 use super::attempt::{AttemptError, AttemptWork, MemberAttempt, bounds_of};
 use super::response::put_ready;
@@ -19,21 +19,21 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout_at;
 
-/// Members tried for one read before it is refused.
+/// Maximum number of attempts for one read before it is refused.
 const ATTEMPTS_MAX: u32 = 8;
 
-/// When a refused read should come back, if nothing better is known.
+/// Retry delay in the refusal of a read, if no better estimate is known.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How an attempt ended.
+/// Result of an attempt.
 enum ReadEnd {
-    /// The caller has its answer.
+    /// The response was sent to the caller.
     Served,
-    /// The member was too old; another may do.
+    /// The member's data was too old; another member may serve the read.
     TooOld,
-    /// The member failed before anything was answered.
+    /// The member failed before any response reached the caller.
     Failed,
-    /// The statement turned out to write.
+    /// The member rejected the statement as a write.
     Writes,
 }
 
@@ -57,14 +57,14 @@
         let choice = choose(context, session, group, &excluded, waited);
         let member = match choice.route {
             ReadRoute::Replica(member) | ReadRoute::Primary(member) => member,
-            // Once it should have caught up, it is asked: what is known of it here may be old.
+            // The member is tried once it should have caught up: its status here may be outdated.
             ReadRoute::WaitFor(member, pause) => {
                 tokio::time::sleep(pause).await;
                 waited += pause;
                 member
             }
-            // Without this, a read is refused because the first reports of a group that nobody
-            // used lately are on their way, or because a failover is.
+            // Waits for a change. Otherwise a read would be refused while the first statuses of a
+            // recently unused group are still to arrive, or during a failover.
             ReadRoute::Refuse => {
                 excluded.clear();
                 match timeout_at(deadline.into(), changes.changed()).await {
@@ -78,8 +78,8 @@
         let attempt = MemberAttempt::begin(session, group, member, work, deadline).await;
         let attempt = match attempt {
             Ok(attempt) => attempt,
-            // Guards against the wrong reason: the members asked before were too old, and the gate
-            // only says that the time for asking another one is over.
+            // The members tried before were too old, and admission only reports that the deadline
+            // for another attempt has passed. Refusing as overloaded would be wrong.
             Err(AttemptError::Refused(_)) if too_old => break,
             Err(AttemptError::Refused(reason)) => {
                 let notice = RefusalNotice::Overloaded { retry_after: reason.retry_after };
@@ -112,7 +112,7 @@
     refuse(session, batch, &notice).await
 }
 
-/// Chooses the member for a read; the route's index is that of the group's member.
+/// Chooses the member for a read. The index in the route refers to the group's members.
 fn choose(
     context: &InstanceContext,
     session: &mut CallerSession,
@@ -217,8 +217,8 @@
     outcome.error.as_ref().is_some_and(|error| error.sqlstate == READ_ONLY)
 }
 
-/// Whether the member's answer may go to the caller, judged from what the member itself said on
-/// the same connection before the read.
+/// Whether the member's response may be sent to the caller, by the status that the member itself
+/// gave on the same connection before the read.
 pub(super) async fn may_serve(
     session: &CallerSession,
     attempt: &MemberAttempt,
@@ -237,8 +237,9 @@
     }
 }
 
-/// Guards against an isolated primary that shows an old picture as today's: a majority, asked
-/// after the read arrived, must not have accepted a greater term.
+/// Whether the member is the confirmed primary: a majority, queried after the read arrived, must
+/// not have accepted a greater term. Otherwise an isolated primary could serve stale data as
+/// current.
 async fn confirm_leadership(
     attempt: &MemberAttempt,
     status: &MemberStatus,
@@ -256,7 +257,7 @@
     metrics::counter!("rudder_reads_total", "role" => status.role.to_string()).increment(1);
 }
 
-/// Ends the answer: the connection goes back, or stays with the session for its transaction.
+/// Ends the response. Returns the connection to the pool, or keeps it for the open transaction.
 async fn conclude(
     session: &mut CallerSession,
     batch: &CallerBatch,
--- a/crates/arbutusrudder/src/caller/response.rs
+++ b/crates/arbutusrudder/src/caller/response.rs
@@ -1,4 +1,4 @@
-//! Encoding this proxy's own answers to callers.
+//! Encodes the responses that this proxy itself sends to callers.
 
 use bytes::BytesMut;
 use pgwire::messages::Message;
@@ -9,13 +9,13 @@
 use pgwire::messages::startup::ParameterStatus;
 use rudder_core::RefusalNotice;
 
-/// The type id of `text`.
+/// Type OID of `text`.
 const TEXT_TYPE: u32 = 25;
 
-/// What the encoders of small messages cannot fail at.
+/// Reason why encoding a small message cannot fail.
 const WITHIN_LIMITS: &str = "the message is below the protocol's limits";
 
-/// Adds a refusal; when to come back stands in the hint, the outcome class in the detail.
+/// Adds a refusal, with the retry delay as its hint and the outcome class as its detail.
 pub(crate) fn put_refusal(out: &mut BytesMut, notice: &RefusalNotice) {
     let mut fields = error_fields("ERROR", notice.sqlstate(), &notice.to_string());
     fields.push((b'D', format!("outcome: {}", notice.class())));
@@ -30,12 +30,12 @@
     ErrorResponse::new(error_fields("FATAL", sqlstate, message)).encode(out).expect(WITHIN_LIMITS);
 }
 
-/// Adds an error of this proxy that is no refusal: the request itself is wrong.
+/// Adds an error for an invalid request, as opposed to a refusal.
 pub(crate) fn put_error(out: &mut BytesMut, sqlstate: &str, message: &str) {
     ErrorResponse::new(error_fields("ERROR", sqlstate, message)).encode(out).expect(WITHIN_LIMITS);
 }
 
-/// Adds the end of an answer, with the transaction status `I`, `T` or `E`.
+/// Adds a ReadyForQuery with the transaction status `I`, `T` or `E`.
 pub(crate) fn put_ready(out: &mut BytesMut, status: u8) {
     let status = match status {
         b'T' => TransactionStatus::Transaction,
@@ -45,12 +45,12 @@
     ReadyForQuery::new(status).encode(out).expect(WITHIN_LIMITS);
 }
 
-/// Adds the end of a statement.
+/// Adds the completion of a statement.
 pub(crate) fn put_complete(out: &mut BytesMut, tag: &str) {
     CommandComplete::new(tag.to_owned()).encode(out).expect(WITHIN_LIMITS);
 }
 
-/// Adds a reported setting.
+/// Adds the report of a setting's value.
 pub(crate) fn put_parameter(out: &mut BytesMut, name: &str, value: &str) {
     ParameterStatus::new(name.to_owned(), value.to_owned()).encode(out).expect(WITHIN_LIMITS);
 }
--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's connection from login to its end.
+//! Serves a caller's connection from login to its end.
 
 use super::collect::{CallerInput, collect_batch};
 use super::local::{mixes_proxy_statements, serve_locally, set_proxy_settings};
@@ -23,19 +23,19 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// SQLSTATE of a caller that was idle for too long.
+/// SQLSTATE of a session that was idle for too long.
 const IDLE_SESSION_TIMEOUT: &str = "57P05";
 
-/// When a caller of an instance without settings should come back.
+/// Retry delay in the refusal of an instance that has no settings yet.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// SQLSTATE of a protocol violation.
 const PROTOCOL_VIOLATION: &str = "08P01";
 
-/// Largest message of a caller that is not logged in: none of a login is anywhere near it.
+/// Maximum size of a message before login is complete; login messages are far smaller.
 const LOGIN_MESSAGE_MAX: ByteSize = ByteSize(10_000);
 
-/// Settings reported at login while no member has reported its own yet.
+/// Parameters reported at login while no member has reported its own yet.
 const DEFAULT_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -45,7 +45,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Why a caller's connection ends.
+/// Reason why a caller's connection ends.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum SessionEnd {
@@ -67,7 +67,7 @@
 
 /// Serves one caller until its connection ends.
 pub(crate) async fn serve_caller(context: Arc<InstanceContext>, stream: TcpStream) {
-    // Without this, small answers wait for the kernel to fill a packet.
+    // Disables Nagle's algorithm, which would delay small responses.
     let _ = stream.set_nodelay(true);
     metrics::gauge!("rudder_callers").increment(1.0);
     let end = run_caller(&context, stream).await;
@@ -238,8 +238,8 @@
     tokio::select! {
         biased;
         input = collect => input.map_err(|_| SessionEnd::Idle)?.map_err(SessionEnd::Caller),
-        // A transaction in flight is finished first; an idle caller is told to come back
-        // elsewhere.
+        // An open transaction is finished first; an idle caller is told to reconnect to another
+        // instance.
         _ = leaving.wait_for(|leaving| *leaving), if !in_transaction => Err(SessionEnd::Leaving),
     }
 }
@@ -285,8 +285,8 @@
     serve_in_group(context, session, batch, &group).await
 }
 
-/// Waits until settings are in force: an instance that starts during an outage of the platform gets
-/// them from a peer, a moment after its first caller may have come.
+/// Waits until settings are in force. An instance that starts during an outage of the platform gets
+/// them from a peer, possibly shortly after its first caller connects.
 async fn await_settings(context: &InstanceContext, within: Duration) -> bool {
     let mut changes = context.fleet_changes.subscribe();
     let in_force = changes.wait_for(|_| context.fleet.load().revision > 0);
@@ -307,7 +307,7 @@
     }
 }
 
-/// Answers a batch with a refusal.
+/// Responds to a batch with a refusal.
 pub(crate) async fn refuse(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -321,7 +321,7 @@
     finish_refusal(session, batch).await
 }
 
-/// Answers a batch with a member's refusal of the session's settings.
+/// Responds to a batch with a member's rejection of the session's settings.
 pub(crate) async fn refuse_settings(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -333,7 +333,7 @@
     finish_refusal(session, batch).await
 }
 
-/// Ends the answer to a batch that was not run; after a Flush the rest up to Sync is skipped.
+/// Ends the response to a batch that was not run; after a Flush the rest up to Sync is skipped.
 async fn finish_refusal(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -346,7 +346,7 @@
             }
         }
     }
-    // The member never saw the batch, so a transaction around it goes on as it was.
+    // The member never received the batch, so an open transaction keeps its status.
     let status = session.status();
     put_ready(session.link.outgoing(), status);
     Ok(())
--- a/crates/arbutusrudder/src/caller/session.rs
+++ b/crates/arbutusrudder/src/caller/session.rs
@@ -1,4 +1,4 @@
-//! What a session keeps between its batches.
+//! State that a session keeps between its batches.
 
 use crate::exchange::PreparedStatement;
 use crate::group::{GroupState, PooledConnection};
@@ -10,34 +10,32 @@
 use super::cancel::CancelEntry;
 use rudder_settings::CallerSettings;
 
-/// A connection that belongs to the session until its transaction ends.
+/// A member connection reserved for the session until its transaction ends.
 pub(crate) struct PinnedConnection {
-    /// The group.
     pub(crate) group: Arc<GroupState>,
     /// The member's index.
     pub(crate) member: usize,
-    /// The connection.
     pub(crate) pooled: PooledConnection,
     /// The term at which the transaction began, if it may write.
     pub(crate) term: Option<LogTerm>,
-    /// The transaction status: `T` or `E`, or `I` after a Flush whose Sync has not come.
+    /// The transaction status: `T` or `E`, or `I` after a Flush whose Sync was not received yet.
     pub(crate) status: u8,
-    /// The session's settings when the transaction began: a rollback brings them back.
+    /// The session's settings when the transaction began, restored by a rollback.
     pub(crate) settings_before: Vec<(String, String)>,
     /// Whether a Flush ended with an error: the member skips everything up to the next Sync.
     pub(crate) skipping: bool,
-    /// The key that the transaction must run under at most once.
+    /// Idempotency key under which the transaction must run at most once.
     pub(crate) key: Option<RequestKey>,
 }
 
-/// What is known of what the session must see.
+/// Whether the session's floor, the least log position that it must see, is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FloorKnowledge {
-    /// The token says it.
+    /// The token holds it.
     Known,
-    /// The caller named its session without a token, at this time. What a confirmed primary held
-    /// at that time or later contains everything that the session was ever acknowledged; until
-    /// such a sample is there, only the confirmed primary may answer.
+    /// The caller named its session without a token, at this time. The log of a confirmed primary
+    /// at that time or later contains everything acknowledged to the session. Until such a sample
+    /// is received, only the confirmed primary may serve reads.
     Unknown(Duration),
 }
 
@@ -45,54 +43,54 @@
 pub(crate) struct CallerSession {
     /// The caller's connection.
     pub(crate) link: WireLink,
-    /// The service.
     pub(crate) service: ServiceName,
-    /// What its kind of caller is given.
+    /// Settings of its kind of caller.
     pub(crate) caller: CallerSettings,
-    /// Tells this caller from others in fairness.
+    /// Identifies this caller in fair queueing.
     pub(crate) caller_key: u64,
-    /// What it must see.
+    /// Token with the least log positions that it must see.
     pub(crate) token: SessionToken,
-    /// When this instance learned of the floor: the replicas had that long to catch up.
+    /// When this instance learned the floor; replicas have had since then to catch up.
     pub(crate) floor_at: Instant,
-    /// Whether the token is complete.
+    /// Whether the floor is known.
     pub(crate) knowledge: FloorKnowledge,
     /// Its settings, sorted by name, with their SET statements.
     pub(crate) settings: Vec<(String, String)>,
-    /// Whether some member took all of them; those of a login may be wrong.
+    /// Whether a member accepted all of them; login settings may be invalid.
     pub(crate) settings_verified: bool,
     /// Its prepared statements, sorted by name; the unnamed one has the empty name.
     pub(crate) prepared: Vec<(String, Arc<PreparedStatement>)>,
-    /// What names stood for before the present batch changed them, in the order of the changes.
+    /// Statements that names referred to before the current batch changed them, in order of change.
     pub(crate) previous_names: Vec<(String, Option<Arc<PreparedStatement>>)>,
     /// The connection of its open transaction.
     pub(crate) pinned: Option<PinnedConnection>,
-    /// The key for its next request.
+    /// Idempotency key of its next request.
     pub(crate) key: Option<RequestKey>,
-    /// A staleness bound of its own, at most that of its kind.
+    /// Staleness bound set by the session, limited by that of its kind.
     pub(crate) staleness: Option<Duration>,
-    /// Its place on the cancel board.
+    /// Registration of its cancel key.
     pub(crate) cancel: CancelEntry,
 }
 
 impl CallerSession {
-    /// The greatest age that its reads accept.
+    /// Returns the greatest age of data that its reads accept.
     pub(crate) fn bound(&self) -> Duration {
         let own = self.staleness.unwrap_or(self.caller.staleness);
         own.min(self.caller.staleness)
     }
 
-    /// The least stamp that it must see.
+    /// Returns the least stamp that it must see.
     pub(crate) fn floor(&self) -> Option<LogStamp> {
         self.token.floor(&self.service)
     }
 
-    /// The transaction status that the caller is told.
+    /// Returns the transaction status reported to the caller.
     pub(crate) fn status(&self) -> u8 {
         self.pinned.as_ref().map_or(b'I', |pinned| pinned.status)
     }
 
-    /// Whether replicas may answer; learns the floor of a session that came without a token.
+    /// Learns the floor of a session without a token, if possible. Returns whether the floor is
+    /// known, so that replicas may serve reads.
     pub(crate) fn learn_floor(&mut self, group: &GroupState) -> bool {
         let FloorKnowledge::Unknown(since) = self.knowledge else { return true };
         let newest = group.board.with_ledger(AgeLedger::newest);
@@ -103,13 +101,13 @@
         true
     }
 
-    /// The prepared statement of this name.
+    /// Returns the prepared statement of this name.
     pub(crate) fn statement(&self, name: &str) -> Option<&Arc<PreparedStatement>> {
         let index = self.prepared.binary_search_by(|(known, _)| known.as_str().cmp(name)).ok()?;
         Some(&self.prepared[index].1)
     }
 
-    /// Remembers a prepared statement.
+    /// Adds a prepared statement.
     pub(crate) fn add_statement(&mut self, name: &str, statement: Arc<PreparedStatement>) {
         self.previous_names.push((name.to_owned(), self.statement(name).cloned()));
         self.insert_name(name, statement);
@@ -122,14 +120,14 @@
         }
     }
 
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     pub(crate) fn remove_statement(&mut self, name: &str) {
         self.previous_names.push((name.to_owned(), self.statement(name).cloned()));
         self.remove_name(name);
     }
 
-    /// Takes back the changes of names beyond the first `done` of the present batch: after an
-    /// error the rest of a batch is skipped, so its names still stand for what they did before.
+    /// Reverts the changes of names after the first `done` of the current batch. After an error the
+    /// rest of a batch is skipped, so its names keep their earlier statements.
     pub(crate) fn restore_names(&mut self, done: usize) {
         while self.previous_names.len() > done {
             match self.previous_names.pop() {
--- a/crates/arbutusrudder/src/caller/session_change.rs
+++ b/crates/arbutusrudder/src/caller/session_change.rs
@@ -1,5 +1,5 @@
-//! Following what statements do to the session's own settings, so that they hold on whichever
-//! connection serves the session next.
+//! Tracks the changes that statements make to the session's settings, so that they can be applied
+//! to any connection that serves the session next.
 
 use super::local::{is_proxy_change, set_proxy_setting};
 use super::session::CallerSession;
@@ -7,7 +7,7 @@
 use crate::exchange::{BatchOutcome, CallerBatch};
 use crate::group::PooledConnection;
 
-/// Takes over the changes of a batch that ran on `pooled`.
+/// Records the changes of a batch that ran on `pooled`.
 pub(crate) fn apply(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -17,9 +17,9 @@
     if outcome.error.is_some() {
         session.restore_names(outcome.names_changed);
         if batch.changes().next().is_some() {
-            // Guards against a setting that stays although a later statement of its batch failed
-            // (it was committed in between): the connection's next caller would get it. What is
-            // in force is not known, so it is set anew before the next use.
+            // A commit inside the batch may have kept a setting although a later statement failed,
+            // and the connection's next caller would get it. Its settings are now unknown and
+            // are applied again before the next use.
             pooled.forget_settings();
         }
         return;
@@ -30,7 +30,7 @@
     for change in batch.changes() {
         if is_proxy_change(change) {
             if let SessionChange::Set { name, value, .. } = change {
-                // The member took the value; a wrong one simply has no effect here.
+                // The member accepted the value; an invalid one has no effect on this proxy.
                 let _ = set_proxy_setting(session, name, value.as_deref());
             }
             continue;
--- a/crates/arbutusrudder/src/caller/tests.rs
+++ b/crates/arbutusrudder/src/caller/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what callers are told.
+//! Tests of the refusals that callers receive.
 
 use super::write::refusal_notice;
 use rudder_core::RefusalNotice;
@@ -11,9 +11,9 @@
 
 #[test]
 fn a_write_without_confirmed_primary_is_not_refused_as_overload() {
-    // A crew at a proxy that is cut off with the old primary is told that too many requests wait,
-    // though it is alone. The primary is asked, cannot be confirmed, and the time for another
-    // attempt ends just before the gate is asked, which lets nothing in that is late.
+    // The proxy is partitioned with a superseded primary, which cannot be confirmed. The deadline
+    // passes before the next attempt, and admission rejects every request past its deadline. The
+    // refusal must not claim that too many requests are waiting.
     let notice = refusal_notice(&too_late(), true);
 
     assert!(matches!(notice, RefusalNotice::NoPrimary { .. }), "{notice:?}");
--- a/crates/arbutusrudder/src/caller/transaction.rs
+++ b/crates/arbutusrudder/src/caller/transaction.rs
@@ -1,4 +1,4 @@
-//! Batches inside a transaction: on the connection that the transaction began on, until it ends.
+//! Serves batches inside a transaction, on the connection on which it began, until it ends.
 
 use super::acknowledge::{await_majority, commit_stamp, read_status, request_status};
 use super::attempt::bounds_of;
@@ -16,16 +16,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a transaction of a caller that vanished may take to roll back.
+/// Timeout for rolling back the transaction of a caller that disconnected.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a batch was sent, and what of its answer is still held.
+/// A sent batch, with the part of its response that is still held.
 struct SentBatch {
-    /// Whether the member was asked for its status after the batch.
+    /// Whether the member's status was requested along with the batch.
     status_requested: bool,
-    /// When, on this instance's time line.
+    /// Time of the request, on this instance's clock.
     status_requested_at: Duration,
-    /// What is held of the answer.
+    /// The held part of the response.
     held: HeldReplies,
 }
 
@@ -45,8 +45,8 @@
         session.pinned = Some(pinned);
         return Ok(());
     }
-    // Guards against replies that are made up for messages that the member skips: of the whole
-    // batch only its Sync has an answer.
+    // The member skips all messages up to the Sync, so only the Sync is sent. Otherwise replies
+    // would be generated for skipped messages.
     let rest = CallerBatch { frames: Vec::new(), summaries: Vec::new(), executes: false, ..*batch };
     serve_on(session, &rest, pinned).await
 }
@@ -62,8 +62,7 @@
     }
     let status_requested_at = pinned.group.board.now();
     let mut queue = encode_batch(&mut pinned.pooled, batch);
-    // Between a Flush and its Sync the member is outside of a declared transaction, and commits
-    // at the Sync.
+    // Between a Flush and its Sync the member has no explicit transaction, and commits at the Sync.
     let closes = batch.ends() || (pinned.status == b'I' && batch.end != BatchEnd::Flush);
     let pipelined = closes && batch.end != BatchEnd::Flush && !batch.copies_in();
     let status_requested = pipelined && request_status(&mut pinned.pooled).is_ok();
@@ -86,12 +85,13 @@
     }
 }
 
-/// Whether a batch commits its transaction, as far as its text says.
+/// Whether a batch ends its transaction, judged by its text.
 fn ends_transaction(batch: &CallerBatch) -> bool {
     batch.ends() && batch.executes
 }
 
-/// Enters the transaction's key, if it has one, before its commit; answers a refusal if that fails.
+/// Inserts the transaction's key, if it has one, before its commit. Returns a refusal if this
+/// fails.
 async fn insert_key(pinned: &mut PinnedConnection, batch: &CallerBatch) -> Option<RefusalNotice> {
     let key = pinned.key.as_ref().filter(|_| ends_transaction(batch))?;
     let bound = pinned.group.timing.statement_timeout;
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// Reads the status that was asked for after a batch that committed nothing.
+/// Reads the status that was requested after a batch that committed nothing.
 async fn read_pending_status(pinned: &mut PinnedConnection, status_requested_at: Duration) -> bool {
     let group = &pinned.group;
     read_status(group, pinned.member, &mut pinned.pooled, status_requested_at).await.is_ok()
@@ -157,8 +157,8 @@
     }
     let group = Arc::clone(&pinned.group);
     let (member, term) = (pinned.member, pinned.term);
-    // A transaction without a term is a read-only one on a replica, and one that failed before a
-    // Flush is gone: there is nothing to commit.
+    // Nothing was committed: a transaction without a term is read-only on a replica, and one that
+    // failed before a Flush was rolled back.
     if rolled_back || pinned.skipping || term.is_none() {
         if !read_pending_status(&mut pinned, sent.status_requested_at).await {
             return end_unresolved(session);
@@ -183,7 +183,7 @@
 }
 
 async fn return_connection(session: &CallerSession, pinned: PinnedConnection) {
-    // Waits for a cancel on its way: it must not hit the connection's next caller.
+    // Waits for a cancel request in progress: it must not affect the connection's next caller.
     *session.cancel.slot.lock().await = None;
     pinned.group.members[pinned.member].pool.give_back(pinned.pooled);
 }
@@ -202,8 +202,9 @@
     }
 }
 
-/// Ends the transaction of a caller that is gone. Its statements must not mix with those of the
-/// connection's next caller, so the connection is rolled back, or closed if that fails.
+/// Ends the transaction of a caller that disconnected. Its statements must not mix with those of
+/// the connection's next caller, so the transaction is rolled back, or the connection closed if
+/// that fails.
 pub(crate) async fn abandon(session: &mut CallerSession) {
     if let Some(pinned) = session.pinned.take() {
         roll_back(session, pinned).await;
--- a/crates/arbutusrudder/src/caller/write.rs
+++ b/crates/arbutusrudder/src/caller/write.rs
@@ -1,5 +1,5 @@
-//! Serving a write: at the primary, acknowledged only once a majority holds it at the primary's
-//! own term.
+//! Serves a write at the primary, and acknowledges it only once a majority holds it at the
+//! primary's own term.
 
 use super::acknowledge::{await_majority, leading_term};
 use super::attempt::{AttemptError, AttemptWork, MemberAttempt, bounds_of};
@@ -21,24 +21,24 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout_at;
 
-/// When a write that found no primary should come back, if nothing better is known.
+/// Retry delay in the refusal of a write that found no primary, if no better estimate is known.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// SQLSTATE with which a replica refuses a write.
+/// SQLSTATE with which a replica rejects a write.
 pub(super) const READ_ONLY: &str = "25006";
 
-/// Pause before a member that turned out not to lead is tried again.
+/// Delay before the next attempt after a member turned out not to be the primary.
 const REROUTE_DELAY: Duration = Duration::from_millis(20);
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub(crate) enum WriteEnd {
-    /// The caller has its answer.
+    /// The response was sent to the caller.
     Answered,
-    /// Provably not run: another attempt is safe.
+    /// The batch provably did not run: a retry is safe.
     NotRun,
 }
 
-/// Serves a write, or a transaction's beginning.
+/// Serves a write, or a batch that begins a transaction.
 pub(crate) async fn serve(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -89,11 +89,11 @@
     }
 }
 
-/// Why a write that the gate turned away was not run. `tried` says whether a member was asked
-/// before, and turned out to be no confirmed primary.
+/// Returns the refusal for a write that admission control rejected. `tried` is true if an earlier
+/// attempt found that its member was not the confirmed primary.
 ///
-/// Guards against a caller that is told of too many waiting requests while nothing waits: the time
-/// for finding a primary ran out between two attempts, and the gate lets nothing in that is late.
+/// Admission rejects every request past its deadline. If the deadline passed while a primary was
+/// sought, a refusal as overloaded would be wrong, since no requests are waiting.
 pub(super) fn refusal_notice(reason: &RefusalReason, tried: bool) -> RefusalNotice {
     if tried {
         return RefusalNotice::NoPrimary { retry_after: RETRY_AFTER };
@@ -101,8 +101,8 @@
     RefusalNotice::Overloaded { retry_after: reason.retry_after }
 }
 
-/// Refuses a write for which no attempt is left. Guards against a refusal that says "not run" after
-/// an attempt under a key that may have committed.
+/// Refuses a write that cannot be attempted again. After an attempt under a key that may have
+/// committed, the outcome is reported as unknown instead of "not run".
 async fn refuse_write(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -114,7 +114,7 @@
     refuse(session, batch, &notice).await
 }
 
-/// The member that leads, as far as is known; waits for one until the deadline.
+/// Returns the member believed to be the primary; waits for one until the deadline.
 async fn await_primary(group: &Arc<GroupState>, deadline: Instant) -> Option<usize> {
     let mut changes = group.board.subscribe();
     loop {
@@ -147,9 +147,8 @@
         Ok(status) => status,
         Err(error) => return Ok(fail_attempt(session, batch, attempt, &error).await),
     };
-    // Guards against a transaction that reads at an isolated primary: its commit would end as
-    // unknown, but what it read before would be yesterday's picture, or lack the session's own
-    // writes.
+    // A transaction must not read at an isolated primary. Its commit would end as unknown, but its
+    // earlier reads could return stale data or miss the session's own writes.
     let begins = batch.begins().is_some() && !batch.ends();
     if begins && !may_serve(session, &attempt, &before, arrived).await {
         return Ok(reject_transaction(session, batch, attempt, queue).await);
@@ -210,7 +209,7 @@
     Ok(WriteEnd::Answered)
 }
 
-/// Rolls back a transaction that began at a member which may not serve it. Nothing was committed.
+/// Rolls back a transaction that began at a member that may not serve it. Nothing was committed.
 async fn reject_transaction(
     session: &CallerSession,
     batch: &CallerBatch,
@@ -233,14 +232,14 @@
     WriteEnd::NotRun
 }
 
-/// Whether the question for the status after the batch can be sent along with it. A COPY would
-/// take it for data, and a Flush leaves the batch open.
+/// Whether the status request can be sent along with the batch. A COPY would read it as data, and a
+/// Flush leaves the batch open.
 fn may_pipeline_status(batch: &CallerBatch) -> bool {
     batch.end != BatchEnd::Flush && !batch.copies_in() && batch.begins().is_none()
 }
 
-/// Whether the member refused the whole batch because it does not lead, and the caller has seen
-/// nothing of it.
+/// Whether the member rejected the whole batch because it is not the primary, and the caller has
+/// received nothing of it.
 pub(crate) fn is_not_run(outcome: &BatchOutcome, held: &HeldReplies) -> bool {
     let refused = |sqlstate: &str| sqlstate == READ_ONLY || sqlstate == TERM_REFUSED_SQLSTATE;
     held.completions == 0
@@ -248,8 +247,8 @@
         && outcome.error.as_ref().is_some_and(|error| refused(&error.sqlstate))
 }
 
-/// Ends an attempt whose connection failed after the batch was sent: nobody can tell whether it
-/// ran.
+/// Ends an attempt whose connection failed after the batch was sent, so that it is unknown whether
+/// it ran.
 async fn fail_attempt(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -264,7 +263,7 @@
     WriteEnd::Answered
 }
 
-/// Tells the caller that nobody can tell.
+/// Reports to the caller that the outcome is unknown.
 pub(crate) fn report_unresolved(session: &mut CallerSession) {
     metrics::counter!("rudder_refusals_total", "class" => "unknown", "sqlstate" => "08007")
         .increment(1);
@@ -272,7 +271,7 @@
     put_ready(session.link.outgoing(), b'I');
 }
 
-/// Ends the answer to a batch that committed nothing and left no transaction open.
+/// Ends the response to a batch that committed nothing and left no transaction open.
 pub(crate) async fn finish_uncommitted(
     session: &mut CallerSession,
     batch: &CallerBatch,
@@ -284,18 +283,18 @@
     put_ready(session.link.outgoing(), b'I');
 }
 
-/// Raises what the session must see to a commit that was acknowledged, and reports its token.
+/// Raises the session's floor to an acknowledged commit, and reports the new token.
 pub(crate) fn record_commit(session: &mut CallerSession, stamp: LogStamp) {
     metrics::counter!("rudder_commits_total").increment(1);
     let service = session.service.clone();
     session.token.raise(&service, stamp);
     session.floor_at = Instant::now();
-    // An acknowledged write of its own is at least as far as any earlier one of the session.
+    // The session's own acknowledged write is at or after all of its earlier ones in the log.
     session.knowledge = FloorKnowledge::Known;
     report_token(session);
 }
 
-/// Keeps the connection for the session's transaction.
+/// Reserves the connection for the session's transaction.
 async fn pin(
     session: &mut CallerSession,
     batch: &CallerBatch,
