--- a/crates/arbutusrudder/src/classify/cache.rs
+++ b/crates/arbutusrudder/src/classify/cache.rs
@@ -1,14 +1,14 @@
-//! Remembered classifications, so that a text that recurs is scanned once.
+//! Cache of classifications, so that a recurring text is scanned once.
 
 use super::facts::StatementsSummary;
 use super::scan::classify_text;
 use std::sync::{Arc, RwLock};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Texts remembered at most; literal texts of simple queries would fill memory otherwise.
+/// Maximum number of cached texts; simple queries with literals would fill memory otherwise.
 const CACHE_ENTRIES_MAX: usize = 4096;
 
-/// Texts longer than this are not remembered.
+/// Maximum length of a cached text, in bytes.
 const CACHED_TEXT_MAX: usize = 4096;
 
 /// A bounded cache of classifications, shared by all callers of an instance.
@@ -18,7 +18,7 @@
 }
 
 impl FactsCache {
-    /// The classification of `text`.
+    /// Returns the classification of `text`.
     pub(crate) fn summary_of(&self, text: &str) -> Arc<StatementsSummary> {
         if text.len() > CACHED_TEXT_MAX {
             return Arc::new(classify_text(text));
--- a/crates/arbutusrudder/src/classify/facts.rs
+++ b/crates/arbutusrudder/src/classify/facts.rs
@@ -1,36 +1,36 @@
-//! What is known of a statement from its text.
+//! Properties of a statement that follow from its text.
 
 use rudder_core::{RequestKey, plain_data};
 
 /// Where a statement may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StatementEffect {
-    /// Surely a read: a replica may serve it.
+    /// Provably a read: a replica may serve it.
     Read,
-    /// A write, or not surely a read: the primary only.
+    /// A write, or not provably a read: only the primary may serve it.
     Write,
 }
 
-/// What a statement does to the transaction around it.
+/// Effect of a statement on the surrounding transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionStep {
-    /// Begins one; `read_only` if it says so.
+    /// Begins a transaction.
     Begin {
         /// Whether the transaction is declared read only.
         read_only: bool,
     },
-    /// Ends one, with commit or rollback.
+    /// Ends a transaction, with commit or rollback.
     End,
 }
 
 plain_data! {
-    /// What a statement does to the session's own state, which outlives its connection.
+    /// Effect of a statement on session state, which is kept across member connections.
     pub enum SessionChange {
-        /// Sets a setting; `statement` is the text to run again on another connection.
+        /// Sets a setting; `statement` is the text to repeat on another connection.
         Set {
             /// The setting's name, in lower case.
             name: String,
-            /// The value, where it is a plain literal.
+            /// The value, if it is a single literal.
             value: Option<String>,
             /// The whole statement.
             statement: String,
@@ -49,32 +49,32 @@
             /// The setting's name, in lower case.
             name: String,
         },
-        /// Forgets one prepared statement, or all.
+        /// Deallocates one prepared statement, or all.
         Deallocate {
-            /// The statement's name; none for all.
+            /// The statement's name; `None` for all.
             name: Option<String>,
         },
     }
 }
 
 plain_data! {
-    /// What is known of one statement.
+    /// Properties of one statement.
     pub struct StatementFacts {
         /// Where it may run.
         pub effect: StatementEffect,
-        /// What it does to the transaction.
+        /// Its effect on the transaction.
         pub step: Option<TransactionStep>,
-        /// What it does to the session.
+        /// Its effect on the session.
         pub change: Option<SessionChange>,
         /// Whether it reads COPY data from the caller.
         pub copy_in: bool,
-        /// Why it cannot run on a shared connection, if it cannot.
+        /// Reason why it cannot run on a shared connection, if there is one.
         pub refusal: Option<&'static str>,
     }
 }
 
 impl StatementFacts {
-    /// A statement that only reads.
+    /// Returns the facts of a plain read.
     pub(crate) fn read() -> Self {
         Self {
             effect: StatementEffect::Read,
@@ -85,26 +85,26 @@
         }
     }
 
-    /// A statement that must go to the primary.
+    /// Returns the facts of a statement that must go to the primary.
     pub(crate) fn write() -> Self {
         Self { effect: StatementEffect::Write, ..Self::read() }
     }
 }
 
 plain_data! {
-    /// What is known of the statements of one text.
+    /// Properties of the statements of one text.
     pub struct StatementsSummary {
         /// The statements, in order.
         pub statements: Vec<StatementFacts>,
-        /// The key of a request that must run at most once, given in a comment.
+        /// Idempotency key, given in a comment, of a request that must run at most once.
         pub key: Option<RequestKey>,
-        /// Hash of the text without its literals: requests of the same shape share it.
+        /// Hash of the text without its literals, equal for requests that differ only in literals.
         pub fingerprint: u64,
     }
 }
 
 impl StatementsSummary {
-    /// Whether every statement is surely a read.
+    /// Whether every statement is provably a read.
     #[must_use]
     pub fn is_read(&self) -> bool {
         self.statements.iter().all(|facts| facts.effect == StatementEffect::Read)
--- a/crates/arbutusrudder/src/classify/mod.rs
+++ b/crates/arbutusrudder/src/classify/mod.rs
@@ -1,7 +1,7 @@
-//! Telling reads from writes, and what else of a statement's text decides its way.
+//! Classifies statements by their text: read or write, and other properties that affect routing.
 //!
-//! What is not surely a read goes to the primary; a replica's own refusal of a write is the second
-//! line of defence.
+//! A statement that is not provably a read goes to the primary. A write that is misclassified as a
+//! read is still rejected by the replica.
 
 mod cache;
 mod facts;
--- a/crates/arbutusrudder/src/classify/scan.rs
+++ b/crates/arbutusrudder/src/classify/scan.rs
@@ -1,4 +1,4 @@
-//! Classification from the tokens of a statement's text.
+//! Classifies statements by the tokens of their text.
 
 use super::facts::{
     SessionChange, StatementEffect, StatementFacts, StatementsSummary, TransactionStep,
@@ -8,15 +8,15 @@
 use sqlparser::tokenizer::{Token, Tokenizer, Whitespace};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Comment by which a request names its key: `/* rudder:key=... */`.
+/// Prefix of the comment that gives a request's idempotency key: `/* rudder:key=... */`.
 const KEY_PREFIX: &str = "rudder:key=";
 
-/// Words that, anywhere in a query, make it more than a read.
+/// Keywords that make a query a write wherever they occur.
 const WRITE_KEYWORDS: [&str; 5] = ["DELETE", "INSERT", "INTO", "MERGE", "UPDATE"];
 
-/// Functions known to read only, and words that may stand before a parenthesis. Sorted.
-/// Everything else may write (a function of the operator's own, `nextval`, an advisory lock), so
-/// it goes to the primary.
+/// Functions that only read, and keywords that may precede a parenthesis. Sorted.
+/// Any other function may write (a user-defined one, `nextval`, an advisory lock), so its query
+/// goes to the primary.
 const READ_SAFE_WORDS: [&str; 78] = [
     "ABS",
     "ALL",
@@ -120,10 +120,10 @@
 /// ```
 #[must_use]
 pub fn classify_text(text: &str) -> StatementsSummary {
-    // Literals keep their escapes: a setting's statement is put together again from its tokens.
+    // Literals keep their escapes, because SET statements are rebuilt from their tokens.
     let mut tokenizer = Tokenizer::new(&PostgreSqlDialect {}, text).with_unescape(false);
     let Ok(tokens) = tokenizer.tokenize() else {
-        // A text that cannot be read is the primary's to refuse.
+        // The primary rejects a text that cannot be tokenized.
         return StatementsSummary {
             statements: vec![StatementFacts::write()],
             key: None,
@@ -177,7 +177,7 @@
         "DISCARD" if word(1) == "ALL" => {
             change(StatementEffect::Read, Some(SessionChange::DiscardAll))
         }
-        // No connection of ours listens, so there is nothing to end and nothing to refuse.
+        // LISTEN is refused, so no connection listens: there is nothing to end or to refuse.
         "DISCARD" | "UNLISTEN" => StatementFacts::read(),
         "DEALLOCATE" => change(StatementEffect::Read, deallocate_of(tokens)),
         "BEGIN" | "START" => {
@@ -223,7 +223,7 @@
     if writes || locks || unknown_call { StatementFacts::write() } else { StatementFacts::read() }
 }
 
-/// Whether every `set_config` of a query says that it holds for the transaction only.
+/// Whether every `set_config` of a query is local to its transaction.
 fn is_local_config(tokens: &[Token]) -> bool {
     let calls = tokens.iter().filter(|token| is_word(token, "SET_CONFIG")).count();
     let is_local = |next: &[Token]| {
@@ -261,7 +261,7 @@
 
 fn named_set(tokens: &[Token], start: usize) -> SessionChange {
     let (name, length) = setting_name(&tokens[start.min(tokens.len())..]);
-    // One more token is skipped: the equals sign or TO.
+    // Skips one more token: the equals sign or TO.
     set_of(name, tokens, start + length + 1)
 }
 
@@ -290,7 +290,7 @@
     Some(SessionChange::Deallocate { name: (!all).then_some(name) })
 }
 
-/// The dotted name at the start of `tokens`, in lower case, and how many tokens it takes.
+/// Returns the dotted name at the start of `tokens`, in lower case, and its number of tokens.
 fn setting_name(tokens: &[Token]) -> (String, usize) {
     let is_part =
         |token: &&Token| matches!(token, Token::Word(_) | Token::Period) && !is_word(token, "TO");
