--- a/crates/arbutusrudder/src/exchange/batch.rs
+++ b/crates/arbutusrudder/src/exchange/batch.rs
@@ -1,4 +1,4 @@
-//! What a caller sent up to the point where it waits for an answer.
+//! The messages that a caller sends before it waits for a response.
 
 use crate::classify::{SessionChange, StatementFacts, StatementsSummary, TransactionStep};
 use bytes::Bytes;
@@ -6,18 +6,19 @@
 use rudder_endpoint::WireFrame;
 use std::sync::Arc;
 
-/// A statement that a caller prepared; it outlives the connection that it was first sent on.
+/// A statement that a caller prepared. It is kept by the session and prepared again on each
+/// member connection that the session uses.
 #[derive(Debug)]
 pub(crate) struct PreparedStatement {
-    /// Hash of its text and parameter types: its name on members' connections.
+    /// Hash of its text and parameter types, from which its name on member connections is built.
     pub(crate) hash: u128,
     /// Everything of the Parse body after the name: text and parameter types.
     pub(crate) definition: Bytes,
-    /// What is known of it.
+    /// Classification of its text.
     pub(crate) summary: Arc<StatementsSummary>,
 }
 
-/// One frame of an extended batch, with the statement that it names.
+/// One frame of an extended batch, with the prepared statement that it refers to.
 #[derive(Clone, Debug)]
 pub(crate) enum BatchFrame {
     /// Prepares a statement.
@@ -27,38 +28,40 @@
     Bind(Arc<PreparedStatement>, Bytes, Bytes),
     /// Describes a statement.
     DescribeStatement(Arc<PreparedStatement>),
-    /// Closes a statement: answered here, since other callers may use it too.
+    /// Closes a statement. The reply is generated here and the member keeps the statement, since
+    /// other callers may use it.
     CloseStatement,
-    /// Anything else, sent on as it is.
+    /// Any other frame, forwarded unchanged.
     Plain(WireFrame),
 }
 
-/// How a batch ends.
+/// Message that ends a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchEnd {
     /// A simple query.
     Simple,
     /// An extended batch with its Sync.
     Sync,
-    /// An extended batch whose replies so far are wanted; its Sync comes later.
+    /// An extended batch ended by a Flush: the caller wants the replies so far and sends Sync
+    /// later.
     Flush,
 }
 
-/// A batch, with what is known of its statements.
+/// A batch with the classification of its statements.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerBatch {
     /// The frames, without Sync or Flush.
     pub(crate) frames: Vec<BatchFrame>,
-    /// How it ends.
+    /// Message that ends it.
     pub(crate) end: BatchEnd,
-    /// The statements that it runs or prepares.
+    /// Classifications of the statements that it runs or prepares.
     pub(crate) summaries: Vec<Arc<StatementsSummary>>,
-    /// Whether it runs anything, rather than only preparing or describing.
+    /// Whether it executes any statement, rather than only preparing or describing.
     pub(crate) executes: bool,
 }
 
 impl CallerBatch {
-    /// Every statement's facts, in order.
+    /// Returns the facts of every statement, in order.
     pub(crate) fn facts(&self) -> impl Iterator<Item = &StatementFacts> {
         self.summaries.iter().flat_map(|summary| summary.statements.iter())
     }
@@ -68,7 +71,7 @@
         self.end != BatchEnd::Flush && self.summaries.iter().all(|summary| summary.is_read())
     }
 
-    /// The transaction that it begins, if its first statement does.
+    /// Returns whether the transaction is read-only if the first statement begins one.
     pub(crate) fn begins(&self) -> Option<bool> {
         match self.facts().next()?.step? {
             TransactionStep::Begin { read_only } => Some(read_only),
@@ -86,25 +89,25 @@
         self.facts().any(|facts| facts.copy_in)
     }
 
-    /// Why it cannot run on a shared connection.
+    /// Returns the reason why it cannot run on a shared connection, if there is one.
     pub(crate) fn refusal(&self) -> Option<&'static str> {
         self.facts().find_map(|facts| facts.refusal)
     }
 
-    /// The key of a request that must run at most once.
+    /// Returns the idempotency key, given in a comment, of a request that must run at most once.
     pub(crate) fn key(&self) -> Option<&RequestKey> {
         self.summaries.iter().find_map(|summary| summary.key.as_ref())
     }
 
-    /// What batches of the same shape share, whatever their literals.
+    /// Returns a hash that is equal for batches that differ only in their literals.
     pub(crate) fn fingerprint(&self) -> u64 {
         self.summaries
             .iter()
             .fold(0, |known, summary| u64::rotate_left(known, 1) ^ summary.fingerprint)
     }
 
-    /// What it does to the session's own state. Statements that are only prepared or described
-    /// do nothing to it.
+    /// Returns the changes to session state. Statements that are only prepared or described change
+    /// nothing.
     pub(crate) fn changes(&self) -> impl Iterator<Item = &SessionChange> {
         let simple = if self.end == BatchEnd::Simple { &self.summaries[..] } else { &[] };
         let bound = self.frames.iter().filter_map(|frame| match frame {
--- a/crates/arbutusrudder/src/exchange/encode.rs
+++ b/crates/arbutusrudder/src/exchange/encode.rs
@@ -1,5 +1,5 @@
-//! Encoding a batch for one connection: statements get names that hold for every caller, and are
-//! prepared there first if the connection has not seen them.
+//! Encodes a batch for one member connection. Prepared statements get names that are the same for
+//! every caller, and are prepared first if the connection does not have them yet.
 
 use super::batch::{BatchEnd, BatchFrame, CallerBatch, PreparedStatement};
 use super::replies::{ExpectedReply, ReplyQueue};
@@ -8,11 +8,11 @@
 use postgres_protocol::message::frontend;
 use rudder_endpoint::{EndpointError, tag};
 
-/// Statements kept prepared on one connection; beyond it an earlier one is closed.
+/// Maximum number of prepared statements on one connection; above it an existing one is closed.
 const PREPARED_MAX: usize = 200;
 
-/// Queues the statements that give a connection the session's settings; answers whether there
-/// was anything to queue.
+/// Queues the statements that apply the session's settings to a connection. Returns `false` if the
+/// connection has them already.
 pub(crate) fn sync_settings(
     pooled: &mut PooledConnection,
     wanted: &[(String, String)],
@@ -30,7 +30,7 @@
     Ok(true)
 }
 
-/// Queues a batch and answers the replies to await.
+/// Queues a batch and returns the replies to expect.
 pub(crate) fn encode_batch(pooled: &mut PooledConnection, batch: &CallerBatch) -> ReplyQueue {
     let mut queue = ReplyQueue::default();
     for frame in &batch.frames {
@@ -122,8 +122,8 @@
     queue.expect(ExpectedReply::Parse { hash: statement.hash, relayed });
 }
 
-/// Closes one prepared statement if the connection holds too many. Which one is as good as random:
-/// the neighbour of the new one in the order of hashes.
+/// Closes one prepared statement if the connection holds too many. The next one in hash order is
+/// chosen, which is effectively random.
 fn evict_prepared(pooled: &mut PooledConnection, hash: u128, queue: &mut ReplyQueue) {
     if pooled.prepared.len() < PREPARED_MAX {
         return;
--- a/crates/arbutusrudder/src/exchange/mod.rs
+++ b/crates/arbutusrudder/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! One batch on one member's connection: encoding it, matching the replies, relaying them.
+//! Runs one batch on one member's connection: encodes it, matches the replies, relays them.
 
 mod batch;
 mod encode;
--- a/crates/arbutusrudder/src/exchange/relay.rs
+++ b/crates/arbutusrudder/src/exchange/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying a batch's replies until the member is ready for the next one.
+//! Relays a batch's replies until the member is ready for the next batch.
 
 use super::batch::BatchEnd;
 use super::replies::{ReplyAction, ReplyQueue};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a batch was not relayed to its end.
+/// Reason why a batch was not relayed completely.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum ExchangeError {
@@ -27,33 +27,33 @@
 
 impl std::error::Error for ExchangeError {}
 
-/// Bounds of one exchange.
+/// Timeouts of one exchange.
 #[derive(Clone, Copy)]
 pub(crate) struct RelayBounds<'a> {
-    /// The member: when it is known not to answer, nothing more is waited for.
+    /// The member. The wait ends early when it is marked down.
     pub(crate) member: &'a GroupMember,
-    /// How long the member may send nothing.
+    /// Maximum time without data from the member.
     pub(crate) member_timeout: Duration,
-    /// How long the caller may take to send or take data.
+    /// Maximum time for the caller to send or receive data.
     pub(crate) caller_timeout: Duration,
-    /// How the batch ends. After a Flush it is over when all replies have come.
+    /// Message that ends the batch. After a Flush it is complete once all replies were received.
     pub(crate) end: BatchEnd,
 }
 
-/// How a batch ended at its member.
+/// Result of a batch at its member.
 #[derive(Debug, Default)]
 pub(crate) struct BatchOutcome {
     /// The transaction status that the member reported: `I`, `T` or `E`; zero after a Flush.
     pub(crate) status: u8,
-    /// The first error, if any statement failed.
+    /// First error, if any statement failed.
     pub(crate) error: Option<ErrorFields>,
-    /// The tag of the last statement that completed.
+    /// Command tag of the last statement that completed.
     pub(crate) last_tag: Vec<u8>,
-    /// How many of the caller's statement names were prepared or closed.
+    /// Number of the caller's statement names that were prepared or closed.
     pub(crate) names_changed: usize,
 }
 
-/// Relays replies into `sink` until the member is ready or, for a Flush, every reply has come.
+/// Relays replies into `sink` until the member is ready or, for a Flush, every reply was received.
 pub(crate) async fn relay_batch(
     pooled: &mut PooledConnection,
     queue: &mut ReplyQueue,
@@ -84,14 +84,14 @@
         if sink.exceeds_limit() {
             return Err(ExchangeError::ResponseTooLarge);
         }
-        // A member that refuses a simple COPY in the middle is ready at once, and what the caller
-        // still sends is dropped later on; in an extended batch it waits for the caller's Sync.
+        // A member that rejects a simple COPY midway is ready at once, and the data that the
+        // caller still sends is dropped later. In an extended batch it waits for the Sync.
         let refused = frame.tag == tag::ERROR && bounds.end == BatchEnd::Simple;
         copying = (copying || frame.tag == tag::COPY_IN) && !refused;
     }
 }
 
-/// The member's next reply, in any of its parts; the caller's COPY data goes on meanwhile.
+/// Returns the next part of the member's reply, and forwards the caller's COPY data meanwhile.
 async fn next_while_copying(
     pooled: &mut PooledConnection,
     sink: &mut ReplySink<'_>,
@@ -101,7 +101,7 @@
     if *copying && forward_copy(pooled, sink, *bounds).await? {
         *copying = false;
         if bounds.end == BatchEnd::Flush {
-            // The Sync that ends the data ends the batch, too.
+            // The Sync that ends the data also ends the batch.
             bounds.end = BatchEnd::Sync;
         }
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Sends what the caller can already have before waiting for the member, or when much has piled up.
+/// Flushes the output to the caller before waiting for the member, or when the buffer is large.
 async fn flush_caller_if_idle(
     pooled: &mut PooledConnection,
     sink: &mut ReplySink<'_>,
@@ -191,8 +191,8 @@
     }
 }
 
-/// Forwards the caller's COPY data until the member speaks, which it may do in the middle to
-/// refuse the data, or until the data ends; answers whether it ended.
+/// Forwards the caller's COPY data until it ends or the member sends a reply, which it may do
+/// midway to reject the data. Returns whether the data ended.
 async fn forward_copy(
     pooled: &mut PooledConnection,
     sink: &mut ReplySink<'_>,
@@ -224,9 +224,8 @@
     }
 }
 
-/// Whether a frame is the last of the caller's COPY. In an extended batch the member answers a
-/// COPY only after a Sync of its own: the one that was sent along with the batch is skipped while
-/// data is awaited.
+/// Whether a frame is the last of the caller's COPY. In an extended batch the member completes a
+/// COPY only after another Sync: it ignores the one sent with the batch while it expects data.
 fn ends_copy(end: BatchEnd, frame_tag: u8) -> bool {
     match end {
         BatchEnd::Simple => matches!(frame_tag, tag::COPY_DONE | tag::COPY_FAIL),
--- a/crates/arbutusrudder/src/exchange/replies.rs
+++ b/crates/arbutusrudder/src/exchange/replies.rs
@@ -1,5 +1,5 @@
-//! Matching a member's replies with the frames that were sent, so that replies to frames of our
-//! own are kept back and replies to frames that were not sent are made up.
+//! Matches a member's replies with the frames that were sent. Replies to frames that the proxy
+//! added are discarded, and replies to frames that it did not forward are generated.
 
 use rudder_endpoint::tag;
 use std::collections::VecDeque;
@@ -10,40 +10,40 @@
 /// `CloseComplete`, as a member would send it.
 const CLOSE_COMPLETE: &[u8] = b"3\0\0\0\x04";
 
-/// The reply that comes next.
+/// A reply that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExpectedReply {
-    /// To a Parse of this statement; `relayed` if the caller sent it.
+    /// Reply to a Parse of this statement; `relayed` if the caller sent it.
     Parse {
         /// The statement's hash.
         hash: u128,
-        /// Whether the caller awaits it.
+        /// Whether the reply is relayed to the caller.
         relayed: bool,
     },
-    /// To a Close of our own, of the statement with this hash.
+    /// Reply to a Close that the proxy added, of the statement with this hash.
     InternalClose(u128),
-    /// To a Bind or a Close of the caller's.
+    /// Reply to a Bind or Close of the caller.
     Single,
-    /// To a Describe: ends with the row description or with its absence.
+    /// Reply to a Describe: ends with RowDescription or NoData.
     Describe,
-    /// To an Execute: ends with completion, suspension or emptiness.
+    /// Reply to an Execute: ends with CommandComplete, PortalSuspended or EmptyQueryResponse.
     Execute,
-    /// Made up: the frame was not sent.
+    /// Generated reply to a Parse that was not sent to the member.
     SyntheticParse,
-    /// Made up: the frame was not sent.
+    /// Generated reply to a Close that was not sent to the member.
     SyntheticClose,
 }
 
-/// What to do with a frame that a member sent.
+/// Handling of a frame that a member sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplyAction {
-    /// Hand it to the caller.
+    /// Relay it to the caller.
     Relay,
-    /// Keep it back.
+    /// Discard it.
     Discard,
 }
 
-/// The replies that are still to come for one batch.
+/// The replies still expected for one batch.
 #[derive(Debug, Default)]
 pub(crate) struct ReplyQueue {
     expected: VecDeque<ExpectedReply>,
@@ -52,34 +52,34 @@
 }
 
 impl ReplyQueue {
-    /// Adds a reply to come.
+    /// Adds an expected reply.
     pub(crate) fn expect(&mut self, reply: ExpectedReply) {
         self.expected.push_back(reply);
     }
 
-    /// Whether every reply has come.
+    /// Whether every expected reply was received.
     pub(crate) fn is_empty(&self) -> bool {
         self.expected.is_empty()
     }
 
-    /// The statements that the member has prepared since the last call.
+    /// Returns the statements that the member prepared since the last call.
     pub(crate) fn take_prepared(&mut self) -> Vec<u128> {
         std::mem::take(&mut self.prepared)
     }
 
-    /// How many of the caller's names the member (or this proxy in its place) has prepared or
-    /// closed.
+    /// Returns how many of the caller's statement names were prepared or closed, by the member or
+    /// by this proxy in its place.
     pub(crate) fn names_changed(&self) -> usize {
         self.names_changed
     }
 
-    /// Whether a Parse of this statement is on its way.
+    /// Whether the reply to a Parse of this statement is expected.
     pub(crate) fn awaits_parse(&self, wanted: u128) -> bool {
         let parses = |reply: &ExpectedReply| matches!(reply, ExpectedReply::Parse { hash, .. } if *hash == wanted);
         self.expected.iter().any(parses)
     }
 
-    /// Writes the made-up replies that are due before the member's next one.
+    /// Writes the generated replies that precede the member's next one.
     pub(crate) fn write_synthetic(&mut self, mut write: impl FnMut(&'static [u8])) {
         loop {
             match self.expected.front() {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes a whole frame of the member.
+    /// Matches a whole frame of the member with the expected replies.
     pub(crate) fn take(&mut self, frame_tag: u8) -> ReplyAction {
         match frame_tag {
             tag::PARSE_COMPLETE => self.take_parse(),
@@ -107,10 +107,10 @@
                 ReplyAction::Relay
             }
             tag::ERROR => {
-                // The member skips everything up to the next Sync, so no other reply comes.
+                // The member skips everything up to the next Sync, so no other reply follows.
                 let skipped = std::mem::take(&mut self.expected);
-                // Guards against a statement that we think closed although its Close was skipped:
-                // preparing it again would fail, as its name is still taken.
+                // A skipped Close leaves its statement prepared. If it were treated as closed,
+                // preparing it again would fail because its name is still in use.
                 self.prepared.extend(skipped.iter().filter_map(|reply| match reply {
                     ExpectedReply::InternalClose(hash) => Some(*hash),
                     _ => None,
--- a/crates/arbutusrudder/src/exchange/sink.rs
+++ b/crates/arbutusrudder/src/exchange/sink.rs
@@ -1,44 +1,44 @@
-//! Replies on their way to the caller: held back while another member may still have to answer,
-//! and from the first completion on while a commit is not acknowledged.
+//! Buffers replies to the caller. They are held while the batch may still be retried at another
+//! member, and from the first completion on until the commit is acknowledged.
 
 use bytes::{Bytes, BytesMut};
 use rudder_endpoint::{FramePart, WireFrame, WireLink, tag};
 
-/// Held replies above this are handed on, if they only wait for a better member.
+/// Bytes of a read's replies held for a possible retry; above this they are sent to the caller.
 const READ_HELD_MAX: usize = 256 * 1024;
 
-/// Held replies above this end the batch, if they wait for a commit.
+/// Maximum bytes of replies held until a commit is acknowledged; above this the batch fails.
 const COMMIT_HELD_MAX: usize = 16 * 1024 * 1024;
 
-/// How long replies are held back.
+/// How long replies are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HoldRule {
-    /// Until the first row: an error before it may still be answered by another member.
+    /// Until the first row: after an error before it, another member may still serve the batch.
     UntilRow,
-    /// As `UntilRow`, and again from the first completion on, until the commit is acknowledged.
+    /// As `UntilRow`, and again from the first completion until the commit is acknowledged.
     UntilCommit,
-    /// Not at all.
+    /// Never held.
     Never,
 }
 
-/// The replies that were held back to the end of a batch.
+/// The replies that are still held at the end of a batch.
 #[derive(Debug)]
 pub(crate) struct HeldReplies {
     bytes: BytesMut,
-    /// Whether the caller has part of the answer already.
+    /// Whether part of the response was already passed on to the caller.
     pub(crate) relayed: bool,
-    /// Statements that completed.
+    /// Number of statements that completed.
     pub(crate) completions: u32,
 }
 
 impl HeldReplies {
-    /// Hands the replies to the caller; dropping them instead discards them.
+    /// Passes the replies on to the caller; dropping `self` instead discards them.
     pub(crate) fn release(self, caller: &mut WireLink) {
         caller.outgoing().extend_from_slice(&self.bytes);
     }
 }
 
-/// Where the replies of one batch go.
+/// Destination of the replies of one batch.
 pub(crate) struct ReplySink<'a> {
     caller: &'a mut WireLink,
     rule: HoldRule,
@@ -50,7 +50,7 @@
 }
 
 impl<'a> ReplySink<'a> {
-    /// A sink towards `caller`.
+    /// Creates a sink that writes to `caller`.
     pub(crate) fn new(caller: &'a mut WireLink, rule: HoldRule) -> Self {
         let streaming = rule == HoldRule::Never;
         Self {
@@ -64,12 +64,12 @@
         }
     }
 
-    /// The caller's connection.
+    /// Returns the caller's connection.
     pub(crate) fn caller(&mut self) -> &mut WireLink {
         self.caller
     }
 
-    /// Takes a frame, or a part of one.
+    /// Adds a frame or a part of one.
     pub(crate) fn push(&mut self, frame: &WireFrame) {
         let begins = matches!(frame.part, FramePart::Whole | FramePart::Start);
         if begins {
@@ -78,17 +78,17 @@
         self.write(&frame.bytes);
     }
 
-    /// Takes bytes that were made up here.
+    /// Adds the bytes of a reply that this proxy generated.
     pub(crate) fn push_bytes(&mut self, bytes: &'static [u8]) {
         self.write(&Bytes::from_static(bytes));
     }
 
-    /// Whether more is held than a commit may hold.
+    /// Whether the held bytes exceed the limit for a commit.
     pub(crate) fn exceeds_limit(&self) -> bool {
         self.held.len() > COMMIT_HELD_MAX
     }
 
-    /// What is still held, for when the verdict over it is known.
+    /// Returns the held replies, to be released or discarded once the outcome is known.
     pub(crate) fn into_held(self) -> HeldReplies {
         HeldReplies { bytes: self.held, relayed: self.relayed, completions: self.completions }
     }
