--- a/crates/arbutusrudder/src/duty/drain.rs
+++ b/crates/arbutusrudder/src/duty/drain.rs
@@ -13,12 +13,12 @@
     if !group.members[primary.index].settings.draining {
         return None;
     }
-    let stays = |index: &usize| group.members[*index].health() == MemberHealth::Ready;
+    let is_ready = |index: &usize| group.members[*index].health() == MemberHealth::Ready;
     let received = |index: &usize| {
         let status = group.board.status_of(group.members[*index].name());
         status.map(|status| status.received)
     };
-    let index = (0..group.members.len()).filter(stays).max_by_key(received)?;
+    let index = (0..group.members.len()).filter(is_ready).max_by_key(received)?;
     Some(group.members[index].name().clone())
 }
 
--- a/crates/arbutusrudder/src/duty/exchange.rs
+++ b/crates/arbutusrudder/src/duty/exchange.rs
@@ -1,6 +1,6 @@
 //! Carrying the keepers' votes over the peers' mesh.
 
-use crate::keeper::{KeeperEntry, KeeperRoster, ObserverExchange};
+use crate::keeper::{KeeperEntry, KeeperRanking, ObserverExchange};
 use rudder_core::{
     DomainName, InstanceName, LogTerm, MemberName, ObserverVote, ServiceName, VoteKind,
 };
@@ -52,7 +52,7 @@
 }
 
 impl ObserverExchange for VoteExchange {
-    fn cast(&self, service: &ServiceName, vote: VoteKind) {
+    fn send_vote(&self, service: &ServiceName, vote: VoteKind) {
         let keepers = keepers_of(service, &self.mesh.live(), KEEPER_COUNT);
         let others: Vec<_> = keepers.into_iter().filter(|name| *name != self.instance).collect();
         let hint = PeerHint::Vote(SuspicionVote {
@@ -76,14 +76,14 @@
         }
     }
 
-    fn roster(&self, service: &ServiceName) -> KeeperRoster {
+    fn ranking(&self, service: &ServiceName) -> KeeperRanking {
         let live = self.mesh.live();
         let entry = |name: InstanceName| {
             let index = live.binary_search_by(|peer| peer.name.cmp(&name)).ok()?;
             Some(KeeperEntry { instance: name, domain: live[index].domain.clone() })
         };
         let keepers = keepers_of(service, &live, KEEPER_COUNT);
-        KeeperRoster { keepers: keepers.into_iter().filter_map(entry).collect() }
+        KeeperRanking { keepers: keepers.into_iter().filter_map(entry).collect() }
     }
 }
 
--- a/crates/arbutusrudder/src/duty/mod.rs
+++ b/crates/arbutusrudder/src/duty/mod.rs
@@ -3,7 +3,7 @@
 
 mod drain;
 mod exchange;
-mod roster;
+mod tasks;
 
 pub(crate) use exchange::VoteExchange;
-pub(crate) use roster::run_duties;
+pub(crate) use tasks::run_duties;
--- a/crates/arbutusrudder/src/duty/roster.rs
+++ b/crates/arbutusrudder/src/duty/tasks.rs
@@ -3,9 +3,9 @@
 use super::drain::{order_switch, successor_of};
 use super::exchange::VoteExchange;
 use crate::context::InstanceContext;
-use crate::group::{GroupState, spawn_watch};
+use crate::group::{GroupState, spawn_probes};
 use crate::keeper::{
-    KeeperConfig, KeeperHandle, KeeperMember, ObserverExchange, prefer_members, spawn_keeper,
+    KeeperConfig, KeeperHandle, KeeperMember, ObserverExchange, rank_by_preference, spawn_keeper,
 };
 use rudder_core::ServiceName;
 use rudder_endpoint::MemberControl;
@@ -18,26 +18,26 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 /// How often lanes and connection shares follow what was learned.
-const TICK: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause between two orders to move the primary off the same draining member.
-const DRAIN_PAUSE: Duration = Duration::from_secs(5);
+const DRAIN_ORDER_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The tasks of one group. Dropping it ends them.
-struct GroupDuty {
+struct GroupTasks {
     group: Arc<GroupState>,
-    _watch: JoinSet<()>,
-    keeper: Option<KeeperDuty>,
-    drained: Option<Instant>,
+    _probes: JoinSet<()>,
+    keeper: Option<KeeperTask>,
+    drain_ordered_at: Option<Instant>,
 }
 
-struct KeeperDuty {
-    _bridge: JoinSet<()>,
+struct KeeperTask {
+    _report_copy: JoinSet<()>,
     _stop: DropGuard,
 }
 
 /// What the duties work with.
-struct DutyParts {
+struct TaskManager {
     context: Arc<InstanceContext>,
     store: Arc<dyn PlatformStore>,
     exchange: Arc<VoteExchange>,
@@ -50,15 +50,15 @@
     mesh: Arc<PeerMesh>,
     exchange: Arc<VoteExchange>,
 ) {
-    let parts = DutyParts { context, store, exchange };
-    let mut duties: Vec<GroupDuty> = Vec::new();
-    let mut settings = parts.context.fleet_changes.subscribe();
+    let manager = TaskManager { context, store, exchange };
+    let mut groups: Vec<GroupTasks> = Vec::new();
+    let mut settings = manager.context.fleet_changes.subscribe();
     let mut peers = mesh.watch();
     loop {
         settings.borrow_and_update();
         peers.borrow_and_update();
-        parts.context.note_instances(&mesh.live());
-        parts.assign(&mut duties);
+        manager.context.note_instances(&mesh.live());
+        manager.update_tasks(&mut groups);
         // Between changes, only what was learned is followed.
         loop {
             let changed = async {
@@ -67,77 +67,77 @@
                     changed = peers.changed() => changed.is_ok(),
                 }
             };
-            if timeout(TICK, changed).await.is_ok() {
+            if timeout(REFRESH_INTERVAL, changed).await.is_ok() {
                 break;
             }
-            for duty in &mut duties {
-                duty.group.follow(parts.context.instances());
-                parts.drain(duty);
+            for tasks in &mut groups {
+                tasks.group.refresh(manager.context.instances());
+                manager.order_drain_switch(tasks);
             }
         }
     }
 }
 
-impl DutyParts {
+impl TaskManager {
     /// Ends the duties of groups that are gone or changed, and starts those that are new.
-    fn assign(&self, duties: &mut Vec<GroupDuty>) {
+    fn update_tasks(&self, groups: &mut Vec<GroupTasks>) {
         let fleet = self.context.fleet.load();
-        duties.retain(|duty| fleet.groups.iter().any(|group| Arc::ptr_eq(group, &duty.group)));
+        groups.retain(|tasks| fleet.groups.iter().any(|group| Arc::ptr_eq(group, &tasks.group)));
         for group in &fleet.groups {
-            let known = duties.iter().position(|duty| Arc::ptr_eq(&duty.group, group));
+            let known = groups.iter().position(|tasks| Arc::ptr_eq(&tasks.group, group));
             let index = known.unwrap_or_else(|| {
-                let watch = spawn_watch(group);
-                duties.push(GroupDuty {
+                let probes = spawn_probes(group);
+                groups.push(GroupTasks {
                     group: Arc::clone(group),
-                    _watch: watch,
+                    _probes: probes,
                     keeper: None,
-                    drained: None,
+                    drain_ordered_at: None,
                 });
-                duties.len() - 1
+                groups.len() - 1
             });
-            self.assign_keeper(&mut duties[index]);
+            self.update_keeper(&mut groups[index]);
         }
     }
 
-    fn assign_keeper(&self, duty: &mut GroupDuty) {
-        let service = &duty.group.service.name;
-        let roster = self.exchange.roster(service);
-        let keeps = roster.rank_of(self.context.name()).is_some();
-        if keeps == duty.keeper.is_some() {
+    fn update_keeper(&self, tasks: &mut GroupTasks) {
+        let service = &tasks.group.service.name;
+        let ranking = self.exchange.ranking(service);
+        let keeps = ranking.rank_of(self.context.name()).is_some();
+        if keeps == tasks.keeper.is_some() {
             return;
         }
         log::info!(
             target: "rudder::placement", service:% = service, keeps, reason = "rendezvous_rank";
             "keeper duty changed"
         );
-        duty.group.set_keeper(None);
-        duty.keeper = keeps.then(|| self.start_keeper(&duty.group));
+        tasks.group.set_keeper(None);
+        tasks.keeper = keeps.then(|| self.start_keeper(&tasks.group));
     }
 
     /// Orders a switch if the group's primary is draining and this instance is its first keeper.
-    fn drain(&self, duty: &mut GroupDuty) {
-        let recent = duty.drained.is_some_and(|at| at.elapsed() < DRAIN_PAUSE);
-        let roster = self.exchange.roster(&duty.group.service.name);
-        if recent || roster.rank_of(self.context.name()) != Some(0) {
+    fn order_drain_switch(&self, tasks: &mut GroupTasks) {
+        let recent = tasks.drain_ordered_at.is_some_and(|at| at.elapsed() < DRAIN_ORDER_INTERVAL);
+        let ranking = self.exchange.ranking(&tasks.group.service.name);
+        if recent || ranking.rank_of(self.context.name()) != Some(0) {
             return;
         }
-        let Some(target) = successor_of(&duty.group) else { return };
-        duty.drained = Some(Instant::now());
-        tokio::spawn(order_switch(Arc::clone(&self.store), Arc::clone(&duty.group), target));
+        let Some(target) = successor_of(&tasks.group) else { return };
+        tasks.drain_ordered_at = Some(Instant::now());
+        tokio::spawn(order_switch(Arc::clone(&self.store), Arc::clone(&tasks.group), target));
     }
 
-    fn start_keeper(&self, group: &Arc<GroupState>) -> KeeperDuty {
+    fn start_keeper(&self, group: &Arc<GroupState>) -> KeeperTask {
         let stop = CancellationToken::new();
         let handle = spawn_keeper(self.keeper_config(group), stop.clone());
         group.set_keeper(Some(handle.clone()));
-        let mut bridge = JoinSet::new();
-        bridge.spawn(bridge_view(Arc::clone(group), handle));
-        KeeperDuty { _bridge: bridge, _stop: stop.drop_guard() }
+        let mut report_copy = JoinSet::new();
+        report_copy.spawn(copy_reports(Arc::clone(group), handle));
+        KeeperTask { _report_copy: report_copy, _stop: stop.drop_guard() }
     }
 
     fn keeper_config(&self, group: &Arc<GroupState>) -> KeeperConfig {
         let service: ServiceName = group.service.name.clone();
-        let members = prefer_members(&group.service.members)
+        let members = rank_by_preference(&group.service.members)
             .into_iter()
             .filter_map(|member| {
                 let index = group.index_of(&member.name)?;
@@ -159,14 +159,14 @@
 }
 
 /// Puts what a keeper learns on the group's board.
-async fn bridge_view(group: Arc<GroupState>, handle: KeeperHandle) {
+async fn copy_reports(group: Arc<GroupState>, handle: KeeperHandle) {
     let mut view = handle.view();
     loop {
         let latest = Arc::clone(&view.borrow_and_update());
         for report in &latest.members {
             if let Some(status) = report.status {
-                let asked_at = group.board.since_origin(report.asked_at.into_std());
-                group.board.note(&report.member, asked_at, status);
+                let requested_at = group.board.since_origin(report.requested_at.into_std());
+                group.board.record(&report.member, requested_at, status);
             }
         }
         if view.changed().await.is_err() {
--- a/crates/arbutusrudder/src/group/admission.rs
+++ b/crates/arbutusrudder/src/group/admission.rs
@@ -11,11 +11,11 @@
 use tokio::sync::oneshot;
 
 /// The admission gate of one group, with those who wait at it.
-pub(crate) struct AdmissionDesk {
-    inner: Mutex<DeskState>,
+pub(crate) struct AdmissionQueue {
+    inner: Mutex<QueueState>,
 }
 
-struct DeskState {
+struct QueueState {
     gate: AdmissionGate,
     rng: StdRng,
     /// Sorted by ticket: tickets only grow.
@@ -24,20 +24,20 @@
 
 /// A held slot; dropping it gives the slot back.
 pub(crate) struct AdmissionPass {
-    desk: Arc<AdmissionDesk>,
+    queue: Arc<AdmissionQueue>,
     ticket: TicketId,
 }
 
 impl Drop for AdmissionPass {
     fn drop(&mut self) {
-        self.desk.release(self.ticket);
+        self.queue.release(self.ticket);
     }
 }
 
-impl AdmissionDesk {
+impl AdmissionQueue {
     /// A desk whose refusals are spread by a generator seeded with `seed`.
     pub(crate) fn new(seed: u64) -> Self {
-        let inner = DeskState {
+        let inner = QueueState {
             gate: AdmissionGate::new(),
             rng: StdRng::seed_from_u64(seed),
             waiters: Vec::new(),
@@ -62,16 +62,16 @@
         };
         // The pass also covers the wait: a caller that vanishes gives its place back.
         let pass = self.pass(ticket);
-        let give_up = request.deadline.min(Instant::now() + request.queue_wait);
+        let wait_until = request.deadline.min(Instant::now() + request.queue_wait);
         let mut outcome = outcome;
         loop {
-            let sleep = tokio::time::sleep_until(give_up.into());
+            let sleep = tokio::time::sleep_until(wait_until.into());
             tokio::select! {
                 outcome = &mut outcome => return match outcome {
                     Ok(TicketOutcome::Refuse(reason)) => Err(reason),
                     Ok(TicketOutcome::Run) | Err(_) => Ok(pass),
                 },
-                () = sleep => self.expire(),
+                () = sleep => self.expire_tickets(),
             }
             // The clock may be a hair behind the gate's own bound.
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
@@ -84,7 +84,7 @@
     ) -> (AdmissionVerdict, oneshot::Receiver<TicketOutcome>) {
         let (sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
-        let DeskState { gate, rng, waiters } = &mut *inner;
+        let QueueState { gate, rng, waiters } = &mut *inner;
         let verdict = gate.offer(request, Instant::now(), rng);
         if let AdmissionVerdict::Wait(ticket) = verdict {
             waiters.push((ticket, sender));
@@ -94,31 +94,34 @@
 
     fn release(&self, ticket: TicketId) {
         let mut inner = self.lock();
-        let DeskState { gate, rng, waiters } = &mut *inner;
+        let QueueState { gate, rng, waiters } = &mut *inner;
         if let Ok(index) = waiters.binary_search_by_key(&ticket, |(known, _)| *known) {
             waiters.remove(index);
         }
         let notices = gate.release(ticket, Instant::now(), rng);
-        inform(waiters, &notices);
+        notify_waiters(waiters, &notices);
     }
 
-    fn expire(&self) {
+    fn expire_tickets(&self) {
         let mut inner = self.lock();
-        let DeskState { gate, rng, waiters } = &mut *inner;
+        let QueueState { gate, rng, waiters } = &mut *inner;
         let notices = gate.expire(Instant::now(), rng);
-        inform(waiters, &notices);
+        notify_waiters(waiters, &notices);
     }
 
     fn pass(self: &Arc<Self>, ticket: TicketId) -> AdmissionPass {
-        AdmissionPass { desk: Arc::clone(self), ticket }
+        AdmissionPass { queue: Arc::clone(self), ticket }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, DeskState> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, QueueState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
 
-fn inform(waiters: &mut Vec<(TicketId, oneshot::Sender<TicketOutcome>)>, notices: &[TicketNotice]) {
+fn notify_waiters(
+    waiters: &mut Vec<(TicketId, oneshot::Sender<TicketOutcome>)>,
+    notices: &[TicketNotice],
+) {
     for notice in notices {
         let found = waiters.binary_search_by_key(&notice.ticket, |(known, _)| *known);
         if let Ok(index) = found {
--- a/crates/arbutusrudder/src/group/confirm.rs
+++ b/crates/arbutusrudder/src/group/confirm.rs
@@ -23,24 +23,24 @@
 }
 
 /// While it lives, every member is asked for reports without pause.
-struct DemandGuard<'a> {
+struct WaiterGuard<'a> {
     group: &'a GroupState,
 }
 
-impl<'a> DemandGuard<'a> {
+impl<'a> WaiterGuard<'a> {
     fn new(group: &'a GroupState) -> Self {
         for member in &group.members {
-            member.demand.fetch_add(1, Ordering::AcqRel);
-            member.wanted.notify_one();
+            member.waiters.fetch_add(1, Ordering::AcqRel);
+            member.probe_requested.notify_one();
         }
         Self { group }
     }
 }
 
-impl Drop for DemandGuard<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         for member in &self.group.members {
-            member.demand.fetch_sub(1, Ordering::AcqRel);
+            member.waiters.fetch_sub(1, Ordering::AcqRel);
         }
     }
 }
@@ -53,10 +53,10 @@
         within: Duration,
     ) -> ConfirmOutcome {
         let members = self.members.len();
-        let judge = |reports: &[_]| judge_commit(commit, members, reports);
-        let outcome = self.confirm(Duration::ZERO, within, judge).await;
+        let decide = |reports: &[_]| judge_commit(commit, members, reports);
+        let outcome = self.confirm(Duration::ZERO, within, decide).await;
         if outcome == ConfirmOutcome::Acknowledged {
-            self.note_acknowledged(commit.term);
+            self.record_acknowledged_term(commit.term);
         }
         outcome
     }
@@ -77,21 +77,21 @@
         &self,
         since: Duration,
         within: Duration,
-        judge: impl Fn(&[(MemberName, MemberStatus)]) -> AckVerdict,
+        decide: impl Fn(&[(MemberName, MemberStatus)]) -> AckVerdict,
     ) -> ConfirmOutcome {
-        let judge_now = || match judge(&self.reports_since(since)) {
+        let decide_now = || match decide(&self.reports_since(since)) {
             AckVerdict::Acknowledged => Some(ConfirmOutcome::Acknowledged),
             AckVerdict::Superseded => Some(ConfirmOutcome::Superseded),
             AckVerdict::Waiting => None,
         };
-        if let Some(outcome) = judge_now() {
+        if let Some(outcome) = decide_now() {
             return outcome;
         }
-        let _demand = DemandGuard::new(self);
+        let _guard = WaiterGuard::new(self);
         let mut changes = self.board.subscribe();
         let wait = async {
             loop {
-                if let Some(outcome) = judge_now() {
+                if let Some(outcome) = decide_now() {
                     return outcome;
                 }
                 if changes.changed().await.is_err() {
@@ -104,7 +104,7 @@
 
     fn reports_since(&self, since: Duration) -> Vec<(MemberName, MemberStatus)> {
         let reports = self.board.reports().into_iter();
-        let asked = reports.filter(|report| report.asked_at >= since);
-        asked.map(|report| (report.member, report.status)).collect()
+        let fresh = reports.filter(|report| report.asked_at >= since);
+        fresh.map(|report| (report.member, report.status)).collect()
     }
 }
--- a/crates/arbutusrudder/src/group/member.rs
+++ b/crates/arbutusrudder/src/group/member.rs
@@ -12,13 +12,13 @@
 use tokio::sync::{Notify, watch};
 
 /// Service time assumed of a member of the reference speed before any was observed.
-const SERVICE_GUESS: Duration = Duration::from_millis(5);
+const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(5);
 
 /// A longer round trip moves the known one by this part of the difference.
-const LINK_RISE: u32 = 64;
+const ROUND_TRIP_RISE_DIVISOR: u32 = 64;
 
 /// How long a larger share of connections must have been due before it is used.
-const SHARE_SETTLE: Duration = Duration::from_secs(10);
+const SHARE_GROWTH_DELAY: Duration = Duration::from_secs(10);
 
 /// A member as this instance uses it.
 pub(crate) struct GroupMember {
@@ -31,9 +31,9 @@
     /// Statements in flight from this instance.
     pub(crate) in_flight: AtomicU32,
     /// How many commits and reads wait for this member's next report.
-    pub(crate) demand: AtomicUsize,
+    pub(crate) waiters: AtomicUsize,
     /// Wakes the watch when demand rises from none.
-    pub(crate) wanted: Notify,
+    pub(crate) probe_requested: Notify,
     meter: Mutex<MemberMeter>,
     health: watch::Sender<MemberHealth>,
     share: Mutex<ConnectionShare>,
@@ -59,16 +59,19 @@
         link: Duration,
     ) -> Self {
         let speed = settings.speed.0.max(1);
-        let guess = SERVICE_GUESS * 100 / speed;
+        let service_time = ASSUMED_SERVICE_TIME * 100 / speed;
         Self {
             pool: ConnectionPool::new(address.clone(), connections),
             channel: Arc::new(ControlChannel::new(address)),
             in_flight: AtomicU32::new(0),
-            demand: AtomicUsize::new(0),
-            wanted: Notify::new(),
-            meter: Mutex::new(MemberMeter::new(settings.slots.0, guess)),
+            waiters: AtomicUsize::new(0),
+            probe_requested: Notify::new(),
+            meter: Mutex::new(MemberMeter::new(settings.slots.0, service_time)),
             health: watch::Sender::new(MemberHealth::Ready),
-            share: Mutex::new(ConnectionShare::new(ConnectionCount(connections), SHARE_SETTLE)),
+            share: Mutex::new(ConnectionShare::new(
+                ConnectionCount(connections),
+                SHARE_GROWTH_DELAY,
+            )),
             link: Mutex::new(link),
             ramp: Mutex::default(),
             settings,
@@ -83,7 +86,7 @@
     /// The share of connections to hold when `wanted` is due. It shrinks at once and grows only
     /// after a while: two instances with different views would otherwise hold more than the member
     /// accepts.
-    pub(crate) fn settle_share(&self, wanted: u32, now: Duration) -> u32 {
+    pub(crate) fn update_share(&self, wanted: u32, now: Duration) -> u32 {
         let mut share = self.share.lock().expect("no holder of this lock panics");
         share.update(ConnectionCount(wanted), now).0
     }
@@ -98,7 +101,7 @@
     /// everything above it is waiting, not distance.
     pub(crate) fn observe_link(&self, round_trip: Duration) {
         let mut link = self.link.lock().expect("no holder of this lock panics");
-        let rise = round_trip.saturating_sub(*link) / LINK_RISE;
+        let rise = round_trip.saturating_sub(*link) / ROUND_TRIP_RISE_DIVISOR;
         *link = round_trip.min(*link + rise);
     }
 
--- a/crates/arbutusrudder/src/group/mod.rs
+++ b/crates/arbutusrudder/src/group/mod.rs
@@ -5,13 +5,13 @@
 mod confirm;
 mod member;
 mod pool;
+mod probe;
 mod reports;
 mod state;
-mod watch;
 
 pub(crate) use admission::AdmissionPass;
 pub(crate) use confirm::ConfirmOutcome;
 pub(crate) use member::GroupMember;
 pub(crate) use pool::{PoolError, PooledConnection};
+pub(crate) use probe::spawn_probes;
 pub(crate) use state::{GroupState, GroupTuning};
-pub(crate) use watch::spawn_watch;
--- a/crates/arbutusrudder/src/group/pool.rs
+++ b/crates/arbutusrudder/src/group/pool.rs
@@ -58,7 +58,7 @@
     permits: Arc<Semaphore>,
     limit: Mutex<u32>,
     idle: Mutex<Vec<IdleConnection>>,
-    reported: OnceLock<Vec<(String, String)>>,
+    login_parameters: OnceLock<Vec<(String, String)>>,
 }
 
 impl ConnectionPool {
@@ -69,7 +69,7 @@
             permits: Arc::new(Semaphore::new(limit as usize)),
             limit: Mutex::new(limit),
             idle: Mutex::default(),
-            reported: OnceLock::new(),
+            login_parameters: OnceLock::new(),
         }
     }
 
@@ -80,7 +80,7 @@
 
     /// The settings that the member reported at the first login.
     pub(crate) fn reported_parameters(&self) -> Option<Vec<(String, String)>> {
-        self.reported.get().cloned()
+        self.login_parameters.get().cloned()
     }
 
     /// Connections that are open, idle ones included.
@@ -107,11 +107,11 @@
     /// Takes a connection, idle or new, within `within`.
     pub(crate) async fn take(
         &self,
-        within: Duration,
+        max_wait: Duration,
         connect_timeout: Duration,
         check_after: Duration,
     ) -> Result<PooledConnection, PoolError> {
-        let permit = timeout(within, Arc::clone(&self.permits).acquire_owned())
+        let permit = timeout(max_wait, Arc::clone(&self.permits).acquire_owned())
             .await
             .ok()
             .and_then(Result::ok)
@@ -124,11 +124,11 @@
                 _permit: permit,
             });
         }
-        let bound = within.min(connect_timeout);
-        let opened = MemberConnection::open(&self.address, bound).await;
+        let dial_timeout = max_wait.min(connect_timeout);
+        let opened = MemberConnection::open(&self.address, dial_timeout).await;
         let connection = opened.map_err(PoolError::Endpoint)?;
         metrics::counter!("rudder_member_connections_opened_total").increment(1);
-        self.reported.get_or_init(|| connection.parameters().to_vec());
+        self.login_parameters.get_or_init(|| connection.parameters().to_vec());
         Ok(PooledConnection {
             connection,
             prepared: Vec::new(),
--- a/crates/arbutusrudder/src/group/watch.rs
+++ b/crates/arbutusrudder/src/group/probe.rs
@@ -13,52 +13,52 @@
 
 /// Pause between two questions to one member while something waits for its report. Replication
 /// takes milliseconds between failure domains, so asking faster brings nothing.
-const EAGER_PAUSE: Duration = Duration::from_micros(400);
+const EAGER_PROBE_INTERVAL: Duration = Duration::from_micros(400);
 
 /// Starts the tasks that ask the members of `group`; they end with the returned set.
-pub(crate) fn spawn_watch(group: &Arc<GroupState>) -> JoinSet<()> {
+pub(crate) fn spawn_probes(group: &Arc<GroupState>) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     for index in 0..group.members.len() {
-        tasks.spawn(watch_member(Arc::clone(group), index));
+        tasks.spawn(probe_member(Arc::clone(group), index));
     }
     tasks
 }
 
-async fn watch_member(group: Arc<GroupState>, index: usize) {
+async fn probe_member(group: Arc<GroupState>, index: usize) {
     let member = &group.members[index];
     let mut pacer = ReconnectPacer::new();
     loop {
-        if !ask(&group, index).await {
+        if !probe(&group, index).await {
             // Spread in time: every instance would otherwise fall upon a member that came back.
             let pause = pacer.after_failure(&mut rand::rng());
             sleep(pause).await;
             continue;
         }
         pacer.succeed();
-        if member.demand.load(Ordering::Acquire) > 0 {
-            sleep(EAGER_PAUSE).await;
+        if member.waiters.load(Ordering::Acquire) > 0 {
+            sleep(EAGER_PROBE_INTERVAL).await;
         } else if group.is_in_use() {
-            let _ = timeout(group.timing.probe_interval, member.wanted.notified()).await;
+            let _ = timeout(group.timing.probe_interval, member.probe_requested.notified()).await;
         } else {
-            member.wanted.notified().await;
+            member.probe_requested.notified().await;
         }
     }
 }
 
 /// Asks a member for its status; answers whether it gave one.
-async fn ask(group: &GroupState, index: usize) -> bool {
+async fn probe(group: &GroupState, index: usize) -> bool {
     let member = &group.members[index];
-    let asked_at = group.board.now();
-    let bound = group.timing.suspect_after;
-    match member.channel.run(&ControlStatement::Status, bound).await {
+    let requested_at = group.board.now();
+    let probe_timeout = group.timing.suspect_after;
+    match member.channel.run(&ControlStatement::Status, probe_timeout).await {
         Ok(status) => {
-            member.observe_link(group.board.now().saturating_sub(asked_at));
-            group.take_report(index, asked_at, Some(status));
+            member.observe_link(group.board.now().saturating_sub(requested_at));
+            group.take_report(index, requested_at, Some(status));
             set_health(group, member, MemberHealth::Ready, "answered");
             true
         }
         Err(error) => {
-            group.take_report(index, asked_at, None);
+            group.take_report(index, requested_at, None);
             set_health(group, member, MemberHealth::Down, &error.to_string());
             false
         }
--- a/crates/arbutusrudder/src/group/reports.rs
+++ b/crates/arbutusrudder/src/group/reports.rs
@@ -8,21 +8,21 @@
 use tokio::sync::watch;
 
 /// Reports of a group's members, with the age ledger that they feed.
-pub(crate) struct ReportBoard {
+pub(crate) struct MemberReports {
     origin: Instant,
     members: usize,
-    inner: Mutex<BoardState>,
+    inner: Mutex<ReportState>,
     changes: watch::Sender<u64>,
 }
 
 #[derive(Default)]
-struct BoardState {
+struct ReportState {
     /// Sorted by member name; one report each.
     reports: Vec<TimedReport>,
     ledger: AgeLedger,
 }
 
-impl ReportBoard {
+impl MemberReports {
     /// An empty board for a group of `members` members.
     pub(crate) fn new(origin: Instant, members: usize) -> Self {
         let (changes, _) = watch::channel(0);
@@ -40,18 +40,18 @@
     }
 
     /// The moment at a time on this instance's time line.
-    pub(crate) fn instant_of(&self, time: Duration) -> Instant {
+    pub(crate) fn instant_at(&self, time: Duration) -> Instant {
         self.origin + time
     }
 
     /// Takes a member's report. One that was asked for earlier than the known one is dropped: it
     /// says less.
-    pub(crate) fn note(&self, member: &MemberName, asked_at: Duration, status: MemberStatus) {
+    pub(crate) fn record(&self, member: &MemberName, requested_at: Duration, status: MemberStatus) {
         {
             let mut inner = self.lock();
-            let report = TimedReport { member: member.clone(), asked_at, status };
+            let report = TimedReport { member: member.clone(), asked_at: requested_at, status };
             match inner.reports.binary_search_by(|known| known.member.cmp(member)) {
-                Ok(index) if inner.reports[index].asked_at > asked_at => return,
+                Ok(index) if inner.reports[index].asked_at > requested_at => return,
                 Ok(index) => inner.reports[index] = report,
                 Err(index) => inner.reports.insert(index, report),
             }
@@ -82,9 +82,9 @@
     /// The member that leads at the greatest term, as far as the reports say.
     pub(crate) fn primary(&self) -> Option<(MemberName, LogTerm)> {
         let inner = self.lock();
-        let leads = |report: &&TimedReport| report.status.role == MemberRole::Primary;
+        let is_primary = |report: &&TimedReport| report.status.role == MemberRole::Primary;
         let primary =
-            inner.reports.iter().filter(leads).max_by_key(|report| report.status.accepted)?;
+            inner.reports.iter().filter(is_primary).max_by_key(|report| report.status.accepted)?;
         Some((primary.member.clone(), primary.status.accepted))
     }
 
@@ -94,11 +94,11 @@
     }
 
     /// Runs a question against the age ledger.
-    pub(crate) fn with_ledger<T>(&self, question: impl FnOnce(&AgeLedger) -> T) -> T {
-        question(&self.lock().ledger)
+    pub(crate) fn with_ledger<T>(&self, query: impl FnOnce(&AgeLedger) -> T) -> T {
+        query(&self.lock().ledger)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BoardState> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, ReportState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
--- a/crates/arbutusrudder/src/group/state.rs
+++ b/crates/arbutusrudder/src/group/state.rs
@@ -1,9 +1,9 @@
 //! A group's state: the declared service, its members, and what is believed of its primary.
 
-use super::admission::AdmissionDesk;
+use super::admission::AdmissionQueue;
 use super::member::{GroupMember, MemberFreshness};
-use super::reports::ReportBoard;
-use crate::keeper::{KeeperHandle, TrafficNote};
+use super::reports::MemberReports;
+use crate::keeper::{KeeperHandle, TrafficReport};
 use crate::process::AddressRoute;
 use rudder_core::{DomainName, LogTerm, MemberName, MemberStatus, OutcomeClass};
 use rudder_decisions::{
@@ -19,20 +19,20 @@
 use tokio::time::timeout;
 
 /// How long after its last request a group is still watched.
-const IN_USE: Duration = Duration::from_secs(10);
+const IN_USE_PERIOD: Duration = Duration::from_secs(10);
 
 /// Requests that may wait at one member, per slot.
 const QUEUE_PER_SLOT: u32 = 64;
 
 /// Round trip assumed to a member in the same failure domain, in another one, in another region.
-const LINK_GUESSES: [Duration; 3] =
+const ASSUMED_ROUND_TRIPS: [Duration; 3] =
     [Duration::from_millis(1), Duration::from_millis(8), Duration::from_millis(24)];
 
 /// Slots of a lane where the gate is not to bound anything.
 const UNLIMITED_SLOTS: u32 = 1_000_000;
 
 /// Lag assumed of a replica whose age is not known.
-const LAG_GUESS: Duration = Duration::from_millis(500);
+const ASSUMED_LAG: Duration = Duration::from_millis(500);
 
 /// Connections per member that stay apart for control statements.
 const CONTROL_CONNECTIONS: u32 = 1;
@@ -63,7 +63,7 @@
 
 /// Which member is believed to lead.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct PrimaryBelief {
+pub(crate) struct ReportedPrimary {
     /// Its index among the group's members.
     pub(crate) index: usize,
     /// The term at which it leads.
@@ -79,9 +79,9 @@
     /// The members, sorted by name.
     pub(crate) members: Vec<GroupMember>,
     /// The members' reports.
-    pub(crate) board: ReportBoard,
+    pub(crate) board: MemberReports,
     /// The admission gate.
-    pub(crate) desk: Arc<AdmissionDesk>,
+    pub(crate) desk: Arc<AdmissionQueue>,
     usage: GroupUsage,
     keeper: Mutex<Option<KeeperHandle>>,
     outliers: Mutex<OutlierTracker>,
@@ -98,7 +98,7 @@
     /// Milliseconds from the origin to the last request.
     last_used_ms: AtomicU64,
     /// Whether this instance keeps the group.
-    kept: AtomicBool,
+    is_kept: AtomicBool,
 }
 
 impl GroupState {
@@ -109,15 +109,20 @@
         tuning: &GroupTuning,
     ) -> Self {
         let login = login_of(&service);
-        let make = |settings: &MemberSettings| {
+        let create = |settings: &MemberSettings| {
             let reached = tuning.reached(settings.address);
             let address = MemberAddress { address: reached, login: login.clone() };
             let connections = connection_share(settings, tuning.instances);
-            GroupMember::new(settings.clone(), address, connections, link_guess(settings, tuning))
+            GroupMember::new(
+                settings.clone(),
+                address,
+                connections,
+                assumed_round_trip(settings, tuning),
+            )
         };
-        let members: Vec<GroupMember> = service.members.iter().map(make).collect();
-        let board = ReportBoard::new(tuning.origin, members.len());
-        let desk = Arc::new(AdmissionDesk::new(rand::random()));
+        let members: Vec<GroupMember> = service.members.iter().map(create).collect();
+        let board = MemberReports::new(tuning.origin, members.len());
+        let desk = Arc::new(AdmissionQueue::new(rand::random()));
         let usage = GroupUsage::default();
         let keeper = Mutex::default();
         let group = Self {
@@ -143,10 +148,10 @@
     /// until a member has reported.
     pub(crate) async fn touch(&self, within: Duration) {
         let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
-        let slept = !self.is_in_use();
+        let was_idle = !self.is_in_use();
         self.usage.last_used_ms.store(now, Ordering::Relaxed);
-        if slept {
-            self.members.iter().for_each(|member| member.wanted.notify_one());
+        if was_idle {
+            self.members.iter().for_each(|member| member.probe_requested.notify_one());
         }
         if self.board.is_empty() {
             let mut changes = self.board.subscribe();
@@ -163,14 +168,14 @@
         let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
         let last = self.usage.last_used_ms.load(Ordering::Relaxed);
         let idle = Duration::from_millis(now.saturating_sub(last));
-        self.usage.kept.load(Ordering::Relaxed) || (last > 0 && idle < IN_USE)
+        self.usage.is_kept.load(Ordering::Relaxed) || (last > 0 && idle < IN_USE_PERIOD)
     }
 
     /// Notes whether this instance keeps the group.
     pub(crate) fn set_keeper(&self, keeper: Option<KeeperHandle>) {
-        self.usage.kept.store(keeper.is_some(), Ordering::Relaxed);
+        self.usage.is_kept.store(keeper.is_some(), Ordering::Relaxed);
         *self.keeper.lock().expect("no holder of this lock panics") = keeper;
-        self.members.iter().for_each(|member| member.wanted.notify_one());
+        self.members.iter().for_each(|member| member.probe_requested.notify_one());
     }
 
     /// Takes what a request or probe showed of a member: on the board, and to the keeper, whose
@@ -178,17 +183,17 @@
     pub(crate) fn take_report(
         &self,
         index: usize,
-        asked_at: Duration,
+        requested_at: Duration,
         status: Option<MemberStatus>,
     ) {
         let name = self.members[index].name();
         if let Some(status) = status {
-            self.board.note(name, asked_at, status);
+            self.board.record(name, requested_at, status);
         }
         let keeper = self.keeper.lock().expect("no holder of this lock panics");
         if let Some(keeper) = keeper.as_ref() {
-            let asked_at = self.board.instant_of(asked_at).into();
-            keeper.note(TrafficNote { member: name.clone(), asked_at, status });
+            let requested_at = self.board.instant_at(requested_at).into();
+            keeper.report(TrafficReport { member: name.clone(), requested_at, status });
         }
     }
 
@@ -198,9 +203,9 @@
     }
 
     /// The member believed to lead, if any report says that one does.
-    pub(crate) fn primary(&self) -> Option<PrimaryBelief> {
+    pub(crate) fn primary(&self) -> Option<ReportedPrimary> {
         let (name, term) = self.board.primary()?;
-        Some(PrimaryBelief { index: self.index_of(&name)?, term })
+        Some(ReportedPrimary { index: self.index_of(&name)?, term })
     }
 
     /// The index of a member.
@@ -225,17 +230,17 @@
     }
 
     /// Takes the outcome of a statement at a member: whether its connection held.
-    pub(crate) fn note_outcome(&self, index: usize, answered: bool) {
+    pub(crate) fn note_outcome(&self, index: usize, responded: bool) {
         let mut outliers = self.outliers.lock().expect("no holder of this lock panics");
-        outliers.observe(self.members[index].name(), answered);
-        if answered {
+        outliers.observe(self.members[index].name(), responded);
+        if responded {
             self.retries.lock().expect("no holder of this lock panics").succeed();
         }
     }
 
     /// Takes the term of an acknowledged commit. The first one of a new term ends a failover gap, as
     /// this instance's callers saw it.
-    pub(crate) fn note_acknowledged(&self, term: LogTerm) {
+    pub(crate) fn record_acknowledged_term(&self, term: LogTerm) {
         let now = Instant::now();
         let mut last = self.last_acknowledged.lock().expect("no holder of this lock panics");
         if let Some((before, at)) = *last {
@@ -271,7 +276,7 @@
     }
 
     /// Follows what was learned since the last call: outliers, lanes, connection shares.
-    pub(crate) fn follow(&self, instances: u32) {
+    pub(crate) fn refresh(&self, instances: u32) {
         self.outliers.lock().expect("no holder of this lock panics").step(Instant::now());
         self.sharers.store(instances, Ordering::Relaxed);
         self.share_connections(instances);
@@ -282,7 +287,7 @@
         let now = self.board.now();
         for member in &self.members {
             let wanted = connection_share(&member.settings, instances);
-            member.pool.set_limit(member.settle_share(wanted, now));
+            member.pool.set_limit(member.update_share(wanted, now));
         }
     }
 
@@ -303,7 +308,7 @@
             let applied = report.status.applied;
             let freshness = self.board.with_ledger(|ledger| MemberFreshness {
                 age: ledger.age_of(applied, now),
-                lag: ledger.age_of(applied, report.asked_at).unwrap_or(LAG_GUESS),
+                lag: ledger.age_of(applied, report.asked_at).unwrap_or(ASSUMED_LAG),
             });
             let weight = self.weight_of(index);
             views.push(self.members[index].view(report.status, freshness, weight, sharers));
@@ -324,14 +329,14 @@
     LoginSettings { user: service.user.clone(), database: service.database.clone(), password }
 }
 
-fn link_guess(member: &MemberSettings, tuning: &GroupTuning) -> Duration {
+fn assumed_round_trip(member: &MemberSettings, tuning: &GroupTuning) -> Duration {
     if member.domain == tuning.domain {
-        return LINK_GUESSES[0];
+        return ASSUMED_ROUND_TRIPS[0];
     }
     let region_of = |name: &DomainName| {
         let index = tuning.domains.binary_search_by(|domain| domain.name.cmp(name)).ok()?;
         Some(&tuning.domains[index].region)
     };
     let same_region = region_of(&member.domain) == region_of(&tuning.domain);
-    if same_region { LINK_GUESSES[1] } else { LINK_GUESSES[2] }
+    if same_region { ASSUMED_ROUND_TRIPS[1] } else { ASSUMED_ROUND_TRIPS[2] }
 }
--- a/crates/arbutusrudder/src/keeper/config.rs
+++ b/crates/arbutusrudder/src/keeper/config.rs
@@ -38,7 +38,7 @@
 
 /// Orders members for the choice among equally advanced logs: those that stay before those that
 /// are draining, then the faster hardware, then by name.
-pub(crate) fn prefer_members(members: &[MemberSettings]) -> Vec<PlanMember> {
+pub(crate) fn rank_by_preference(members: &[MemberSettings]) -> Vec<PlanMember> {
     let mut sorted: Vec<_> = members.iter().collect();
     sorted.sort_by_key(|member| (member.draining, Reverse(member.speed), &member.name));
     let ranked = (0..).zip(sorted);
--- a/crates/arbutusrudder/src/keeper/controls.rs
+++ b/crates/arbutusrudder/src/keeper/controls.rs
@@ -9,49 +9,51 @@
 
 /// What came of one control statement.
 #[derive(Clone, Debug)]
-pub(super) struct ControlAnswer {
+pub(super) struct ControlResponse {
     pub(super) member: MemberName,
     pub(super) statement: ControlStatement,
-    pub(super) asked_at: Instant,
+    pub(super) requested_at: Instant,
     pub(super) result: Result<MemberStatus, ControlError>,
 }
 
 /// The control channels of one group, and the statements in flight on them.
 pub(super) struct GroupControls {
     members: Vec<KeeperMember>,
-    within: Duration,
-    in_flight: JoinSet<ControlAnswer>,
+    timeout: Duration,
+    in_flight: JoinSet<ControlResponse>,
 }
 
 impl GroupControls {
-    pub(super) fn new(members: &[KeeperMember], within: Duration) -> Self {
-        Self { members: members.to_vec(), within, in_flight: JoinSet::new() }
+    pub(super) fn new(members: &[KeeperMember], timeout: Duration) -> Self {
+        Self { members: members.to_vec(), timeout, in_flight: JoinSet::new() }
     }
 
     /// Starts a statement; its answer comes out of [`Self::next`].
     pub(super) fn send(&mut self, member: &MemberName, statement: ControlStatement) {
-        let Some(known) = self.members.iter().find(|known| known.member.name == *member) else {
+        let Some(configured) =
+            self.members.iter().find(|configured| configured.member.name == *member)
+        else {
             return;
         };
-        let (control, within, member) = (known.control.clone(), self.within, member.clone());
+        let (control, timeout, member) = (configured.control.clone(), self.timeout, member.clone());
         self.in_flight.spawn(async move {
-            let asked_at = Instant::now();
-            let answer = tokio::time::timeout(within, control.run(&statement, within)).await;
-            let result = answer.unwrap_or(Err(ControlError::TimedOut));
-            ControlAnswer { member, statement, asked_at, result }
+            let requested_at = Instant::now();
+            let response = tokio::time::timeout(timeout, control.run(&statement, timeout)).await;
+            let result = response.unwrap_or(Err(ControlError::TimedOut));
+            ControlResponse { member, statement, requested_at, result }
         });
     }
 
     /// Forgets the statements in flight; they may still take effect.
-    pub(super) fn abandon(&mut self) {
+    pub(super) fn discard_in_flight(&mut self) {
         self.in_flight = JoinSet::new();
     }
 
     /// The next answer; pending for ever while nothing is in flight.
-    pub(super) async fn next(&mut self) -> ControlAnswer {
+    pub(super) async fn next(&mut self) -> ControlResponse {
         loop {
             match self.in_flight.join_next().await {
-                Some(Ok(answer)) => return answer,
+                Some(Ok(response)) => return response,
                 Some(Err(_)) => {}
                 None => std::future::pending().await,
             }
--- a/crates/arbutusrudder/src/keeper/exchange.rs
+++ b/crates/arbutusrudder/src/keeper/exchange.rs
@@ -13,12 +13,12 @@
 
 /// The keepers of one group, by rank: the first acts at once, each next one after a delay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct KeeperRoster {
+pub(crate) struct KeeperRanking {
     /// The keepers, best rank first.
     pub(crate) keepers: Vec<KeeperEntry>,
 }
 
-impl KeeperRoster {
+impl KeeperRanking {
     /// The rank of `instance`, counted from zero.
     pub(crate) fn rank_of(&self, instance: &InstanceName) -> Option<u32> {
         let index = self.keepers.iter().position(|keeper| keeper.instance == *instance)?;
@@ -42,12 +42,12 @@
 /// Carries votes between the observers of a group, and tells who they are.
 pub(crate) trait ObserverExchange: Send + Sync {
     /// Tells the other observers this instance's vote over the service's primary.
-    fn cast(&self, service: &ServiceName, vote: VoteKind);
+    fn send_vote(&self, service: &ServiceName, vote: VoteKind);
 
     /// The votes of other observers that arrived since the last call. Their times do not matter;
     /// the keeper dates them itself.
     fn take_votes(&self, service: &ServiceName) -> Vec<ObserverVote>;
 
     /// The group's keepers at present.
-    fn roster(&self, service: &ServiceName) -> KeeperRoster;
+    fn ranking(&self, service: &ServiceName) -> KeeperRanking;
 }
--- a/crates/arbutusrudder/src/keeper/grant_client.rs
+++ b/crates/arbutusrudder/src/keeper/grant_client.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Rounds of reading and conditional update before a keeper leaves the object to the others.
-const UPDATE_ROUNDS: u32 = 4;
+const UPDATE_ATTEMPTS_MAX: u32 = 4;
 
 /// Why the grant could not be read or changed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
@@ -55,9 +55,9 @@
 
     /// Takes the next term by conditional update. `accepted` is the greatest term that members
     /// are known to have accepted.
-    pub(super) async fn take(&self, accepted: LogTerm) -> Result<LogTerm, GrantClientError> {
+    pub(super) async fn take_term(&self, accepted: LogTerm) -> Result<LogTerm, GrantClientError> {
         let mark = WriterMark::random();
-        for _ in 0..UPDATE_ROUNDS {
+        for _ in 0..UPDATE_ATTEMPTS_MAX {
             let (version, grant) = self.read_or_create(accepted).await?;
             // Guards against a lost answer: the update may have taken effect, also after an
             // earlier round read the old version. Only the mark shows it; the holder's name does
@@ -76,7 +76,7 @@
     }
 
     /// Makes sure that the grant reserves a term for this run, and returns the grant.
-    pub(super) async fn enrol(
+    pub(super) async fn reserve_term(
         &self,
         seat: &KeeperSeat,
         keepers: &[InstanceName],
@@ -86,7 +86,7 @@
     }
 
     /// Writes down the confirmed primary, and returns the grant.
-    pub(super) async fn settle(
+    pub(super) async fn record_primary(
         &self,
         primary: &MemberName,
         term: LogTerm,
@@ -100,7 +100,7 @@
         accepted: LogTerm,
         edit: impl Fn(&SuccessionGrant) -> Option<SuccessionGrant> + Send,
     ) -> Result<SuccessionGrant, GrantClientError> {
-        for _ in 0..UPDATE_ROUNDS {
+        for _ in 0..UPDATE_ATTEMPTS_MAX {
             let (version, grant) = self.read_or_create(accepted).await?;
             let Some(changed) = edit(&grant) else { return Ok(grant) };
             match self.put(Some(&version), &changed).await {
@@ -116,7 +116,7 @@
         &self,
         accepted: LogTerm,
     ) -> Result<(ObjectVersion, SuccessionGrant), GrantClientError> {
-        for _ in 0..UPDATE_ROUNDS {
+        for _ in 0..UPDATE_ATTEMPTS_MAX {
             let name = self.service.as_str();
             if let Some(object) = self.store.get(ObjectKind::SuccessionGrant, name).await? {
                 return Ok((object.version, serde_json::from_value(object.spec)?));
--- a/crates/arbutusrudder/src/keeper/group_keeper.rs
+++ b/crates/arbutusrudder/src/keeper/group_keeper.rs
@@ -1,17 +1,17 @@
 //! The task that keeps one group.
 
-use super::bounds::{rank_delay, statement_bound, vote_poll};
 use super::config::KeeperConfig;
-use super::controls::{ControlAnswer, GroupControls};
+use super::controls::{ControlResponse, GroupControls};
 use super::decision::{DecisionReason, log_decision};
-use super::event::TrafficNote;
-use super::exchange::KeeperRoster;
+use super::exchange::KeeperRanking;
 use super::grant_client::GrantClient;
-use super::member_book::MemberBook;
-use super::platform_calls::PlatformNews;
+use super::platform_calls::PlatformResult;
 use super::promotion::wait_until;
-use super::schedule::ActSchedule;
+use super::report_table::ReportTable;
+use super::schedule::PromotionSchedule;
 use super::switch::PendingSwitch;
+use super::timeouts::{rank_delay, statement_timeout, vote_poll_interval};
+use super::traffic::TrafficReport;
 use super::view::GroupView;
 use rudder_core::{
     ControlStatement, GroupCondition, LogTerm, MemberName, MemberStatus, ObserverVote, StallWatch,
@@ -26,13 +26,13 @@
 use tokio_util::sync::CancellationToken;
 
 /// Notes from traffic that wait for the keeper; more are dropped, since newer ones follow.
-const NOTES_MAX: usize = 256;
+const TRAFFIC_QUEUE_MAX: usize = 256;
 
 /// What the rest of the instance holds of a running keeper.
 #[derive(Clone)]
 pub(crate) struct KeeperHandle {
     view: watch::Receiver<Arc<GroupView>>,
-    notes: mpsc::Sender<TrafficNote>,
+    traffic: mpsc::Sender<TrafficReport>,
 }
 
 impl KeeperHandle {
@@ -42,15 +42,15 @@
     }
 
     /// Tells the keeper what a request showed. Never waits.
-    pub(crate) fn note(&self, note: TrafficNote) {
+    pub(crate) fn report(&self, report: TrafficReport) {
         // A full queue means that the keeper has plenty of newer notes to read.
-        let _ = self.notes.try_send(note);
+        let _ = self.traffic.try_send(report);
     }
 }
 
 /// Starts the keeper of one group; it runs until `stop` is cancelled.
 pub(crate) fn spawn_keeper(config: KeeperConfig, stop: CancellationToken) -> KeeperHandle {
-    let (notes, incoming) = mpsc::channel(NOTES_MAX);
+    let (traffic, incoming) = mpsc::channel(TRAFFIC_QUEUE_MAX);
     let (keeper, view) = GroupKeeper::new(config, incoming);
     tokio::spawn(async move {
         tokio::select! {
@@ -58,31 +58,31 @@
             () = keeper.run() => {}
         }
     });
-    KeeperHandle { view, notes }
+    KeeperHandle { view, traffic }
 }
 
 pub(super) struct GroupKeeper {
     pub(super) config: KeeperConfig,
     pub(super) origin: Instant,
-    pub(super) notes: mpsc::Receiver<TrafficNote>,
+    pub(super) traffic: mpsc::Receiver<TrafficReport>,
     pub(super) view: watch::Sender<Arc<GroupView>>,
     pub(super) controls: GroupControls,
     pub(super) client: GrantClient,
-    pub(super) platform_calls: JoinSet<PlatformNews>,
-    pub(super) book: MemberBook,
-    pub(super) tally: SuspicionTally,
-    pub(super) purse: TermPurse,
+    pub(super) platform_calls: JoinSet<PlatformResult>,
+    pub(super) reports: ReportTable,
+    pub(super) detector: SuspicionTally,
+    pub(super) reserved_terms: TermPurse,
     pub(super) stall: StallWatch,
-    pub(super) schedule: ActSchedule,
-    pub(super) roster: KeeperRoster,
-    pub(super) accepted: LogTerm,
+    pub(super) schedule: PromotionSchedule,
+    pub(super) ranking: KeeperRanking,
+    pub(super) accepted_term: LogTerm,
     pub(super) repointed_term: LogTerm,
-    pub(super) settled_term: LogTerm,
-    pub(super) heard_at: Instant,
-    pub(super) round_at: Instant,
-    pub(super) window_at: Instant,
+    pub(super) recorded_term: LogTerm,
+    pub(super) primary_seen_at: Instant,
+    pub(super) round_started_at: Instant,
+    pub(super) window_start: Instant,
     pub(super) vote: VoteKind,
-    pub(super) cast_at: Option<Instant>,
+    pub(super) vote_sent_at: Option<Instant>,
     pub(super) grant_due_at: Instant,
     pub(super) order_due_at: Instant,
     pub(super) switch: Option<PendingSwitch>,
@@ -92,16 +92,17 @@
 impl GroupKeeper {
     pub(super) fn new(
         config: KeeperConfig,
-        notes: mpsc::Receiver<TrafficNote>,
+        traffic: mpsc::Receiver<TrafficReport>,
     ) -> (Self, watch::Receiver<Arc<GroupView>>) {
         let now = Instant::now();
-        let names = config.members.iter().map(|known| known.member.name.clone()).collect();
-        let book = MemberBook::new(names, now);
+        let names =
+            config.members.iter().map(|configured| configured.member.name.clone()).collect();
+        let reports = ReportTable::new(names, now);
         let (view, receiver) =
-            watch::channel(Arc::new(book.view(&config.service, LogTerm(0), now)));
-        let roster = config.exchange.roster(&config.service);
-        let domains = roster.domain_count();
-        let tally = SuspicionTally::new(
+            watch::channel(Arc::new(reports.view(&config.service, LogTerm(0), now)));
+        let ranking = config.exchange.ranking(&config.service);
+        let domains = ranking.domain_count();
+        let detector = SuspicionTally::new(
             config.timing.suspect_after,
             config.domain.clone(),
             domains,
@@ -110,27 +111,27 @@
         let (service, instance) = (config.service.clone(), config.instance.clone());
         let keeper = Self {
             origin: now,
-            notes,
+            traffic,
             view,
-            controls: GroupControls::new(&config.members, statement_bound(&config.timing)),
+            controls: GroupControls::new(&config.members, statement_timeout(&config.timing)),
             client: GrantClient::new(config.store.clone(), service, instance),
             platform_calls: JoinSet::new(),
-            book,
-            tally,
+            reports,
+            detector,
             // A mark of this task, not of the process: a keeper that starts anew must not repeat
             // a reserved term that the one before it may have used.
-            purse: TermPurse::new(WriterMark::random()),
+            reserved_terms: TermPurse::new(WriterMark::random()),
             stall: StallWatch::default(),
-            schedule: ActSchedule::default(),
-            roster,
-            accepted: LogTerm(0),
+            schedule: PromotionSchedule::default(),
+            ranking,
+            accepted_term: LogTerm(0),
             repointed_term: LogTerm(0),
-            settled_term: LogTerm(0),
-            heard_at: now,
-            round_at: now,
-            window_at: now,
+            recorded_term: LogTerm(0),
+            primary_seen_at: now,
+            round_started_at: now,
+            window_start: now,
             vote: VoteKind::Heard,
-            cast_at: None,
+            vote_sent_at: None,
             grant_due_at: now,
             order_due_at: now,
             switch: None,
@@ -147,63 +148,63 @@
             let wake_at = self.wake_at();
             tokio::select! {
                 biased;
-                answer = self.controls.next() => self.note_answer(&answer),
-                Some(note) = self.notes.recv() => self.note_traffic(&note),
-                Some(Ok(news)) = self.platform_calls.join_next() => self.note_platform(news),
+                response = self.controls.next() => self.record_response(&response),
+                Some(report) = self.traffic.recv() => self.record_traffic_report(&report),
+                Some(Ok(result)) = self.platform_calls.join_next() => self.take_call_result(result),
                 _ = ticks.tick() => self.tick(),
                 () = wait_until(wake_at) => {}
             }
             self.refresh_suspicion();
             if self.is_due() {
-                self.succeed(None).await;
+                self.run_succession(None).await;
             }
-            self.carry_out_switch().await;
+            self.process_switch_order().await;
         }
     }
 
     fn tick(&mut self) {
-        self.refresh_roster();
+        self.refresh_ranking();
         self.evaluate();
         self.probe();
         self.call_platform();
     }
 
-    fn refresh_roster(&mut self) {
-        self.roster = self.config.exchange.roster(&self.config.service);
-        self.tally.expect_domains(self.roster.domain_count());
+    fn refresh_ranking(&mut self) {
+        self.ranking = self.config.exchange.ranking(&self.config.service);
+        self.detector.expect_domains(self.ranking.domain_count());
         // A vote that all is well is told to those who doubt it only: told in every round, the
         // votes of quiet groups used up what peers may send.
-        if self.vote == VoteKind::Unheard && self.may_repeat() {
-            self.cast();
+        if self.vote == VoteKind::Unheard && self.may_resend_vote() {
+            self.send_vote();
         }
     }
 
-    fn cast(&mut self) {
-        self.cast_at = Some(Instant::now());
-        self.config.exchange.cast(&self.config.service, self.vote);
+    fn send_vote(&mut self) {
+        self.vote_sent_at = Some(Instant::now());
+        self.config.exchange.send_vote(&self.config.service, self.vote);
     }
 
     /// Whether the own vote may be told again. Votes live for `suspect_after`; told more often than
     /// twice in that time, they use up what peers may send, and the answers are withheld.
-    fn may_repeat(&self) -> bool {
+    fn may_resend_vote(&self) -> bool {
         let pause = self.config.timing.suspect_after / 2;
-        self.cast_at.is_none_or(|at| at.elapsed() >= pause)
+        self.vote_sent_at.is_none_or(|at| at.elapsed() >= pause)
     }
 
     fn exchange_votes(&mut self) {
         let at = self.elapsed();
-        let mut doubted = false;
+        let mut others_suspect = false;
         for vote in self.config.exchange.take_votes(&self.config.service) {
-            doubted |= vote.kind == VoteKind::Unheard;
-            self.tally.note_vote(ObserverVote { at, ..vote });
+            others_suspect |= vote.kind == VoteKind::Unheard;
+            self.detector.note_vote(ObserverVote { at, ..vote });
         }
-        let vote = self.tally.own_vote(at);
+        let vote = self.detector.own_vote(at);
         // Guards against one cut link: without the others' answer, the observer behind it would
         // hear no other failure domain speak, and suspect the primary after a longer wait.
         let changed = vote != self.vote;
-        if changed || doubted {
+        if changed || others_suspect {
             self.vote = vote;
-            self.cast();
+            self.send_vote();
         }
     }
 
@@ -211,69 +212,69 @@
     /// to the last round's own probes are older than that.
     fn probe(&mut self) {
         let fresh_since = Instant::now() - self.config.timing.probe_interval / 2;
-        for member in self.book.unheard_since(fresh_since) {
+        for member in self.reports.members_without_report_since(fresh_since) {
             self.controls.send(&member, ControlStatement::Status);
         }
-        self.window_at = self.round_at;
-        self.round_at = Instant::now();
+        self.window_start = self.round_started_at;
+        self.round_started_at = Instant::now();
     }
 
     /// Judges the answers of the last two rounds of probes; a failed probe hides older answers.
     fn evaluate(&mut self) {
-        let since = self.window_at;
-        if self.round_at == self.origin {
+        let since = self.window_start;
+        if self.round_started_at == self.origin {
             return;
         }
-        let condition = self.book.condition(since);
+        let condition = self.reports.condition(since);
         match &condition {
             GroupCondition::Led { .. } => {}
             GroupCondition::Leaderless { .. } | GroupCondition::Unheard => {
-                self.tally.note_failure(self.elapsed());
+                self.detector.note_failure(self.elapsed());
             }
         }
         self.repair(&condition);
         self.publish(false);
     }
 
-    pub(super) fn note_accepted(&mut self, accepted: LogTerm) {
-        if accepted > self.accepted {
-            self.accepted = accepted;
+    pub(super) fn record_accepted_term(&mut self, accepted: LogTerm) {
+        if accepted > self.accepted_term {
+            self.accepted_term = accepted;
             let now = Instant::now();
-            self.schedule.others_acted_at = Some(now);
-            if !self.purse.is_usable(accepted) {
+            self.schedule.other_promotion_at = Some(now);
+            if !self.reserved_terms.is_usable(accepted) {
                 self.grant_due_at = now;
             }
         }
     }
 
-    fn note_answer(&mut self, answer: &ControlAnswer) {
-        let status = answer.result.as_ref().ok().copied();
-        if let Err(ControlError::Superseded(term)) = &answer.result {
-            self.note_accepted(*term);
+    fn record_response(&mut self, response: &ControlResponse) {
+        let status = response.result.as_ref().ok().copied();
+        if let Err(ControlError::Superseded(term)) = &response.result {
+            self.record_accepted_term(*term);
         }
-        self.note_status(&answer.member, answer.asked_at, status);
+        self.record_status(&response.member, response.requested_at, status);
     }
 
-    fn note_traffic(&mut self, note: &TrafficNote) {
-        self.note_status(&note.member, note.asked_at, note.status);
+    fn record_traffic_report(&mut self, report: &TrafficReport) {
+        self.record_status(&report.member, report.requested_at, report.status);
     }
 
     /// Answers count at once and not with the next round: the primary's withdraws a suspicion that
     /// is about to turn, and a greater term shows a keeper of a lower rank that another one acts.
-    fn note_status(
+    fn record_status(
         &mut self,
         member: &MemberName,
-        asked_at: Instant,
+        requested_at: Instant,
         status: Option<MemberStatus>,
     ) {
-        self.book.note(member, asked_at, status);
-        self.note_accepted(self.book.accepted());
-        if let GroupCondition::Led { primary, .. } = self.book.condition(self.window_at)
-            && let Some(asked_at) = self.book.asked_at(&primary)
-            && asked_at > self.heard_at
+        self.reports.record(member, requested_at, status);
+        self.record_accepted_term(self.reports.greatest_accepted_term());
+        if let GroupCondition::Led { primary, .. } = self.reports.condition(self.window_start)
+            && let Some(requested_at) = self.reports.requested_at(&primary)
+            && requested_at > self.primary_seen_at
         {
-            self.heard_at = asked_at;
-            self.tally.note_answer(asked_at - self.origin);
+            self.primary_seen_at = requested_at;
+            self.detector.note_answer(requested_at - self.origin);
         }
     }
 
@@ -281,52 +282,57 @@
     /// this keeper first sees a term, and members whose log stands still.
     fn repair(&mut self, condition: &GroupCondition) {
         let GroupCondition::Led { primary, term, strays, .. } = condition else { return };
-        let reports = self.book.since(self.window_at);
-        let Some((_, leader)) = reports.iter().find(|(member, _)| member == primary) else {
+        let reports = self.reports.requested_since(self.window_start);
+        let Some((_, primary_status)) = reports.iter().find(|(member, _)| member == primary) else {
             return;
         };
         // Guards against a promoter that died between promotion and repointing: the members it
         // fenced follow nobody, and nothing in their status says so.
         let is_new = *term > self.repointed_term;
-        let (now, bound) = (self.elapsed(), self.config.timing.suspect_after);
-        let mut lost = Vec::new();
+        let (now, stall_timeout) = (self.elapsed(), self.config.timing.suspect_after);
+        let mut to_repoint = Vec::new();
         for (member, status) in reports.iter().filter(|(member, _)| member != primary) {
-            let stalled = self.stall.note(member, *status, leader.received, now, bound);
+            let stalled =
+                self.stall.note(member, *status, primary_status.received, now, stall_timeout);
             if is_new || stalled || strays.contains(member) {
-                lost.push(member.clone());
+                to_repoint.push(member.clone());
             }
         }
-        for member in lost {
-            self.decide(DecisionReason::Repointed, *term, Some(&member));
+        for member in to_repoint {
+            self.record_decision(DecisionReason::Repointed, *term, Some(&member));
             self.controls.send(&member, ControlStatement::Follow(*term, primary.clone()));
         }
         self.repointed_term = self.repointed_term.max(*term);
     }
 
     pub(super) fn publish(&self, switching: bool) {
-        let view = self.book.view(&self.config.service, self.accepted, self.window_at);
+        let view = self.reports.view(&self.config.service, self.accepted_term, self.window_start);
         self.view.send_replace(Arc::new(GroupView { switching, ..view }));
     }
 
     fn refresh_suspicion(&mut self) {
         self.exchange_votes();
-        let is_suspected = self.tally.is_suspected(self.elapsed());
+        let is_suspected = self.detector.is_suspected(self.elapsed());
         match (is_suspected, self.schedule.suspected_since) {
             (true, None) => {
                 self.schedule.suspected_since = Some(Instant::now());
                 let primary = self.view.borrow().primary.clone();
-                self.decide(DecisionReason::Suspected, self.accepted, primary.as_ref());
+                self.record_decision(
+                    DecisionReason::Suspected,
+                    self.accepted_term,
+                    primary.as_ref(),
+                );
             }
             (false, Some(_)) => {
-                self.schedule = ActSchedule::default();
-                self.decide(DecisionReason::Cleared, self.accepted, None);
+                self.schedule = PromotionSchedule::default();
+                self.record_decision(DecisionReason::Cleared, self.accepted_term, None);
             }
             _ => {}
         }
     }
 
     fn due_at(&self) -> Option<Instant> {
-        let rank = self.roster.rank_of(&self.config.instance)?;
+        let rank = self.ranking.rank_of(&self.config.instance)?;
         self.schedule.due_at(rank, rank_delay(&self.config.timing))
     }
 
@@ -335,19 +341,19 @@
     }
 
     fn wake_at(&self) -> Option<Instant> {
-        let turns_at = self.tally.deadline().map(|deadline| self.origin + deadline);
+        let suspicion_at = self.detector.deadline().map(|deadline| self.origin + deadline);
         let now = Instant::now();
-        let turns_at = turns_at.filter(|at| *at > now);
+        let suspicion_at = suspicion_at.filter(|at| *at > now);
         let is_waiting = self.vote == VoteKind::Unheard && self.schedule.suspected_since.is_none();
-        let votes_at = is_waiting.then(|| now + vote_poll(&self.config.timing));
-        [turns_at, votes_at, self.due_at()].into_iter().flatten().min()
+        let vote_poll_at = is_waiting.then(|| now + vote_poll_interval(&self.config.timing));
+        [suspicion_at, vote_poll_at, self.due_at()].into_iter().flatten().min()
     }
 
     pub(super) fn elapsed(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    pub(super) fn decide(
+    pub(super) fn record_decision(
         &self,
         reason: DecisionReason,
         term: LogTerm,
--- a/crates/arbutusrudder/src/keeper/platform_calls.rs
+++ b/crates/arbutusrudder/src/keeper/platform_calls.rs
@@ -1,53 +1,54 @@
 //! The keeper's calls to the platform outside a promotion. They run beside its task, so that a
 //! slow platform does not delay a probe.
 
-use super::bounds::{
-    GRANT_REFRESH, GRANT_RETRY, ORDER_REFRESH, PLATFORM_CALL_BOUND, PLATFORM_CALLS_MAX,
-};
 use super::decision::DecisionReason;
 use super::grant_client::GrantClientError;
 use super::group_keeper::GroupKeeper;
 use super::orders::{PendingOrder, read_order, remove_order};
 use super::switch::PendingSwitch;
+use super::timeouts::{
+    GRANT_REFRESH_INTERVAL, GRANT_RETRY_INTERVAL, ORDER_POLL_INTERVAL, PLATFORM_CALL_TIMEOUT,
+    PLATFORM_CALLS_MAX,
+};
 use rudder_core::{KeeperSeat, LogTerm, SuccessionGrant, SwitchOrder};
 use rudder_store::ObjectVersion;
 use tokio::time::Instant;
 
 /// What a call to the platform brought.
-pub(super) enum PlatformNews {
+pub(super) enum PlatformResult {
     Grant(Result<SuccessionGrant, GrantClientError>),
     Order(Option<PendingOrder>),
-    Nothing,
+    Ignored,
 }
 
 impl GroupKeeper {
-    pub(super) fn note_platform(&mut self, news: PlatformNews) {
-        match news {
-            PlatformNews::Grant(Ok(grant)) => {
-                self.purse.refill(&grant);
-                self.settled_term = grant.primary().map_or(LogTerm(0), |(_, term)| term);
+    pub(super) fn take_call_result(&mut self, result: PlatformResult) {
+        match result {
+            PlatformResult::Grant(Ok(grant)) => {
+                self.reserved_terms.refill(&grant);
+                self.recorded_term = grant.primary().map_or(LogTerm(0), |(_, term)| term);
             }
-            PlatformNews::Grant(Err(error)) => {
+            PlatformResult::Grant(Err(error)) => {
                 log::debug!(
                     target: "rudder::succession",
                     service:% = self.config.service, error:% = error;
                     "succession grant not refreshed"
                 );
             }
-            PlatformNews::Order(Some(order)) if self.switch.is_none() => self.note_order(order),
-            PlatformNews::Order(_) | PlatformNews::Nothing => {}
+            PlatformResult::Order(Some(order)) if self.switch.is_none() => self.accept_order(order),
+            PlatformResult::Order(_) | PlatformResult::Ignored => {}
         }
     }
 
-    fn note_order(&mut self, order: PendingOrder) {
+    fn accept_order(&mut self, order: PendingOrder) {
         let PendingOrder { order: SwitchOrder { target, mark }, version } = &order;
         // Guards against an order that is carried out twice: if its removal failed, it is read
         // again, perhaps after a failover has moved the primary away from the target.
         if self.last_order.as_ref() == Some(mark) {
-            self.spawn_removal(version.clone());
+            self.spawn_order_removal(version.clone());
             return;
         }
-        self.decide(DecisionReason::SwitchOrdered, self.accepted, Some(target));
+        self.record_decision(DecisionReason::SwitchOrdered, self.accepted_term, Some(target));
         self.last_order = Some(mark.clone());
         self.switch = Some(PendingSwitch::new(order));
     }
@@ -59,56 +60,57 @@
         let now = Instant::now();
         // A reservation made before any member was heard would be of a term that they refuse, and
         // cost the platform a second write.
-        let is_heard = self.accepted > LogTerm(0);
-        if is_heard && now >= self.grant_due_at {
-            let is_usable = self.purse.is_usable(self.accepted);
-            self.grant_due_at = now + if is_usable { GRANT_REFRESH } else { GRANT_RETRY };
-            self.spawn_enrol();
+        let has_reports = self.accepted_term > LogTerm(0);
+        if has_reports && now >= self.grant_due_at {
+            let is_usable = self.reserved_terms.is_usable(self.accepted_term);
+            self.grant_due_at =
+                now + if is_usable { GRANT_REFRESH_INTERVAL } else { GRANT_RETRY_INTERVAL };
+            self.spawn_reservation();
         }
-        let has_first_rank = self.roster.rank_of(&self.config.instance) == Some(0);
+        let has_first_rank = self.ranking.rank_of(&self.config.instance) == Some(0);
         if has_first_rank && self.switch.is_none() && now >= self.order_due_at {
-            self.order_due_at = now + ORDER_REFRESH;
+            self.order_due_at = now + ORDER_POLL_INTERVAL;
             let (store, service) = (self.config.store.clone(), self.config.service.clone());
             self.spawn_call(async move {
-                PlatformNews::Order(read_order(&store, &service).await.unwrap_or_default())
+                PlatformResult::Order(read_order(&store, &service).await.unwrap_or_default())
             });
         }
     }
 
     /// Makes the platform reserve a term for this run, and brings the object up to date.
-    fn spawn_enrol(&mut self) {
+    fn spawn_reservation(&mut self) {
         let client = self.client.clone();
         let seat = KeeperSeat {
             instance: self.config.instance.clone(),
-            incarnation: self.purse.incarnation().clone(),
+            incarnation: self.reserved_terms.incarnation().clone(),
         };
-        let keepers = self.roster.names();
-        let accepted = self.accepted;
+        let keepers = self.ranking.names();
+        let accepted = self.accepted_term;
         let view = self.view.borrow().clone();
         let term = view.term;
-        let unsettled = view.primary.clone().filter(|_| term > self.settled_term);
+        let unrecorded = view.primary.clone().filter(|_| term > self.recorded_term);
         self.spawn_call(async move {
-            if let Some(primary) = unsettled
-                && let Err(error) = client.settle(&primary, term).await
+            if let Some(primary) = unrecorded
+                && let Err(error) = client.record_primary(&primary, term).await
             {
-                return PlatformNews::Grant(Err(error));
+                return PlatformResult::Grant(Err(error));
             }
-            PlatformNews::Grant(client.enrol(&seat, &keepers, accepted).await)
+            PlatformResult::Grant(client.reserve_term(&seat, &keepers, accepted).await)
         });
     }
     /// Removes an order that was carried out or refused.
-    pub(super) fn spawn_removal(&mut self, version: ObjectVersion) {
+    pub(super) fn spawn_order_removal(&mut self, version: ObjectVersion) {
         let (store, service) = (self.config.store.clone(), self.config.service.clone());
         self.spawn_call(async move {
             remove_order(&store, &service, &version).await;
-            PlatformNews::Nothing
+            PlatformResult::Ignored
         });
     }
 
-    fn spawn_call(&mut self, call: impl Future<Output = PlatformNews> + Send + 'static) {
+    fn spawn_call(&mut self, call: impl Future<Output = PlatformResult> + Send + 'static) {
         self.platform_calls.spawn(async move {
-            let answer = tokio::time::timeout(PLATFORM_CALL_BOUND, call).await;
-            answer.unwrap_or(PlatformNews::Nothing)
+            let response = tokio::time::timeout(PLATFORM_CALL_TIMEOUT, call).await;
+            response.unwrap_or(PlatformResult::Ignored)
         });
     }
 }
--- a/crates/arbutusrudder/src/keeper/member_book.rs
+++ b/crates/arbutusrudder/src/keeper/report_table.rs
@@ -9,69 +9,70 @@
 use tokio::time::Instant;
 
 /// The latest reports of a group's members, sorted by name.
-pub(super) struct MemberBook {
+pub(super) struct ReportTable {
     reports: Vec<MemberReport>,
     origin: Instant,
 }
 
-impl MemberBook {
+impl ReportTable {
     pub(super) fn new(mut members: Vec<MemberName>, origin: Instant) -> Self {
         members.sort_unstable();
-        let blank = |member| MemberReport { member, asked_at: origin, status: None };
+        let blank = |member| MemberReport { member, requested_at: origin, status: None };
         Self { reports: members.into_iter().map(blank).collect(), origin }
     }
 
     /// Takes in an answer, or with no status a failure; an older question changes nothing.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         member: &MemberName,
-        asked_at: Instant,
+        requested_at: Instant,
         status: Option<MemberStatus>,
     ) {
         let order = |report: &MemberReport| report.member.cmp(member);
         let Ok(index) = self.reports.binary_search_by(order) else { return };
         let report = &mut self.reports[index];
-        if asked_at >= report.asked_at {
-            report.asked_at = asked_at;
+        if requested_at >= report.requested_at {
+            report.requested_at = requested_at;
             report.status = status;
         }
     }
 
     /// The members that nothing was heard of since `since`.
-    pub(super) fn unheard_since(&self, since: Instant) -> Vec<MemberName> {
-        let is_old = |report: &&MemberReport| report.status.is_none() || report.asked_at < since;
+    pub(super) fn members_without_report_since(&self, since: Instant) -> Vec<MemberName> {
+        let is_old =
+            |report: &&MemberReport| report.status.is_none() || report.requested_at < since;
         self.reports.iter().filter(is_old).map(|report| report.member.clone()).collect()
     }
 
     /// The answers to questions that were sent at or after `since`.
-    pub(super) fn since(&self, since: Instant) -> Vec<(MemberName, MemberStatus)> {
-        let is_fresh = |report: &&MemberReport| report.asked_at >= since;
+    pub(super) fn requested_since(&self, since: Instant) -> Vec<(MemberName, MemberStatus)> {
+        let is_fresh = |report: &&MemberReport| report.requested_at >= since;
         let fresh = self.reports.iter().filter(is_fresh);
         fresh.filter_map(|report| Some((report.member.clone(), report.status?))).collect()
     }
 
     /// When the latest question to `member` was sent.
-    pub(super) fn asked_at(&self, member: &MemberName) -> Option<Instant> {
+    pub(super) fn requested_at(&self, member: &MemberName) -> Option<Instant> {
         let index = self.reports.binary_search_by(|report| report.member.cmp(member)).ok()?;
-        Some(self.reports[index].asked_at)
+        Some(self.reports[index].requested_at)
     }
 
     /// The greatest term that any member accepted.
-    pub(super) fn accepted(&self) -> LogTerm {
+    pub(super) fn greatest_accepted_term(&self) -> LogTerm {
         let terms = self.reports.iter().filter_map(|report| Some(report.status?.accepted));
         terms.max().unwrap_or_default()
     }
 
     pub(super) fn condition(&self, since: Instant) -> GroupCondition {
-        judge_group(self.reports.len(), &self.since(since))
+        judge_group(self.reports.len(), &self.requested_since(since))
     }
 
     pub(super) fn view(&self, service: &ServiceName, term: LogTerm, since: Instant) -> GroupView {
         let (term, primary) = match self.condition(since) {
-            GroupCondition::Led { primary, term: led_term, confirmed: true, .. }
-                if led_term >= term =>
+            GroupCondition::Led { primary, term: primary_term, confirmed: true, .. }
+                if primary_term >= term =>
             {
-                (led_term, Some(primary))
+                (primary_term, Some(primary))
             }
             _ => (term, None),
         };
@@ -89,11 +90,11 @@
 
     fn sample(&self, since: Instant) -> Option<FreshSample> {
         let timed = |report: &MemberReport| {
-            let asked_at: Duration = report.asked_at.duration_since(self.origin);
+            let requested_at: Duration = report.requested_at.duration_since(self.origin);
             let member = report.member.clone();
-            Some(TimedReport { member, asked_at, status: report.status? })
+            Some(TimedReport { member, asked_at: requested_at, status: report.status? })
         };
-        let fresh = self.reports.iter().filter(|report| report.asked_at >= since);
+        let fresh = self.reports.iter().filter(|report| report.requested_at >= since);
         let reports: Vec<_> = fresh.filter_map(timed).collect();
         confirm_sample(self.reports.len(), &reports)
     }
--- a/crates/arbutusrudder/src/keeper/schedule.rs
+++ b/crates/arbutusrudder/src/keeper/schedule.rs
@@ -5,16 +5,16 @@
 
 /// What delays the own succession.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ActSchedule {
+pub(super) struct PromotionSchedule {
     /// Since when the primary is suspected.
     pub(super) suspected_since: Option<Instant>,
     /// When another keeper's step was last seen: a term that this one did not use.
-    pub(super) others_acted_at: Option<Instant>,
+    pub(super) other_promotion_at: Option<Instant>,
     /// When the last own attempt asks to rest until.
-    pub(super) rest_until: Option<Instant>,
+    pub(super) retry_at: Option<Instant>,
 }
 
-impl ActSchedule {
+impl PromotionSchedule {
     /// When to act; none while nothing is suspected.
     ///
     /// Guards against keepers that fence each other's promotions in turn: a lower rank waits
@@ -22,7 +22,7 @@
     /// the same time all the same is safe, since their terms differ.
     pub(super) fn due_at(&self, rank: u32, rank_delay: Duration) -> Option<Instant> {
         let by_rank = self.suspected_since? + rank_delay * rank;
-        let after_others = self.others_acted_at.map(|at| at + rank_delay * (rank + 1));
-        [Some(by_rank), after_others, self.rest_until].into_iter().flatten().max()
+        let after_others = self.other_promotion_at.map(|at| at + rank_delay * (rank + 1));
+        [Some(by_rank), after_others, self.retry_at].into_iter().flatten().max()
     }
 }
--- a/crates/arbutusrudder/src/keeper/switch.rs
+++ b/crates/arbutusrudder/src/keeper/switch.rs
@@ -1,9 +1,9 @@
 //! Carries out an operator's order to switch the primary.
 
-use super::bounds::SWITCH_WAIT;
 use super::decision::DecisionReason;
 use super::group_keeper::GroupKeeper;
 use super::orders::PendingOrder;
+use super::timeouts::SWITCH_TIMEOUT;
 use rudder_core::{LogStamp, MemberName};
 use tokio::time::Instant;
 
@@ -11,53 +11,53 @@
 pub(super) struct PendingSwitch {
     order: PendingOrder,
     deadline: Instant,
-    goal: Option<LogStamp>,
+    required_stamp: Option<LogStamp>,
 }
 
 impl PendingSwitch {
     pub(super) fn new(order: PendingOrder) -> Self {
-        Self { order, deadline: Instant::now() + SWITCH_WAIT, goal: None }
+        Self { order, deadline: Instant::now() + SWITCH_TIMEOUT, required_stamp: None }
     }
 }
 
 impl GroupKeeper {
     /// Carries out an ordered switch once its target is close behind the primary, so that writes
     /// stop only for the plan itself and the last entries.
-    pub(super) async fn carry_out_switch(&mut self) {
+    pub(super) async fn process_switch_order(&mut self) {
         let Some(mut switch) = self.switch.take() else { return };
         let target = switch.order.order.target.clone();
         if self.view.borrow().primary.as_ref() == Some(&target) {
-            self.decide(DecisionReason::SwitchDone, self.accepted, Some(&target));
-        } else if self.is_ready_for(&target, &mut switch.goal) {
+            self.record_decision(DecisionReason::SwitchDone, self.accepted_term, Some(&target));
+        } else if self.is_caught_up(&target, &mut switch.required_stamp) {
             self.switch_to(&target).await;
         } else if Instant::now() < switch.deadline {
             self.switch = Some(switch);
             return;
         } else {
-            self.decide(DecisionReason::SwitchRefused, self.accepted, Some(&target));
+            self.record_decision(DecisionReason::SwitchRefused, self.accepted_term, Some(&target));
         }
-        self.spawn_removal(switch.order.version);
+        self.spawn_order_removal(switch.order.version);
     }
 
     async fn switch_to(&mut self, target: &MemberName) {
         self.publish(true);
-        let primary = self.succeed(Some(target)).await;
+        let primary = self.run_succession(Some(target)).await;
         let is_done = primary.as_ref() == Some(target);
         let reason =
             if is_done { DecisionReason::SwitchDone } else { DecisionReason::SwitchMissed };
-        self.decide(reason, self.accepted, Some(target));
+        self.record_decision(reason, self.accepted_term, Some(target));
         self.publish(false);
     }
 
     /// Whether the target has received what the primary had when the order was first looked at.
-    fn is_ready_for(&self, target: &MemberName, goal: &mut Option<LogStamp>) -> bool {
+    fn is_caught_up(&self, target: &MemberName, required_stamp: &mut Option<LogStamp>) -> bool {
         let view = self.view.borrow();
         let report = view.members.iter().find(|report| report.member == *target);
         let received = report.and_then(|report| report.status).map(|status| status.received);
         let Some(stamp) = view.confirmed_stamp else {
             return false;
         };
-        let goal = *goal.get_or_insert(stamp);
-        received.is_some_and(|received| received >= goal)
+        let required_stamp = *required_stamp.get_or_insert(stamp);
+        received.is_some_and(|received| received >= required_stamp)
     }
 }
--- a/crates/arbutusrudder/src/keeper/tests/failover.rs
+++ b/crates/arbutusrudder/src/keeper/tests/failover.rs
@@ -4,7 +4,7 @@
 use super::fake_platform::{PlatformFault, entry};
 use super::fixture::{Fixture, RunningKeeper, service};
 use super::model::member_name;
-use crate::keeper::KeeperRoster;
+use crate::keeper::KeeperRanking;
 use rudder_core::{ControlStatement, LogTerm, SwitchOrder, WriterMark, check_history};
 use rudder_store::{ObjectKind, PlatformStore};
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
 /// What callers may wait at most in a planned switch.
 const SWITCH_GAP_MAX: Duration = Duration::from_secs(1);
 
-async fn settle() {
+async fn stabilize() {
     sleep(Duration::from_secs(3)).await;
 }
 
@@ -36,15 +36,15 @@
 async fn lost_primary_is_replaced() {
     for (offset, is_silent) in [(0, false), (120, false), (245, false), (15, true), (245, true)] {
         let fixture = Fixture::new(3, 3);
-        let keepers = [0, 1, 2].map(|index| fixture.keeper(index, &[]));
+        let keepers = [0, 1, 2].map(|index| fixture.start_keeper(index, &[]));
         fixture.group.is_silent.store(is_silent, Ordering::Relaxed);
-        settle().await;
+        stabilize().await;
         sleep(Duration::from_millis(offset)).await;
 
         let gap = kill_primary(&fixture).await;
 
         println!("gap {gap:?}, {offset} ms after a probe, silent: {is_silent}");
-        settle().await;
+        stabilize().await;
         assert!(gap < GAP_MAX, "{gap:?}");
         assert_eq!(check_history(&fixture.history(&keepers[0]).await), vec![]);
         assert!(keepers.iter().all(|keeper| term(keeper) == term(&keepers[0])));
@@ -57,14 +57,14 @@
 #[tokio::test(start_paused = true)]
 async fn primary_is_replaced_during_a_platform_outage() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
     *fixture.platform.fault.lock().unwrap() = PlatformFault::Hangs;
 
     let gap = kill_primary(&fixture).await;
 
     println!("gap {gap:?}");
-    settle().await;
+    stabilize().await;
     assert!(gap < GAP_MAX, "{gap:?}");
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
@@ -72,16 +72,16 @@
 // Every change in the platform takes effect but its answer is lost. The keeper must find its own
 // mark again, or it would take one term after another, or believe in another's.
 #[tokio::test(start_paused = true)]
-async fn lost_answers_of_the_platform_cost_no_failover() {
+async fn failover_succeeds_when_platform_responses_are_lost() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    *fixture.platform.fault.lock().unwrap() = PlatformFault::LosesAnswers;
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    *fixture.platform.fault.lock().unwrap() = PlatformFault::LosesResponses;
+    stabilize().await;
 
     let gap = kill_primary(&fixture).await;
 
     println!("gap {gap:?}");
-    settle().await;
+    stabilize().await;
     assert!(gap < GAP_MAX, "{gap:?}");
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
@@ -89,18 +89,18 @@
 // Two keepers disagree about who has the first rank and promote at the same time. One gives way
 // to the other's greater term; no write is lost.
 #[tokio::test(start_paused = true)]
-async fn two_promoters_at_once_leave_one_primary() {
+async fn concurrent_promotions_leave_one_primary() {
     let fixture = Fixture::new(3, 2);
     let keepers = [0, 1].map(|index| {
-        let roster = KeeperRoster { keepers: vec![entry(index), entry(1 - index)] };
-        fixture.keeper_in(index, roster, &[])
+        let ranking = KeeperRanking { keepers: vec![entry(index), entry(1 - index)] };
+        fixture.start_keeper_with(index, ranking, &[])
     });
-    settle().await;
+    stabilize().await;
 
     let gap = kill_primary(&fixture).await;
 
     println!("gap {gap:?}");
-    settle().await;
+    stabilize().await;
     assert_eq!(check_history(&fixture.history(&keepers[0]).await), vec![]);
     assert_eq!(keepers[0].view.borrow().primary, keepers[1].view.borrow().primary);
 }
@@ -108,17 +108,17 @@
 // The chosen member dies right after it answered the promotion, or before its answer is seen. A
 // further member is promoted at a new term.
 #[tokio::test(start_paused = true)]
-async fn first_candidate_dies_too() {
-    for fault in [PromotionFault::DiesAfterAnswer, PromotionFault::AnswerLost] {
+async fn another_member_is_promoted_when_the_candidate_fails() {
+    for fault in [PromotionFault::DiesAfterResponse, PromotionFault::ResponseLost] {
         let fixture = Fixture::new(5, 1);
-        let keeper = fixture.keeper(0, &[]);
-        settle().await;
+        let keeper = fixture.start_keeper(0, &[]);
+        stabilize().await;
         *fixture.group.fault.lock().unwrap() = fault;
 
         let gap = kill_primary(&fixture).await;
 
         println!("gap {fault:?} {gap:?}");
-        settle().await;
+        stabilize().await;
         assert_eq!(fixture.group.successions(), 2);
         assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
     }
@@ -127,10 +127,10 @@
 // The promoter is frozen in the middle of its plan. The keeper of the second rank takes over;
 // the first wakes much later, sends the rest of its plan, and must do no harm.
 #[tokio::test(start_paused = true)]
-async fn frozen_promoter_is_replaced_and_gives_way_on_waking() {
+async fn frozen_keeper_is_replaced_and_does_no_harm_on_resume() {
     let fixture = Fixture::new(3, 2);
-    let keepers = [0, 1].map(|index| fixture.keeper(index, &[]));
-    settle().await;
+    let keepers = [0, 1].map(|index| fixture.start_keeper(index, &[]));
+    stabilize().await;
     fixture.group.model().kill(0);
     while fixture.group.model().members[1].accepted == LogTerm(1) {
         sleep(Duration::from_millis(1)).await;
@@ -138,11 +138,11 @@
 
     keepers[0].frozen.send_replace(true);
     fixture.next_acknowledgement().await;
-    settle().await;
+    stabilize().await;
     let term_before = term(&keepers[1]);
     sleep(Duration::from_secs(60)).await;
     keepers[0].frozen.send_replace(false);
-    settle().await;
+    stabilize().await;
 
     let gap = fixture.longest_gap();
     println!("gap {gap:?}");
@@ -153,9 +153,10 @@
 // One instance loses its link to the primary, the others do not. Callers of the others would pay
 // for a promotion with an interruption.
 #[tokio::test(start_paused = true)]
-async fn one_cut_link_moves_no_primary() {
+async fn one_lost_link_causes_no_failover() {
     let fixture = Fixture::new(3, 3);
-    let keepers = [0, 1, 2].map(|index| fixture.keeper(index, if index == 0 { &[0] } else { &[] }));
+    let keepers =
+        [0, 1, 2].map(|index| fixture.start_keeper(index, if index == 0 { &[0] } else { &[] }));
 
     sleep(Duration::from_secs(30)).await;
 
@@ -166,17 +167,17 @@
 // A link drops everything for a moment that is shorter than the bound. Each round of probes counts,
 // so the primary was heard just before, and the first answer afterwards withdraws the suspicion.
 #[tokio::test(start_paused = true)]
-async fn short_silence_moves_no_primary() {
+async fn short_outage_causes_no_failover() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
 
     for offset in [0, 60, 120, 180] {
         sleep(Duration::from_millis(offset)).await;
-        *fixture.group.hidden.lock().unwrap() = Some(0);
+        *fixture.group.unreachable_member.lock().unwrap() = Some(0);
         sleep(Duration::from_millis(400)).await;
-        *fixture.group.hidden.lock().unwrap() = None;
-        settle().await;
+        *fixture.group.unreachable_member.lock().unwrap() = None;
+        stabilize().await;
     }
 
     assert_eq!(term(&keeper), LogTerm(1));
@@ -185,13 +186,13 @@
 // During one outage of the platform the primary dies, and later its successor. The keeper of the
 // first rank is gone by then; the second one's terms must not be used up by the first one's.
 #[tokio::test(start_paused = true)]
-async fn one_outage_outlasts_several_failures() {
+async fn second_failover_succeeds_in_one_platform_outage() {
     let fixture = Fixture::new(5, 2);
-    let keepers = [0, 1].map(|index| fixture.keeper(index, &[]));
-    settle().await;
+    let keepers = [0, 1].map(|index| fixture.start_keeper(index, &[]));
+    stabilize().await;
     *fixture.platform.fault.lock().unwrap() = PlatformFault::Hangs;
     kill_primary(&fixture).await;
-    settle().await;
+    stabilize().await;
     keepers[0].frozen.send_replace(true);
     let primary = keepers[1].view.borrow().primary.clone().unwrap();
 
@@ -199,7 +200,7 @@
     fixture.group.model().kill(index);
     fixture.next_acknowledgement().await;
 
-    settle().await;
+    stabilize().await;
     assert_eq!(fixture.group.successions(), 2);
     assert_eq!(check_history(&fixture.history(&keepers[1]).await), vec![]);
 }
@@ -207,11 +208,11 @@
 // The platform is away while the instance starts, comes back for a while, and is away again when
 // the primary dies. The reservation must have been made in between.
 #[tokio::test(start_paused = true)]
-async fn reservation_is_made_between_two_outages() {
+async fn term_is_reserved_between_two_platform_outages() {
     let fixture = Fixture::new(3, 1);
     *fixture.platform.fault.lock().unwrap() = PlatformFault::Hangs;
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
     *fixture.platform.fault.lock().unwrap() = PlatformFault::None;
     sleep(Duration::from_secs(10)).await;
     *fixture.platform.fault.lock().unwrap() = PlatformFault::Hangs;
@@ -226,17 +227,17 @@
 #[tokio::test(start_paused = true)]
 async fn restarted_members_follow_again() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
     fixture.group.model().kill(2);
-    settle().await;
+    stabilize().await;
     fixture.group.model().restart(2);
-    settle().await;
+    stabilize().await;
     assert_eq!(fixture.group.model().members[2].leader, Some(member_name(0)));
     kill_primary(&fixture).await;
     fixture.group.model().restart(0);
 
-    settle().await;
+    stabilize().await;
 
     let model = fixture.group.model();
     let primary = keeper.view.borrow().primary.clone();
@@ -249,14 +250,14 @@
 #[tokio::test(start_paused = true)]
 async fn isolated_primary_acknowledges_nothing_and_follows_on_return() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
-    *fixture.group.hidden.lock().unwrap() = Some(0);
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
+    *fixture.group.unreachable_member.lock().unwrap() = Some(0);
     while keeper.view.borrow().primary.as_ref() != Some(&member_name(1)) {
         sleep(Duration::from_millis(10)).await;
     }
 
-    *fixture.group.hidden.lock().unwrap() = None;
+    *fixture.group.unreachable_member.lock().unwrap() = None;
     for value in 0..20 {
         fixture.group.model().write(0, 1_000_000 + value);
         sleep(Duration::from_millis(100)).await;
@@ -269,7 +270,7 @@
 // A promoter died after it promoted a member and before it pointed the others to it. Writes are
 // taken but not acknowledged until another keeper finishes its work.
 #[tokio::test(start_paused = true)]
-async fn half_finished_promotion_is_finished_at_once() {
+async fn interrupted_promotion_is_completed_at_once() {
     let fixture = Fixture::new(3, 1);
     {
         let mut model = fixture.group.model();
@@ -279,7 +280,7 @@
         model.run(1, &ControlStatement::Promote(LogTerm(2)));
     }
 
-    let _keeper = fixture.keeper(0, &[]);
+    let _keeper = fixture.start_keeper(0, &[]);
     sleep(Duration::from_millis(700)).await;
 
     assert_eq!(fixture.group.model().members[2].leader, Some(member_name(1)));
@@ -288,23 +289,23 @@
 // Probes are under way when a plan starts, and their answers come late: they show the chosen
 // member as it was before its promotion. Taken for answers to the plan, they would end it.
 #[tokio::test(start_paused = true)]
-async fn late_answers_to_probes_do_not_end_a_plan() {
+async fn late_probe_responses_do_not_end_a_plan() {
     let fixture = Fixture::new(3, 1);
-    let _keeper = fixture.keeper(0, &[]);
+    let _keeper = fixture.start_keeper(0, &[]);
     *fixture.group.status_delay.lock().unwrap() = Duration::from_millis(120);
-    settle().await;
+    stabilize().await;
 
     kill_primary(&fixture).await;
-    settle().await;
+    stabilize().await;
 
     assert_eq!(fixture.group.successions(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn ordered_switch_moves_the_primary() {
+async fn switch_order_moves_the_primary() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
     let order = SwitchOrder { target: member_name(2), mark: WriterMark::random() };
     let spec = serde_json::to_value(&order).unwrap();
     let (kind, name) = (ObjectKind::SwitchOrder, service());
@@ -313,7 +314,7 @@
     while term(&keeper) == LogTerm(1) {
         sleep(Duration::from_millis(1)).await;
     }
-    settle().await;
+    stabilize().await;
     let gap = fixture.longest_gap();
 
     println!("gap {gap:?}");
@@ -328,9 +329,9 @@
 #[tokio::test(start_paused = true)]
 async fn order_is_carried_out_once() {
     let fixture = Fixture::new(3, 1);
-    let keeper = fixture.keeper(0, &[]);
-    settle().await;
-    *fixture.platform.fault.lock().unwrap() = PlatformFault::KeepsObjects;
+    let keeper = fixture.start_keeper(0, &[]);
+    stabilize().await;
+    *fixture.platform.fault.lock().unwrap() = PlatformFault::RejectsDeletes;
     let order = SwitchOrder { target: member_name(2), mark: WriterMark::random() };
     let spec = serde_json::to_value(&order).unwrap();
     let (kind, name) = (ObjectKind::SwitchOrder, service());
--- a/crates/arbutusrudder/src/keeper/tests/fake_group.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_group.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PromotionFault {
     None,
-    DiesAfterAnswer,
-    AnswerLost,
+    DiesAfterResponse,
+    ResponseLost,
 }
 
 pub(super) struct FakeGroup {
@@ -26,7 +26,7 @@
     /// The terms of which a member was asked to accept a fence.
     fenced: Mutex<Vec<LogTerm>>,
     /// The member that no keeper reaches for now.
-    pub(super) hidden: Mutex<Option<usize>>,
+    pub(super) unreachable_member: Mutex<Option<usize>>,
     /// How much longer than other statements a status takes to come back.
     pub(super) status_delay: Mutex<Duration>,
 }
@@ -35,9 +35,9 @@
     pub(super) fn new(members: usize) -> Arc<Self> {
         let model = Mutex::new(ModelGroup::new(members));
         let (fault, is_silent) = (Mutex::new(PromotionFault::None), AtomicBool::new(false));
-        let (hidden, status_delay) = (Mutex::default(), Mutex::default());
+        let (unreachable_member, status_delay) = (Mutex::default(), Mutex::default());
         let fenced = Mutex::default();
-        Arc::new(Self { model, fault, is_silent, fenced, hidden, status_delay })
+        Arc::new(Self { model, fault, is_silent, fenced, unreachable_member, status_delay })
     }
 
     pub(super) fn model(&self) -> MutexGuard<'_, ModelGroup> {
@@ -64,7 +64,7 @@
         }
         self.model().kill(index);
         let fault = std::mem::replace(&mut *fault, PromotionFault::None);
-        if fault == PromotionFault::AnswerLost { PlanReply::Lost } else { reply }
+        if fault == PromotionFault::ResponseLost { PlanReply::Lost } else { reply }
     }
 }
 
@@ -83,7 +83,8 @@
         _within: Duration,
     ) -> Result<MemberStatus, ControlError> {
         let unreachable = || ControlError::Unreachable(member_name(self.index).to_string());
-        let is_hidden = *self.group.hidden.lock().expect("no panic") == Some(self.index);
+        let is_hidden =
+            *self.group.unreachable_member.lock().expect("no panic") == Some(self.index);
         if self.is_cut || is_hidden {
             return Err(unreachable());
         }
--- a/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
@@ -1,6 +1,6 @@
 //! The platform's objects and the other observers, in memory.
 
-use crate::keeper::{KeeperEntry, KeeperRoster, ObserverExchange};
+use crate::keeper::{KeeperEntry, KeeperRanking, ObserverExchange};
 use async_trait::async_trait;
 use rudder_core::{InstanceName, ObserverVote, ServiceName, VoteKind};
 use rudder_store::{
@@ -18,9 +18,9 @@
     /// Calls never answer.
     Hangs,
     /// Every change takes effect, and its answer is lost.
-    LosesAnswers,
+    LosesResponses,
     /// Objects cannot be removed.
-    KeepsObjects,
+    RejectsDeletes,
 }
 
 pub(super) struct FakePlatform {
@@ -87,7 +87,7 @@
     ) -> Result<StoredObject, StoreError> {
         let fault = self.fault().await;
         let object = self.change(kind, name, expected, Some(spec))?;
-        if fault == PlatformFault::LosesAnswers {
+        if fault == PlatformFault::LosesResponses {
             return Err(StoreError::Unresolved);
         }
         object.ok_or(StoreError::Conflict)
@@ -99,7 +99,7 @@
         name: &str,
         expected: &ObjectVersion,
     ) -> Result<(), StoreError> {
-        if self.fault().await == PlatformFault::KeepsObjects {
+        if self.fault().await == PlatformFault::RejectsDeletes {
             return Err(StoreError::Unavailable);
         }
         self.change(kind, name, Some(expected), None).map(drop)
@@ -112,37 +112,37 @@
 
 /// All votes in the order in which they were cast.
 #[derive(Default)]
-pub(super) struct VoteBoard(Mutex<Vec<ObserverVote>>);
+pub(super) struct VoteLog(Mutex<Vec<ObserverVote>>);
 
 pub(super) struct FakeExchange {
     own: KeeperEntry,
-    roster: KeeperRoster,
-    board: Arc<VoteBoard>,
-    taken: AtomicUsize,
+    ranking: KeeperRanking,
+    votes: Arc<VoteLog>,
+    read_count: AtomicUsize,
 }
 
 impl FakeExchange {
-    pub(super) fn new(own: KeeperEntry, roster: KeeperRoster, board: Arc<VoteBoard>) -> Self {
-        Self { own, roster, board, taken: AtomicUsize::new(0) }
+    pub(super) fn new(own: KeeperEntry, ranking: KeeperRanking, votes: Arc<VoteLog>) -> Self {
+        Self { own, ranking, votes, read_count: AtomicUsize::new(0) }
     }
 }
 
 impl ObserverExchange for FakeExchange {
-    fn cast(&self, _service: &ServiceName, kind: VoteKind) {
+    fn send_vote(&self, _service: &ServiceName, kind: VoteKind) {
         let KeeperEntry { instance, domain } = self.own.clone();
         let vote = ObserverVote { observer: instance, domain, kind, at: Duration::ZERO };
-        self.board.0.lock().expect("no panic while held").push(vote);
+        self.votes.0.lock().expect("no panic while held").push(vote);
     }
 
     fn take_votes(&self, _service: &ServiceName) -> Vec<ObserverVote> {
-        let board = self.board.0.lock().expect("no panic while held");
-        let taken = self.taken.swap(board.len(), Ordering::Relaxed);
+        let votes = self.votes.0.lock().expect("no panic while held");
+        let read_count = self.read_count.swap(votes.len(), Ordering::Relaxed);
         let is_other = |vote: &&ObserverVote| vote.observer != self.own.instance;
-        board[taken..].iter().filter(is_other).cloned().collect()
+        votes[read_count..].iter().filter(is_other).cloned().collect()
     }
 
-    fn roster(&self, _service: &ServiceName) -> KeeperRoster {
-        self.roster.clone()
+    fn ranking(&self, _service: &ServiceName) -> KeeperRanking {
+        self.ranking.clone()
     }
 }
 
--- a/crates/arbutusrudder/src/keeper/tests/fixture.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fixture.rs
@@ -1,11 +1,11 @@
 //! A group with keepers and a writer that records what its caller sees.
 
 use super::fake_group::{FakeControl, FakeGroup};
-use super::fake_platform::{FakeExchange, FakePlatform, VoteBoard, entry};
+use super::fake_platform::{FakeExchange, FakePlatform, VoteLog, entry};
 use super::model::member_name;
 use crate::keeper::group_keeper::GroupKeeper;
 use crate::keeper::view::GroupView;
-use crate::keeper::{KeeperConfig, KeeperMember, KeeperRoster};
+use crate::keeper::{KeeperConfig, KeeperMember, KeeperRanking};
 use rudder_core::{
     AckVerdict, HistoryLog, OutcomeClass, PlanMember, ServiceName, StoredValue, WriteOutcome,
     WriteRecord, judge_commit,
@@ -29,7 +29,7 @@
 pub(super) struct Fixture {
     pub(super) group: Arc<FakeGroup>,
     pub(super) platform: Arc<FakePlatform>,
-    board: Arc<VoteBoard>,
+    votes: Arc<VoteLog>,
     keepers: usize,
     log: Arc<Mutex<HistoryLog>>,
     stop: CancellationToken,
@@ -39,7 +39,7 @@
 pub(super) struct RunningKeeper {
     pub(super) view: watch::Receiver<Arc<GroupView>>,
     pub(super) frozen: watch::Sender<bool>,
-    _notes: mpsc::Sender<crate::keeper::TrafficNote>,
+    _traffic: mpsc::Sender<crate::keeper::TrafficReport>,
 }
 
 pub(super) fn service() -> ServiceName {
@@ -49,23 +49,27 @@
 impl Fixture {
     pub(super) fn new(members: usize, keepers: usize) -> Self {
         let (group, platform) = (FakeGroup::new(members), FakePlatform::new());
-        let (board, log, stop) = (Arc::default(), Arc::default(), CancellationToken::new());
-        let fixture = Self { group, platform, board, keepers, log, stop };
+        let (votes, log, stop) = (Arc::default(), Arc::default(), CancellationToken::new());
+        let fixture = Self { group, platform, votes, keepers, log, stop };
         tokio::spawn(replicate(Arc::downgrade(&fixture.group)));
-        tokio::spawn(write(fixture.group.clone(), fixture.log.clone(), fixture.stop.clone()));
+        tokio::spawn(write_continuously(
+            fixture.group.clone(),
+            fixture.log.clone(),
+            fixture.stop.clone(),
+        ));
         fixture
     }
 
     /// Starts keeper `index`; `cut` names the members that it cannot reach.
-    pub(super) fn keeper(&self, index: usize, cut: &[usize]) -> RunningKeeper {
+    pub(super) fn start_keeper(&self, index: usize, cut: &[usize]) -> RunningKeeper {
         let keepers = (0..self.keepers).map(entry).collect();
-        self.keeper_in(index, KeeperRoster { keepers }, cut)
+        self.start_keeper_with(index, KeeperRanking { keepers }, cut)
     }
 
-    pub(super) fn keeper_in(
+    pub(super) fn start_keeper_with(
         &self,
         index: usize,
-        roster: KeeperRoster,
+        ranking: KeeperRanking,
         cut: &[usize],
     ) -> RunningKeeper {
         let own = entry(index);
@@ -77,13 +81,13 @@
             members: members.map(|member| self.member(member, cut)).collect(),
             timing: TimingSettings::default(),
             store: self.platform.clone(),
-            exchange: Arc::new(FakeExchange::new(own, roster, self.board.clone())),
+            exchange: Arc::new(FakeExchange::new(own, ranking, self.votes.clone())),
         };
-        let (notes, incoming) = mpsc::channel(8);
+        let (traffic, incoming) = mpsc::channel(8);
         let (keeper, view) = GroupKeeper::new(config, incoming);
-        let (frozen, gate) = watch::channel(false);
-        tokio::spawn(run_gated(keeper, gate));
-        RunningKeeper { view, frozen, _notes: notes }
+        let (frozen, frozen_changes) = watch::channel(false);
+        tokio::spawn(run_unless_frozen(keeper, frozen_changes));
+        RunningKeeper { view, frozen, _traffic: traffic }
     }
 
     fn member(&self, index: usize, cut: &[usize]) -> KeeperMember {
@@ -140,16 +144,17 @@
     static ORIGIN: Instant = Instant::now();
 }
 
-async fn run_gated(keeper: GroupKeeper, mut gate: watch::Receiver<bool>) {
+async fn run_unless_frozen(keeper: GroupKeeper, mut frozen_changes: watch::Receiver<bool>) {
     let mut running = pin!(keeper.run());
     loop {
-        let opened = gate.wait_for(|frozen| !frozen).await.is_ok();
-        if !opened {
+        let resumed = frozen_changes.wait_for(|frozen| !frozen).await.is_ok();
+        if !resumed {
             return;
         }
-        let mut closed = pin!(async { gate.clone().wait_for(|frozen| *frozen).await.is_ok() });
+        let mut froze =
+            pin!(async { frozen_changes.clone().wait_for(|frozen| *frozen).await.is_ok() });
         let step = std::future::poll_fn(|context| {
-            if let Poll::Ready(frozen) = closed.as_mut().poll(context) {
+            if let Poll::Ready(frozen) = froze.as_mut().poll(context) {
                 return Poll::Ready(frozen);
             }
             running.as_mut().poll(context).map(|()| false)
@@ -171,7 +176,11 @@
 }
 
 /// Sends one write after another to whichever member takes it.
-async fn write(group: Arc<FakeGroup>, log: Arc<Mutex<HistoryLog>>, stop: CancellationToken) {
+async fn write_continuously(
+    group: Arc<FakeGroup>,
+    log: Arc<Mutex<HistoryLog>>,
+    stop: CancellationToken,
+) {
     let origin = ORIGIN.with(|origin| *origin);
     for value in 0.. {
         sleep(WRITE_INTERVAL).await;
@@ -195,8 +204,8 @@
 async fn write_once(group: &FakeGroup, value: u64) -> WriteOutcome {
     let commit = {
         let mut model = group.model();
-        let mut takers = (0..model.members.len()).rev();
-        takers.find_map(|index| model.write(index, value))
+        let mut candidates = (0..model.members.len()).rev();
+        candidates.find_map(|index| model.write(index, value))
     };
     let Some(commit) = commit else { return WriteOutcome::Refused(OutcomeClass::NotRun) };
     let deadline = Instant::now() + ACK_TIMEOUT;
--- a/crates/arbutusrudder/src/keeper/tests/schedules.rs
+++ b/crates/arbutusrudder/src/keeper/tests/schedules.rs
@@ -15,14 +15,14 @@
 const MEMBERS: usize = 3;
 const KEEPERS: usize = 3;
 
-fn inflict(fixture: &Fixture, keepers: &[RunningKeeper], rng: &mut StdRng) {
+fn inject_fault(fixture: &Fixture, keepers: &[RunningKeeper], rng: &mut StdRng) {
     let member = rng.random_range(0..MEMBERS);
     let keeper = rng.random_range(0..KEEPERS);
     match rng.random_range(0..12) {
         0 => fixture.group.model().kill(member),
         1..=3 => fixture.group.model().restart(member),
-        4 => *fixture.group.hidden.lock().unwrap() = Some(member),
-        5 | 6 => *fixture.group.hidden.lock().unwrap() = None,
+        4 => *fixture.group.unreachable_member.lock().unwrap() = Some(member),
+        5 | 6 => *fixture.group.unreachable_member.lock().unwrap() = None,
         7 => {
             keepers[keeper].frozen.send_replace(true);
         }
@@ -34,23 +34,23 @@
                 PlatformFault::None,
                 PlatformFault::None,
                 PlatformFault::Hangs,
-                PlatformFault::LosesAnswers,
+                PlatformFault::LosesResponses,
             ];
             *fixture.platform.fault.lock().unwrap() = faults[rng.random_range(0..faults.len())];
         }
         _ => {
-            let faults = [PromotionFault::DiesAfterAnswer, PromotionFault::AnswerLost];
+            let faults = [PromotionFault::DiesAfterResponse, PromotionFault::ResponseLost];
             *fixture.group.fault.lock().unwrap() = faults[rng.random_range(0..faults.len())];
         }
     }
 }
 
-fn heal(fixture: &Fixture, keepers: &[RunningKeeper]) {
+fn clear_faults(fixture: &Fixture, keepers: &[RunningKeeper]) {
     (0..MEMBERS).for_each(|member| fixture.group.model().restart(member));
     for keeper in keepers {
         keeper.frozen.send_replace(false);
     }
-    *fixture.group.hidden.lock().unwrap() = None;
+    *fixture.group.unreachable_member.lock().unwrap() = None;
     *fixture.group.fault.lock().unwrap() = PromotionFault::None;
     *fixture.platform.fault.lock().unwrap() = PlatformFault::None;
 }
@@ -59,18 +59,18 @@
 // the platform hangs or loses its answers: any of these at any moment, together or twice. Callers
 // must find every acknowledged write, once, and a primary as soon as the faults are over.
 #[tokio::test(start_paused = true)]
-async fn no_schedule_of_faults_loses_a_write() {
+async fn random_faults_lose_no_write() {
     let seeds = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| text.parse().ok());
     for seed in 0..seeds.unwrap_or(SEEDS_DEFAULT) {
         let mut rng = StdRng::seed_from_u64(seed);
         let fixture = Fixture::new(MEMBERS, KEEPERS);
-        let keepers = [0, 1, 2].map(|index| fixture.keeper(index, &[]));
+        let keepers = [0, 1, 2].map(|index| fixture.start_keeper(index, &[]));
 
         for _ in 0..STEPS {
-            inflict(&fixture, &keepers, &mut rng);
+            inject_fault(&fixture, &keepers, &mut rng);
             sleep(Duration::from_millis(rng.random_range(10..900))).await;
         }
-        heal(&fixture, &keepers);
+        clear_faults(&fixture, &keepers);
         sleep(Duration::from_secs(5)).await;
         fixture.next_acknowledgement().await;
 
--- a/crates/arbutusrudder/src/keeper/tests/standin_switch.rs
+++ b/crates/arbutusrudder/src/keeper/tests/standin_switch.rs
@@ -2,7 +2,7 @@
 
 use super::fake_platform::{FakeExchange, FakePlatform, entry};
 use crate::keeper::view::GroupView;
-use crate::keeper::{KeeperConfig, KeeperMember, KeeperRoster, spawn_keeper};
+use crate::keeper::{KeeperConfig, KeeperMember, KeeperRanking, spawn_keeper};
 use async_trait::async_trait;
 use rudder_core::{
     ControlStatement, LogTerm, MemberName, MemberStatus, PlanMember, SwitchOrder, WriterMark,
@@ -32,14 +32,14 @@
         statement: &ControlStatement,
         _within: Duration,
     ) -> Result<MemberStatus, ControlError> {
-        let answer = self.group.control(&self.member, statement);
-        answer.map_err(|error| ControlError::Refused(error.to_string()))
+        let response = self.group.control(&self.member, statement);
+        response.map_err(|error| ControlError::Refused(error.to_string()))
     }
 }
 
 fn config(group: &Arc<GroupStandin>, platform: &Arc<FakePlatform>) -> KeeperConfig {
     let own = entry(0);
-    let roster = KeeperRoster { keepers: vec![own.clone()] };
+    let ranking = KeeperRanking { keepers: vec![own.clone()] };
     let names: Vec<_> = group.members().map(|(name, _)| name.clone()).collect();
     let member = |(preference, name): (u32, MemberName)| KeeperMember {
         member: PlanMember { name: name.clone(), preference },
@@ -52,7 +52,7 @@
         members: (0..).zip(names).map(member).collect(),
         timing: TimingSettings::default(),
         store: platform.clone(),
-        exchange: Arc::new(FakeExchange::new(own, roster, Arc::default())),
+        exchange: Arc::new(FakeExchange::new(own, ranking, Arc::default())),
     }
 }
 
--- a/crates/arbutusrudder/src/keeper/view.rs
+++ b/crates/arbutusrudder/src/keeper/view.rs
@@ -10,7 +10,7 @@
     /// The member.
     pub(crate) member: MemberName,
     /// When the question was sent.
-    pub(crate) asked_at: Instant,
+    pub(crate) requested_at: Instant,
     /// What the member answered, if it did.
     pub(crate) status: Option<MemberStatus>,
 }
