--- a/crates/arbutusrudder/src/keeper/controls.rs
+++ b/crates/arbutusrudder/src/keeper/controls.rs
@@ -1,4 +1,4 @@
-//! Sends control statements to members without waiting for one after another.
+//! Sends control statements to members concurrently.
 
 use super::config::KeeperMember;
 use rudder_core::{ControlStatement, MemberName, MemberStatus};
@@ -7,7 +7,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What came of one control statement.
+/// The result of one control statement.
 #[derive(Clone, Debug)]
 pub(super) struct ControlResponse {
     pub(super) member: MemberName,
@@ -16,7 +16,7 @@
     pub(super) result: Result<MemberStatus, ControlError>,
 }
 
-/// The control channels of one group, and the statements in flight on them.
+/// The control channels of one group's members, with the statements in flight.
 pub(super) struct GroupControls {
     members: Vec<KeeperMember>,
     timeout: Duration,
@@ -28,7 +28,7 @@
         Self { members: members.to_vec(), timeout, in_flight: JoinSet::new() }
     }
 
-    /// Starts a statement; its answer comes out of [`Self::next`].
+    /// Sends a statement; [`Self::next`] returns its response.
     pub(super) fn send(&mut self, member: &MemberName, statement: ControlStatement) {
         let Some(configured) =
             self.members.iter().find(|configured| configured.member.name == *member)
@@ -44,12 +44,12 @@
         });
     }
 
-    /// Forgets the statements in flight; they may still take effect.
+    /// Discards the responses to the statements in flight; the statements may still take effect.
     pub(super) fn discard_in_flight(&mut self) {
         self.in_flight = JoinSet::new();
     }
 
-    /// The next answer; pending for ever while nothing is in flight.
+    /// Waits for the next response; never returns while nothing is in flight.
     pub(super) async fn next(&mut self) -> ControlResponse {
         loop {
             match self.in_flight.join_next().await {
--- a/crates/arbutusrudder/src/keeper/decision.rs
+++ b/crates/arbutusrudder/src/keeper/decision.rs
@@ -1,9 +1,9 @@
-//! One log line for each decision, with fixed words for the reason.
+//! Logs the keeper's decisions, with a fixed code for each reason.
 
 use rudder_core::{LogTerm, MemberName, ServiceName};
 use std::fmt;
 
-/// Why a decision was taken.
+/// Reason code of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DecisionReason {
     Suspected,
--- a/crates/arbutusrudder/src/keeper/exchange.rs
+++ b/crates/arbutusrudder/src/keeper/exchange.rs
@@ -1,4 +1,4 @@
-//! The border towards the other instances that observe the same group.
+//! Interface to the other instances that keep the same group.
 
 use rudder_core::{DomainName, InstanceName, ObserverVote, ServiceName, VoteKind};
 
@@ -7,11 +7,12 @@
 pub(crate) struct KeeperEntry {
     /// The instance.
     pub(crate) instance: InstanceName,
-    /// The failure domain that it stands in.
+    /// The instance's failure domain.
     pub(crate) domain: DomainName,
 }
 
-/// The keepers of one group, by rank: the first acts at once, each next one after a delay.
+/// The keepers of one group, by rank. The first promotes a new primary at once, each further one
+/// after a delay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KeeperRanking {
     /// The keepers, best rank first.
@@ -19,13 +20,13 @@
 }
 
 impl KeeperRanking {
-    /// The rank of `instance`, counted from zero.
+    /// Returns the rank of `instance`, counted from zero.
     pub(crate) fn rank_of(&self, instance: &InstanceName) -> Option<u32> {
         let index = self.keepers.iter().position(|keeper| keeper.instance == *instance)?;
         u32::try_from(index).ok()
     }
 
-    /// How many failure domains have a keeper.
+    /// Returns the number of failure domains that have a keeper.
     pub(crate) fn domain_count(&self) -> usize {
         let mut domains: Vec<_> = self.keepers.iter().map(|keeper| &keeper.domain).collect();
         domains.sort_unstable();
@@ -33,21 +34,21 @@
         domains.len()
     }
 
-    /// The keepers' names.
+    /// Returns the keepers' names.
     pub(crate) fn names(&self) -> Vec<InstanceName> {
         self.keepers.iter().map(|keeper| keeper.instance.clone()).collect()
     }
 }
 
-/// Carries votes between the observers of a group, and tells who they are.
+/// Exchanges votes between the keepers of a group, and lists the keepers.
 pub(crate) trait ObserverExchange: Send + Sync {
-    /// Tells the other observers this instance's vote over the service's primary.
+    /// Sends this instance's vote on the service's primary to the other keepers.
     fn send_vote(&self, service: &ServiceName, vote: VoteKind);
 
-    /// The votes of other observers that arrived since the last call. Their times do not matter;
-    /// the keeper dates them itself.
+    /// Returns the other keepers' votes received since the last call. The keeper replaces their
+    /// times by the time of the call.
     fn take_votes(&self, service: &ServiceName) -> Vec<ObserverVote>;
 
-    /// The group's keepers at present.
+    /// Returns the group's current keepers.
     fn ranking(&self, service: &ServiceName) -> KeeperRanking;
 }
--- a/crates/arbutusrudder/src/keeper/grant_client.rs
+++ b/crates/arbutusrudder/src/keeper/grant_client.rs
@@ -1,4 +1,4 @@
-//! Reads and changes the succession grant of one group in the platform.
+//! Reads and updates the succession grant of one group in the platform.
 
 use displaydoc::Display;
 use rudder_core::{
@@ -7,10 +7,11 @@
 use rudder_store::{ObjectKind, ObjectVersion, PlatformStore, StoreError};
 use std::sync::Arc;
 
-/// Rounds of reading and conditional update before a keeper leaves the object to the others.
+/// Maximum number of attempts to read the grant and update it conditionally before a keeper gives
+/// up in favour of the keepers that change it at the same time.
 const UPDATE_ATTEMPTS_MAX: u32 = 4;
 
-/// Why the grant could not be read or changed.
+/// Reason why the grant could not be read or updated.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(super) enum GrantClientError {
@@ -36,7 +37,7 @@
     }
 }
 
-/// One group's grant in the platform.
+/// Client for one group's grant in the platform.
 #[derive(Clone)]
 pub(super) struct GrantClient {
     store: Arc<dyn PlatformStore>,
@@ -53,15 +54,15 @@
         Self { store, service, instance }
     }
 
-    /// Takes the next term by conditional update. `accepted` is the greatest term that members
+    /// Takes the next term by a conditional update. `accepted` is the greatest term that members
     /// are known to have accepted.
     pub(super) async fn take_term(&self, accepted: LogTerm) -> Result<LogTerm, GrantClientError> {
         let mark = WriterMark::random();
         for _ in 0..UPDATE_ATTEMPTS_MAX {
             let (version, grant) = self.read_or_create(accepted).await?;
-            // Guards against a lost answer: the update may have taken effect, also after an
-            // earlier round read the old version. Only the mark shows it; the holder's name does
-            // not, since a restarted instance bears the same.
+            // If the response to an update was lost, the update may have taken effect, even when a
+            // later attempt still read the old version. Only the mark shows this; the holder's name
+            // does not, since a restarted instance has the same name.
             if *grant.mark() == mark {
                 return Ok(grant.term());
             }
@@ -75,7 +76,7 @@
         Err(GrantClientError::Contended)
     }
 
-    /// Makes sure that the grant reserves a term for this run, and returns the grant.
+    /// Reserves a term for this run unless the grant already has one, and returns the grant.
     pub(super) async fn reserve_term(
         &self,
         seat: &KeeperSeat,
@@ -85,7 +86,7 @@
         self.change(accepted, |grant| grant.enrol(seat, keepers, accepted)).await
     }
 
-    /// Writes down the confirmed primary, and returns the grant.
+    /// Records the confirmed primary in the grant, and returns the grant.
     pub(super) async fn record_primary(
         &self,
         primary: &MemberName,
@@ -94,7 +95,8 @@
         self.change(term, |grant| grant.settle(primary, term)).await
     }
 
-    /// Applies an idempotent change until it has nothing left to do.
+    /// Applies an idempotent change, retrying on conflicts, until the stored grant needs no further
+    /// change.
     async fn change(
         &self,
         accepted: LogTerm,
--- a/crates/arbutusrudder/src/keeper/group_keeper.rs
+++ b/crates/arbutusrudder/src/keeper/group_keeper.rs
@@ -1,4 +1,4 @@
-//! The task that keeps one group.
+//! The keeper task of one group.
 
 use super::config::KeeperConfig;
 use super::controls::{ControlResponse, GroupControls};
@@ -25,10 +25,10 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use tokio_util::sync::CancellationToken;
 
-/// Notes from traffic that wait for the keeper; more are dropped, since newer ones follow.
+/// Capacity of the queue of traffic reports. Further reports are dropped, since newer ones follow.
 const TRAFFIC_QUEUE_MAX: usize = 256;
 
-/// What the rest of the instance holds of a running keeper.
+/// Handle to a running keeper.
 #[derive(Clone)]
 pub(crate) struct KeeperHandle {
     view: watch::Receiver<Arc<GroupView>>,
@@ -36,19 +36,19 @@
 }
 
 impl KeeperHandle {
-    /// The group's latest state, and a way to wait for the next.
+    /// Returns a receiver of the group's latest state.
     pub(crate) fn view(&self) -> watch::Receiver<Arc<GroupView>> {
         self.view.clone()
     }
 
-    /// Tells the keeper what a request showed. Never waits.
+    /// Sends the keeper a status observed with a request. Does not block.
     pub(crate) fn report(&self, report: TrafficReport) {
-        // A full queue means that the keeper has plenty of newer notes to read.
+        // If the queue is full, the keeper has enough recent reports to process.
         let _ = self.traffic.try_send(report);
     }
 }
 
-/// Starts the keeper of one group; it runs until `stop` is cancelled.
+/// Starts the keeper of one group. It runs until `stop` is cancelled.
 pub(crate) fn spawn_keeper(config: KeeperConfig, stop: CancellationToken) -> KeeperHandle {
     let (traffic, incoming) = mpsc::channel(TRAFFIC_QUEUE_MAX);
     let (keeper, view) = GroupKeeper::new(config, incoming);
@@ -61,8 +61,10 @@
     KeeperHandle { view, traffic }
 }
 
+/// State of a keeper: what it knows of its group, and what is due next.
 pub(super) struct GroupKeeper {
     pub(super) config: KeeperConfig,
+    /// Start time from which the keeper measures times.
     pub(super) origin: Instant,
     pub(super) traffic: mpsc::Receiver<TrafficReport>,
     pub(super) view: watch::Sender<Arc<GroupView>>,
@@ -75,17 +77,25 @@
     pub(super) stall: StallWatch,
     pub(super) schedule: PromotionSchedule,
     pub(super) ranking: KeeperRanking,
+    /// Greatest term that any member is known to have accepted.
     pub(super) accepted_term: LogTerm,
+    /// Greatest term at which all members were pointed to the primary.
     pub(super) repointed_term: LogTerm,
+    /// Term of the primary recorded in the platform.
     pub(super) recorded_term: LogTerm,
+    /// When the latest request was sent that the primary responded to.
     pub(super) primary_seen_at: Instant,
+    /// When the latest round of probes started.
     pub(super) round_started_at: Instant,
+    /// Reports requested before this time are ignored. It is the start of the previous round of
+    /// probes, or of a later promotion.
     pub(super) window_start: Instant,
     pub(super) vote: VoteKind,
     pub(super) vote_sent_at: Option<Instant>,
     pub(super) grant_due_at: Instant,
     pub(super) order_due_at: Instant,
     pub(super) switch: Option<PendingSwitch>,
+    /// Mark of the last switch order that was taken up.
     pub(super) last_order: Option<WriterMark>,
 }
 
@@ -118,8 +128,8 @@
             platform_calls: JoinSet::new(),
             reports,
             detector,
-            // A mark of this task, not of the process: a keeper that starts anew must not repeat
-            // a reserved term that the one before it may have used.
+            // The mark identifies this task, not the process: a restarted keeper must not reuse a
+            // reserved term that its predecessor may have used.
             reserved_terms: TermPurse::new(WriterMark::random()),
             stall: StallWatch::default(),
             schedule: PromotionSchedule::default(),
@@ -172,8 +182,8 @@
     fn refresh_ranking(&mut self) {
         self.ranking = self.config.exchange.ranking(&self.config.service);
         self.detector.expect_domains(self.ranking.domain_count());
-        // A vote that all is well is told to those who doubt it only: told in every round, the
-        // votes of quiet groups used up what peers may send.
+        // A vote without suspicion is sent only in reply to a keeper that suspects the primary.
+        // Sent in every round, such votes of healthy groups would use up the peers' send budget.
         if self.vote == VoteKind::Unheard && self.may_resend_vote() {
             self.send_vote();
         }
@@ -184,8 +194,9 @@
         self.config.exchange.send_vote(&self.config.service, self.vote);
     }
 
-    /// Whether the own vote may be told again. Votes live for `suspect_after`; told more often than
-    /// twice in that time, they use up what peers may send, and the answers are withheld.
+    /// Whether the own vote may be sent again. Votes are valid for `suspect_after`. If they were
+    /// sent more than twice in that time, they would use up the peers' send budget, and the replies
+    /// to them would be dropped.
     fn may_resend_vote(&self) -> bool {
         let pause = self.config.timing.suspect_after / 2;
         self.vote_sent_at.is_none_or(|at| at.elapsed() >= pause)
@@ -199,8 +210,9 @@
             self.detector.note_vote(ObserverVote { at, ..vote });
         }
         let vote = self.detector.own_vote(at);
-        // Guards against one cut link: without the others' answer, the observer behind it would
-        // hear no other failure domain speak, and suspect the primary after a longer wait.
+        // Replies to a keeper that suspects the primary. Without replies, a keeper that has lost
+        // only its own link to the primary would receive no vote from another failure domain, and
+        // would suspect the primary after a longer wait.
         let changed = vote != self.vote;
         if changed || others_suspect {
             self.vote = vote;
@@ -208,8 +220,8 @@
         }
     }
 
-    /// Asks the members that no traffic reported on in the later half of the last round. Answers
-    /// to the last round's own probes are older than that.
+    /// Probes the members that no traffic report covered in the second half of the last round.
+    /// Responses to the last round's own probes were requested earlier than that.
     fn probe(&mut self) {
         let fresh_since = Instant::now() - self.config.timing.probe_interval / 2;
         for member in self.reports.members_without_report_since(fresh_since) {
@@ -219,7 +231,8 @@
         self.round_started_at = Instant::now();
     }
 
-    /// Judges the answers of the last two rounds of probes; a failed probe hides older answers.
+    /// Assesses the group by the responses to the last two rounds of probes. A failed probe
+    /// replaces an older response of the same member.
     fn evaluate(&mut self) {
         let since = self.window_start;
         if self.round_started_at == self.origin {
@@ -259,8 +272,9 @@
         self.record_status(&report.member, report.requested_at, report.status);
     }
 
-    /// Answers count at once and not with the next round: the primary's withdraws a suspicion that
-    /// is about to turn, and a greater term shows a keeper of a lower rank that another one acts.
+    /// Records a member's status. It takes effect at once, not with the next round: the primary's
+    /// response clears a pending suspicion, and a greater term shows a lower-ranked keeper that
+    /// another one is promoting.
     fn record_status(
         &mut self,
         member: &MemberName,
@@ -278,16 +292,16 @@
         }
     }
 
-    /// Points members to the primary that do not follow it: strays of a lower term, everyone when
-    /// this keeper first sees a term, and members whose log stands still.
+    /// Points members to the primary that do not follow it: members of a lower term, all members
+    /// when this keeper first sees a term, and members whose log makes no progress.
     fn repair(&mut self, condition: &GroupCondition) {
         let GroupCondition::Led { primary, term, strays, .. } = condition else { return };
         let reports = self.reports.requested_since(self.window_start);
         let Some((_, primary_status)) = reports.iter().find(|(member, _)| member == primary) else {
             return;
         };
-        // Guards against a promoter that died between promotion and repointing: the members it
-        // fenced follow nobody, and nothing in their status says so.
+        // A keeper may fail between promoting a member and repointing the others. The members that
+        // it fenced then follow no primary, and their status does not show it.
         let is_new = *term > self.repointed_term;
         let (now, stall_timeout) = (self.elapsed(), self.config.timing.suspect_after);
         let mut to_repoint = Vec::new();
--- a/crates/arbutusrudder/src/keeper/mod.rs
+++ b/crates/arbutusrudder/src/keeper/mod.rs
@@ -1,7 +1,8 @@
-//! Keeps one service's group: watches its members, replaces a lost primary, repairs followers.
+//! Supervises one service's group: probes its members, replaces a failed primary, and repoints
+//! members that do not follow the primary.
 //!
-//! The decisions stand in `rudder_core`; this module sends their statements, holds the clock, and
-//! publishes what it found as a [`GroupView`].
+//! The decision logic is in `rudder_core`. This module sends the control statements, supplies the
+//! time, and publishes the observed state as a [`GroupView`].
 
 mod config;
 mod controls;
--- a/crates/arbutusrudder/src/keeper/orders.rs
+++ b/crates/arbutusrudder/src/keeper/orders.rs
@@ -1,17 +1,18 @@
-//! Operators' orders for one group in the platform.
+//! Operators' switch orders for one group in the platform.
 
 use rudder_core::{ServiceName, SwitchOrder};
 use rudder_store::{ObjectKind, ObjectVersion, PlatformStore, StoreError};
 use std::sync::Arc;
 
-/// An order as it was read, with the version by which it is removed.
+/// An order as read, with the object version needed to remove it.
 #[derive(Clone, Debug)]
 pub(super) struct PendingOrder {
     pub(super) order: SwitchOrder,
     pub(super) version: ObjectVersion,
 }
 
-/// Reads the order for `service`. One that is malformed is removed, so that it blocks no other.
+/// Reads the order for `service`. A malformed order is removed, so that it does not block later
+/// ones.
 pub(super) async fn read_order(
     store: &Arc<dyn PlatformStore>,
     service: &ServiceName,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Removes an order that was carried out or refused.
+/// Removes an order that was carried out or rejected.
 pub(super) async fn remove_order(
     store: &Arc<dyn PlatformStore>,
     service: &ServiceName,
--- a/crates/arbutusrudder/src/keeper/platform_calls.rs
+++ b/crates/arbutusrudder/src/keeper/platform_calls.rs
@@ -1,5 +1,5 @@
-//! The keeper's calls to the platform outside a promotion. They run beside its task, so that a
-//! slow platform does not delay a probe.
+//! The keeper's platform calls outside a promotion. They run in tasks of their own, so that a slow
+//! platform does not delay probes.
 
 use super::decision::DecisionReason;
 use super::grant_client::GrantClientError;
@@ -14,7 +14,7 @@
 use rudder_store::ObjectVersion;
 use tokio::time::Instant;
 
-/// What a call to the platform brought.
+/// Result of a platform call.
 pub(super) enum PlatformResult {
     Grant(Result<SuccessionGrant, GrantClientError>),
     Order(Option<PendingOrder>),
@@ -42,8 +42,8 @@
 
     fn accept_order(&mut self, order: PendingOrder) {
         let PendingOrder { order: SwitchOrder { target, mark }, version } = &order;
-        // Guards against an order that is carried out twice: if its removal failed, it is read
-        // again, perhaps after a failover has moved the primary away from the target.
+        // An order whose removal failed is read again, possibly after a failover has moved the
+        // primary away from the target. It must not be carried out twice.
         if self.last_order.as_ref() == Some(mark) {
             self.spawn_order_removal(version.clone());
             return;
@@ -58,8 +58,8 @@
             return;
         }
         let now = Instant::now();
-        // A reservation made before any member was heard would be of a term that they refuse, and
-        // cost the platform a second write.
+        // A reservation made before any member has reported would be for a term that the members
+        // reject, and would cost the platform a second write.
         let has_reports = self.accepted_term > LogTerm(0);
         if has_reports && now >= self.grant_due_at {
             let is_usable = self.reserved_terms.is_usable(self.accepted_term);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Makes the platform reserve a term for this run, and brings the object up to date.
+    /// Reserves a term for this run in the platform, and records a newly confirmed primary there.
     fn spawn_reservation(&mut self) {
         let client = self.client.clone();
         let seat = KeeperSeat {
@@ -98,7 +98,8 @@
             PlatformResult::Grant(client.reserve_term(&seat, &keepers, accepted).await)
         });
     }
-    /// Removes an order that was carried out or refused.
+
+    /// Removes an order that was carried out or rejected.
     pub(super) fn spawn_order_removal(&mut self, version: ObjectVersion) {
         let (store, service) = (self.config.store.clone(), self.config.service.clone());
         self.spawn_call(async move {
--- a/crates/arbutusrudder/src/keeper/promotion.rs
+++ b/crates/arbutusrudder/src/keeper/promotion.rs
@@ -1,4 +1,4 @@
-//! Replaces a primary: gets a term and carries the plan out.
+//! Replaces a primary: obtains a term and runs the succession plan.
 
 use super::controls::ControlResponse;
 use super::decision::DecisionReason;
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 impl GroupKeeper {
-    /// Runs one succession, and further ones at new terms while candidates are lost.
+    /// Runs a succession, and repeats it at a new term each time the candidate is lost.
     pub(super) async fn run_succession(
         &mut self,
         target: Option<&MemberName>,
@@ -60,8 +60,8 @@
         self.publish(false);
     }
 
-    /// The next term: granted by the platform, or the reserved one if the platform does not
-    /// answer in time. Either belongs to this run alone.
+    /// Returns the next term: one granted by the platform, or the reserved one if the platform does
+    /// not respond in time. No other run gets the same term.
     async fn next_term(&mut self) -> Option<LogTerm> {
         let granted =
             tokio::time::timeout(GRANT_CALL_TIMEOUT, self.client.take_term(self.accepted_term))
@@ -92,10 +92,9 @@
         plan_bounds(&self.config.timing)
     }
 
-    /// Runs the plan until it ends. It does not end while no majority of the members can be
-    /// reached.
+    /// Runs the plan until it ends. It does not end while no majority of the members is reachable.
     async fn run_plan(&mut self, plan: &mut SuccessionPlan) -> PlanState {
-        // Answers to earlier statements must not pass for answers to the plan's own.
+        // Responses to earlier statements must not be taken for responses to the plan's statements.
         self.controls.discard_in_flight();
         loop {
             for request in plan.poll(self.elapsed()) {
@@ -127,7 +126,7 @@
     }
 }
 
-/// Sleeps until `wake_at`, or for ever if there is none.
+/// Sleeps until `wake_at`, or forever if there is none.
 pub(super) async fn wait_until(wake_at: Option<Instant>) {
     match wake_at {
         Some(wake_at) => tokio::time::sleep_until(wake_at).await,
--- a/crates/arbutusrudder/src/keeper/report_table.rs
+++ b/crates/arbutusrudder/src/keeper/report_table.rs
@@ -21,7 +21,8 @@
         Self { reports: members.into_iter().map(blank).collect(), origin }
     }
 
-    /// Takes in an answer, or with no status a failure; an older question changes nothing.
+    /// Records a response, or a failure if there is no status. A response to an older request than
+    /// the recorded one is ignored.
     pub(super) fn record(
         &mut self,
         member: &MemberName,
@@ -37,27 +38,27 @@
         }
     }
 
-    /// The members that nothing was heard of since `since`.
+    /// Returns the members without a successful response to a request sent at or after `since`.
     pub(super) fn members_without_report_since(&self, since: Instant) -> Vec<MemberName> {
         let is_old =
             |report: &&MemberReport| report.status.is_none() || report.requested_at < since;
         self.reports.iter().filter(is_old).map(|report| report.member.clone()).collect()
     }
 
-    /// The answers to questions that were sent at or after `since`.
+    /// Returns the responses to requests that were sent at or after `since`.
     pub(super) fn requested_since(&self, since: Instant) -> Vec<(MemberName, MemberStatus)> {
         let is_fresh = |report: &&MemberReport| report.requested_at >= since;
         let fresh = self.reports.iter().filter(is_fresh);
         fresh.filter_map(|report| Some((report.member.clone(), report.status?))).collect()
     }
 
-    /// When the latest question to `member` was sent.
+    /// Returns when the latest request to `member` was sent.
     pub(super) fn requested_at(&self, member: &MemberName) -> Option<Instant> {
         let index = self.reports.binary_search_by(|report| report.member.cmp(member)).ok()?;
         Some(self.reports[index].requested_at)
     }
 
-    /// The greatest term that any member accepted.
+    /// Returns the greatest term that any member accepted.
     pub(super) fn greatest_accepted_term(&self) -> LogTerm {
         let terms = self.reports.iter().filter_map(|report| Some(report.status?.accepted));
         terms.max().unwrap_or_default()
--- a/crates/arbutusrudder/src/keeper/switch.rs
+++ b/crates/arbutusrudder/src/keeper/switch.rs
@@ -7,7 +7,7 @@
 use rudder_core::{LogStamp, MemberName};
 use tokio::time::Instant;
 
-/// An order that waits for its target to come close.
+/// A switch order whose target still has to catch up with the primary.
 pub(super) struct PendingSwitch {
     order: PendingOrder,
     deadline: Instant,
@@ -21,8 +21,8 @@
 }
 
 impl GroupKeeper {
-    /// Carries out an ordered switch once its target is close behind the primary, so that writes
-    /// stop only for the plan itself and the last entries.
+    /// Carries out a pending switch once its target has caught up, so that writes stop only while
+    /// the plan runs and the last entries are transferred.
     pub(super) async fn process_switch_order(&mut self) {
         let Some(mut switch) = self.switch.take() else { return };
         let target = switch.order.order.target.clone();
@@ -49,7 +49,8 @@
         self.publish(false);
     }
 
-    /// Whether the target has received what the primary had when the order was first looked at.
+    /// Whether the target has received the log up to the primary's position at the first check of
+    /// the order.
     fn is_caught_up(&self, target: &MemberName, required_stamp: &mut Option<LogStamp>) -> bool {
         let view = self.view.borrow();
         let report = view.members.iter().find(|report| report.member == *target);
--- a/crates/arbutusrudder/src/keeper/tests/failover.rs
+++ b/crates/arbutusrudder/src/keeper/tests/failover.rs
@@ -1,4 +1,5 @@
-//! A primary is replaced without anyone asked, whatever fails in the same minute.
+//! Automatic replacement of a failed primary, also with other faults at the same time, and planned
+//! switches.
 
 use super::fake_group::PromotionFault;
 use super::fake_platform::{PlatformFault, entry};
@@ -11,9 +12,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What callers may wait at most for a new primary with the default settings.
+/// Maximum time without acknowledged writes in a failover with the default settings.
 const GAP_MAX: Duration = Duration::from_secs(2);
-/// What callers may wait at most in a planned switch.
+/// Maximum time without acknowledged writes in a planned switch.
 const SWITCH_GAP_MAX: Duration = Duration::from_secs(1);
 
 async fn stabilize() {
@@ -30,8 +31,8 @@
     fixture.longest_gap()
 }
 
-// The primary dies at some moment between two probes; its address refuses connections, or stays
-// silent. Callers see no acknowledgement until the next one is confirmed.
+// The primary fails at different times between two probes; its address refuses connections or does
+// not respond. No write is acknowledged until the next primary is confirmed.
 #[tokio::test(start_paused = true)]
 async fn lost_primary_is_replaced() {
     for (offset, is_silent) in [(0, false), (120, false), (245, false), (15, true), (245, true)] {
@@ -52,8 +53,8 @@
     }
 }
 
-// The platform stops answering in the same minute as the primary dies. Callers must not wait for
-// the platform: the promotion uses a term that was agreed beforehand.
+// The platform hangs when the primary fails. The promotion must use a term reserved beforehand,
+// since callers must not wait for the platform.
 #[tokio::test(start_paused = true)]
 async fn primary_is_replaced_during_a_platform_outage() {
     let fixture = Fixture::new(3, 1);
@@ -69,8 +70,8 @@
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
 
-// Every change in the platform takes effect but its answer is lost. The keeper must find its own
-// mark again, or it would take one term after another, or believe in another's.
+// Every update in the platform takes effect but its response is lost. The keeper must recognize its
+// own mark in the grant, or it would take one term after another, or use a term of another keeper.
 #[tokio::test(start_paused = true)]
 async fn failover_succeeds_when_platform_responses_are_lost() {
     let fixture = Fixture::new(3, 1);
@@ -86,8 +87,8 @@
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
 
-// Two keepers disagree about who has the first rank and promote at the same time. One gives way
-// to the other's greater term; no write is lost.
+// Two keepers both rank themselves first and promote concurrently. One stops at the other's greater
+// term; no write is lost.
 #[tokio::test(start_paused = true)]
 async fn concurrent_promotions_leave_one_primary() {
     let fixture = Fixture::new(3, 2);
@@ -105,8 +106,8 @@
     assert_eq!(keepers[0].view.borrow().primary, keepers[1].view.borrow().primary);
 }
 
-// The chosen member dies right after it answered the promotion, or before its answer is seen. A
-// further member is promoted at a new term.
+// The promoted member fails right after its response to the promotion, or before the response is
+// received. Another member is promoted at a new term.
 #[tokio::test(start_paused = true)]
 async fn another_member_is_promoted_when_the_candidate_fails() {
     for fault in [PromotionFault::DiesAfterResponse, PromotionFault::ResponseLost] {
@@ -124,8 +125,8 @@
     }
 }
 
-// The promoter is frozen in the middle of its plan. The keeper of the second rank takes over;
-// the first wakes much later, sends the rest of its plan, and must do no harm.
+// A keeper is frozen while its plan runs. The second-ranked keeper takes over. The first resumes
+// much later and sends the rest of its plan, which must have no effect.
 #[tokio::test(start_paused = true)]
 async fn frozen_keeper_is_replaced_and_does_no_harm_on_resume() {
     let fixture = Fixture::new(3, 2);
@@ -150,8 +151,8 @@
     assert_eq!(check_history(&fixture.history(&keepers[0]).await), vec![]);
 }
 
-// One instance loses its link to the primary, the others do not. Callers of the others would pay
-// for a promotion with an interruption.
+// Only one instance loses its link to the primary. A promotion would interrupt the callers of the
+// other instances.
 #[tokio::test(start_paused = true)]
 async fn one_lost_link_causes_no_failover() {
     let fixture = Fixture::new(3, 3);
@@ -164,8 +165,8 @@
     assert_eq!(keepers[1].view.borrow().primary, Some(member_name(0)));
 }
 
-// A link drops everything for a moment that is shorter than the bound. Each round of probes counts,
-// so the primary was heard just before, and the first answer afterwards withdraws the suspicion.
+// A link drops all packets for less than the suspicion timeout. The primary responded to the probe
+// just before, and its first response afterwards clears the suspicion.
 #[tokio::test(start_paused = true)]
 async fn short_outage_causes_no_failover() {
     let fixture = Fixture::new(3, 1);
@@ -183,8 +184,9 @@
     assert_eq!(term(&keeper), LogTerm(1));
 }
 
-// During one outage of the platform the primary dies, and later its successor. The keeper of the
-// first rank is gone by then; the second one's terms must not be used up by the first one's.
+// During one platform outage the primary fails, and later its successor, when the first-ranked
+// keeper is frozen. The first keeper's promotion must not have used up the reserved terms of the
+// second.
 #[tokio::test(start_paused = true)]
 async fn second_failover_succeeds_in_one_platform_outage() {
     let fixture = Fixture::new(5, 2);
@@ -205,8 +207,8 @@
     assert_eq!(check_history(&fixture.history(&keepers[1]).await), vec![]);
 }
 
-// The platform is away while the instance starts, comes back for a while, and is away again when
-// the primary dies. The reservation must have been made in between.
+// The platform hangs while the instance starts, recovers for a while, and hangs again when the
+// primary fails. A term must have been reserved in between.
 #[tokio::test(start_paused = true)]
 async fn term_is_reserved_between_two_platform_outages() {
     let fixture = Fixture::new(3, 1);
@@ -222,8 +224,8 @@
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
 
-// A killed member comes back, follows nobody and lacks entries. Without repair it would stay
-// behind for good, and the next failure would find no majority.
+// A failed member restarts, follows no primary and lacks entries. If it is not repointed, it stays
+// behind permanently, and the next failover finds no majority.
 #[tokio::test(start_paused = true)]
 async fn restarted_members_follow_again() {
     let fixture = Fixture::new(3, 1);
@@ -245,8 +247,9 @@
     assert_eq!(followers, 2);
 }
 
-// The primary is cut off from every keeper and still takes writes. After its successor is made it
-// comes back and goes on taking writes; none of them may be acknowledged, and it must follow.
+// The primary is unreachable for every keeper but still accepts writes, also when it is reachable
+// again after its successor's promotion. None of these writes may be acknowledged, and it must
+// become a replica.
 #[tokio::test(start_paused = true)]
 async fn isolated_primary_acknowledges_nothing_and_follows_on_return() {
     let fixture = Fixture::new(3, 1);
@@ -267,8 +270,8 @@
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
 
-// A promoter died after it promoted a member and before it pointed the others to it. Writes are
-// taken but not acknowledged until another keeper finishes its work.
+// A keeper failed after it promoted a member and before it repointed the others. Writes are
+// accepted but not acknowledged until another keeper repoints them.
 #[tokio::test(start_paused = true)]
 async fn interrupted_promotion_is_completed_at_once() {
     let fixture = Fixture::new(3, 1);
@@ -286,8 +289,8 @@
     assert_eq!(fixture.group.model().members[2].leader, Some(member_name(1)));
 }
 
-// Probes are under way when a plan starts, and their answers come late: they show the chosen
-// member as it was before its promotion. Taken for answers to the plan, they would end it.
+// Probes are in flight when a plan starts, and their late responses show the candidate as it was
+// before its promotion. If they counted as responses to the plan's statements, they would end it.
 #[tokio::test(start_paused = true)]
 async fn late_probe_responses_do_not_end_a_plan() {
     let fixture = Fixture::new(3, 1);
@@ -324,7 +327,7 @@
     assert_eq!(check_history(&fixture.history(&keeper).await), vec![]);
 }
 
-// The order's removal fails. Later the switched primary dies and another member takes over; the
+// A switch order cannot be removed. Later the new primary fails and another member is promoted. The
 // order is read again, and must not move the primary back.
 #[tokio::test(start_paused = true)]
 async fn order_is_carried_out_once() {
--- a/crates/arbutusrudder/src/keeper/tests/fake_group.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_group.rs
@@ -1,4 +1,4 @@
-//! The group in memory behind control channels that can be cut.
+//! In-memory group behind control channels that can be cut.
 
 use super::model::{ModelGroup, member_name};
 use async_trait::async_trait;
@@ -10,7 +10,7 @@
 
 const LINK_DELAY: Duration = Duration::from_millis(10);
 
-/// Kills the member that is promoted next, right after it answered or before it can answer.
+/// Kills the next promoted member, right after its response or before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PromotionFault {
     None,
@@ -21,13 +21,13 @@
 pub(super) struct FakeGroup {
     model: Mutex<ModelGroup>,
     pub(super) fault: Mutex<PromotionFault>,
-    /// Whether dead members leave their callers without any answer.
+    /// Whether stopped members never respond, instead of refusing connections.
     pub(super) is_silent: AtomicBool,
-    /// The terms of which a member was asked to accept a fence.
+    /// Terms of all fence statements sent to members.
     fenced: Mutex<Vec<LogTerm>>,
-    /// The member that no keeper reaches for now.
+    /// The member that no keeper can reach, if any.
     pub(super) unreachable_member: Mutex<Option<usize>>,
-    /// How much longer than other statements a status takes to come back.
+    /// Additional delay of the responses to status statements.
     pub(super) status_delay: Mutex<Duration>,
 }
 
@@ -44,7 +44,7 @@
         self.model.lock().expect("no test thread panics while it holds the group")
     }
 
-    /// How many successions were tried, counted by their terms.
+    /// Returns the number of attempted successions, counted by their terms.
     pub(super) fn successions(&self) -> usize {
         let mut terms = self.fenced.lock().expect("no panic while held").clone();
         terms.sort_unstable();
@@ -68,7 +68,7 @@
     }
 }
 
-/// One instance's channel to one member.
+/// Control channel of one instance to one member.
 pub(super) struct FakeControl {
     pub(super) group: Arc<FakeGroup>,
     pub(super) index: usize,
--- a/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's objects and the other observers, in memory.
+//! In-memory fakes of the platform store and of the vote exchange.
 
 use crate::keeper::{KeeperEntry, KeeperRanking, ObserverExchange};
 use async_trait::async_trait;
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PlatformFault {
     None,
-    /// Calls never answer.
+    /// Calls never return.
     Hangs,
-    /// Every change takes effect, and its answer is lost.
+    /// Updates take effect, but their responses are lost.
     LosesResponses,
     /// Objects cannot be removed.
     RejectsDeletes,
--- a/crates/arbutusrudder/src/keeper/tests/fixture.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A group with keepers and a writer that records what its caller sees.
+//! Test group with keepers, and a writer that records the outcome of each write.
 
 use super::fake_group::{FakeControl, FakeGroup};
 use super::fake_platform::{FakeExchange, FakePlatform, VoteLog, entry};
@@ -22,7 +22,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_millis(20);
 const ACK_TIMEOUT: Duration = Duration::from_millis(500);
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(5);
-/// After this time a test gives up waiting for an acknowledgement.
+/// Maximum time that a test waits for an acknowledgement.
 const WAIT_MAX: Duration = Duration::from_secs(10);
 const ROW: &str = "orders";
 
@@ -35,7 +35,7 @@
     stop: CancellationToken,
 }
 
-/// A running keeper; while it is frozen its task gets no processor time.
+/// A running keeper. While it is frozen, its task is not polled.
 pub(super) struct RunningKeeper {
     pub(super) view: watch::Receiver<Arc<GroupView>>,
     pub(super) frozen: watch::Sender<bool>,
@@ -60,7 +60,7 @@
         fixture
     }
 
-    /// Starts keeper `index`; `cut` names the members that it cannot reach.
+    /// Starts keeper `index`; `cut` lists the members that it cannot reach.
     pub(super) fn start_keeper(&self, index: usize, cut: &[usize]) -> RunningKeeper {
         let keepers = (0..self.keepers).map(entry).collect();
         self.start_keeper_with(index, KeeperRanking { keepers }, cut)
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Waits for the acknowledgement of a write that is sent from now on.
+    /// Waits for the acknowledgement of a write that is sent after this call.
     pub(super) async fn next_acknowledgement(&self) {
         let since = Instant::now();
         let count = || {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The longest time between two acknowledgements so far.
+    /// Returns the longest time between two acknowledgements so far.
     pub(super) fn longest_gap(&self) -> Duration {
         let log = self.log.lock().expect("no panic while held");
         let acked = |write: &&WriteRecord| write.outcome == WriteOutcome::Acknowledged;
@@ -122,7 +122,8 @@
         returned.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or_default()
     }
 
-    /// Stops the writer, and returns the history with what this view's primary holds.
+    /// Stops the writer, and returns the history with the rows stored on the primary of this
+    /// keeper's view.
     pub(super) async fn history(&self, keeper: &RunningKeeper) -> HistoryLog {
         self.stop.cancel();
         sleep(2 * ACK_TIMEOUT).await;
@@ -165,7 +166,7 @@
     }
 }
 
-/// Runs for as long as anyone holds the group.
+/// Replicates the log to all members until the group is dropped.
 async fn replicate(group: Weak<FakeGroup>) {
     loop {
         sleep(REPLICATION_INTERVAL).await;
@@ -175,7 +176,7 @@
     }
 }
 
-/// Sends one write after another to whichever member takes it.
+/// Sends writes one after another to a member that accepts them.
 async fn write_continuously(
     group: Arc<FakeGroup>,
     log: Arc<Mutex<HistoryLog>>,
--- a/crates/arbutusrudder/src/keeper/tests/mod.rs
+++ b/crates/arbutusrudder/src/keeper/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the keeper against fakes at its borders, on tokio's paused clock.
+//! Tests of the keeper with fake members, platform and peers, mostly on tokio's paused clock.
 
 mod failover;
 mod fake_group;
--- a/crates/arbutusrudder/src/keeper/tests/schedules.rs
+++ b/crates/arbutusrudder/src/keeper/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random faults, alone and together, over a group with three keepers and a writer.
+//! Random faults in a group with three keepers and a writer.
 
 use super::fake_group::PromotionFault;
 use super::fake_platform::PlatformFault;
@@ -55,9 +55,9 @@
     *fixture.platform.fault.lock().unwrap() = PlatformFault::None;
 }
 
-// Members die and return, are cut off, die in the middle of a promotion; keepers freeze and wake;
-// the platform hangs or loses its answers: any of these at any moment, together or twice. Callers
-// must find every acknowledged write, once, and a primary as soon as the faults are over.
+// Members fail, restart, become unreachable or fail during a promotion; keepers freeze and resume;
+// the platform hangs or loses responses. Faults combine at random. Every acknowledged write must be
+// stored exactly once, and a primary must acknowledge writes after the faults end.
 #[tokio::test(start_paused = true)]
 async fn random_faults_lose_no_write() {
     let seeds = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| text.parse().ok());
--- a/crates/arbutusrudder/src/keeper/tests/standin_switch.rs
+++ b/crates/arbutusrudder/src/keeper/tests/standin_switch.rs
@@ -1,4 +1,4 @@
-//! A planned switch of the stand-in group, under writes and with replication that trails.
+//! A planned switch of the stand-in group under writes, with replication lag.
 
 use super::fake_platform::{FakeExchange, FakePlatform, entry};
 use crate::keeper::view::GroupView;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Keeps inserting until the member refuses.
+/// Inserts rows until the member rejects one.
 async fn keep_writing(port: u16) {
     let config = format!("host=127.0.0.1 port={port} user=tester dbname=orders");
     let (client, connection) = tokio_postgres::connect(&config, NoTls).await.unwrap();
@@ -71,8 +71,8 @@
     }
 }
 
-// An operator orders a switch while callers write. The target always trails by the link's delay;
-// it must fetch the rest from the fenced primary, or the switch would fail under every load.
+// An operator orders a switch while callers write. The target always lags by the link delay; it
+// must fetch the missing entries from the fenced primary, or the switch would fail under any load.
 #[tokio::test]
 async fn switch_under_writes_reaches_its_target() {
     let settings = GroupSettings::loopback("orders".parse().unwrap());
--- a/crates/arbutusrudder/src/keeper/timeouts.rs
+++ b/crates/arbutusrudder/src/keeper/timeouts.rs
@@ -1,34 +1,37 @@
-//! The keeper's bounds in time, derived from the operators' settings.
+//! Timeouts and intervals of the keeper: fixed ones, and those derived from the operators'
+//! settings.
 
 use rudder_core::PlanBounds;
 use rudder_settings::TimingSettings;
 use std::time::Duration;
 
-/// A call to the platform that decides over a promotion waits no longer than this. The platform
-/// answers in milliseconds when it is well; beyond that the reserved term is the faster way.
+/// Timeout of the platform call that takes a term for a promotion. A healthy platform responds
+/// within milliseconds; after the timeout the keeper uses its reserved term, which is faster.
 pub(super) const GRANT_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A call to the platform that decides over nothing urgent is given up after this time.
+/// Timeout of platform calls outside a promotion.
 pub(super) const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls of one keeper under way at the same time; a slow platform is not asked for more.
+/// Maximum number of concurrent platform calls of one keeper outside a promotion, so that a slow
+/// platform does not accumulate them.
 pub(super) const PLATFORM_CALLS_MAX: usize = 2;
 
-/// How often a keeper reads the grant back to see its reservation. With 780 groups of three
-/// keepers this costs the platform 156 reads a second of its two thousand.
+/// Interval at which a keeper with a usable reservation reads the grant again. With 780 groups of
+/// three keepers this causes 156 reads a second; the platform serves two thousand.
 pub(super) const GRANT_REFRESH_INTERVAL: Duration = Duration::from_secs(15);
 
-/// How often a keeper asks for a reservation while it has none that members would accept.
+/// Interval at which a keeper tries to reserve a term while it has none that members would accept.
 pub(super) const GRANT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often the keeper of rank one looks for an operator's order: 156 reads a second for 780
-/// groups.
+/// Interval at which the first-ranked keeper reads the operators' switch order: 156 reads a second
+/// for 780 groups.
 pub(super) const ORDER_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a switch waits, before anything stops, for its target to come close.
+/// Maximum time that a switch waits for its target to catch up. Writes continue during the wait.
 pub(super) const SWITCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bounds of a plan. A new term costs little, so the patience with a candidate is short.
+/// Returns the intervals and timeouts of a succession plan. The candidate's timeout is short, since
+/// trying another candidate at a new term is cheap.
 pub(super) fn plan_bounds(timing: &TimingSettings) -> PlanBounds {
     PlanBounds {
         retry: timing.probe_interval / 5,
@@ -37,17 +40,19 @@
     }
 }
 
-/// How long one control statement may take: it has failed by the next round of probes.
+/// Timeout of one control statement. It is shorter than the probe interval, so that a failure is
+/// known by the next round of probes.
 pub(super) fn statement_timeout(timing: &TimingSettings) -> Duration {
     timing.probe_interval * 4 / 5
 }
 
-/// How often a keeper that no longer hears the primary looks for the others' votes.
+/// Interval at which a keeper that has lost contact with the primary polls for the other keepers'
+/// votes.
 pub(super) fn vote_poll_interval(timing: &TimingSettings) -> Duration {
     timing.probe_interval / 5
 }
 
-/// How much later each next rank acts than the one before it.
+/// Delay between the promotion attempts of consecutive ranks.
 pub(super) fn rank_delay(timing: &TimingSettings) -> Duration {
     timing.suspect_after / 2
 }
--- a/crates/arbutusrudder/src/keeper/view.rs
+++ b/crates/arbutusrudder/src/keeper/view.rs
@@ -1,5 +1,5 @@
-//! What a keeper tells the rest of its instance about a group. A hint: it chooses what to try
-//! first, and every promise is checked in band.
+//! State of a group as its keeper publishes it within the instance. It is a hint for routing: every
+//! consistency guarantee is checked against the members' responses.
 
 use rudder_core::{LogStamp, LogTerm, MemberName, MemberStatus, ServiceName};
 use tokio::time::Instant;
@@ -9,9 +9,9 @@
 pub(crate) struct MemberReport {
     /// The member.
     pub(crate) member: MemberName,
-    /// When the question was sent.
+    /// When the request was sent.
     pub(crate) requested_at: Instant,
-    /// What the member answered, if it did.
+    /// The member's status, or none if the request failed.
     pub(crate) status: Option<MemberStatus>,
 }
 
@@ -22,13 +22,13 @@
     pub(crate) service: ServiceName,
     /// The greatest term that any member accepted.
     pub(crate) term: LogTerm,
-    /// The primary of that term; none while it has none.
+    /// The confirmed primary of that term, if any.
     pub(crate) primary: Option<MemberName>,
-    /// When the earliest question was sent of those by which a majority confirmed the primary.
+    /// When the earliest of the requests was sent by which a majority confirmed the primary.
     pub(crate) confirmed_at: Option<Instant>,
-    /// How far the confirmed primary's log went by then.
+    /// The confirmed primary's log position at that time.
     pub(crate) confirmed_stamp: Option<LogStamp>,
-    /// Whether a planned switch is under way, so that new writes had better wait.
+    /// Whether a planned switch is in progress, so that new writes should wait.
     pub(crate) switching: bool,
     /// The members' latest reports, sorted by name.
     pub(crate) members: Vec<MemberReport>,
