--- a/crates/arbutusrudder/src/group/admission.rs
+++ b/crates/arbutusrudder/src/group/admission.rs
@@ -1,4 +1,5 @@
-//! Waiting at the admission gate: the gate decides, this module wakes the waiters.
+//! Queues requests for admission: the admission gate decides, this module notifies the waiting
+//! requests.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -10,7 +11,7 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// The admission gate of one group, with those who wait at it.
+/// The admission gate of one group, with the requests that wait for a slot.
 pub(crate) struct AdmissionQueue {
     inner: Mutex<QueueState>,
 }
@@ -18,11 +19,11 @@
 struct QueueState {
     gate: AdmissionGate,
     rng: StdRng,
-    /// Sorted by ticket: tickets only grow.
+    /// Sorted by ticket; ticket numbers only increase.
     waiters: Vec<(TicketId, oneshot::Sender<TicketOutcome>)>,
 }
 
-/// A held slot; dropping it gives the slot back.
+/// A held slot, or a place in the queue. Dropping it releases either.
 pub(crate) struct AdmissionPass {
     queue: Arc<AdmissionQueue>,
     ticket: TicketId,
@@ -35,7 +36,7 @@
 }
 
 impl AdmissionQueue {
-    /// A desk whose refusals are spread by a generator seeded with `seed`.
+    /// Creates a queue whose random generator, which spreads rejections, is seeded with `seed`.
     pub(crate) fn new(seed: u64) -> Self {
         let inner = QueueState {
             gate: AdmissionGate::new(),
@@ -50,7 +51,7 @@
         self.lock().gate.set_lane(key, limits);
     }
 
-    /// Waits for a slot; a refusal is the final answer and comes at once.
+    /// Waits for a slot. A rejection is final and is returned without further waiting.
     pub(crate) async fn enter(
         self: &Arc<Self>,
         request: &AdmissionRequest,
@@ -60,7 +61,8 @@
             (AdmissionVerdict::Refuse(reason), _) => return Err(reason),
             (AdmissionVerdict::Wait(ticket), outcome) => (ticket, outcome),
         };
-        // The pass also covers the wait: a caller that vanishes gives its place back.
+        // The pass is held during the wait as well: if the caller is dropped, its place is
+        // released.
         let pass = self.pass(ticket);
         let wait_until = request.deadline.min(Instant::now() + request.queue_wait);
         let mut outcome = outcome;
@@ -73,7 +75,7 @@
                 },
                 () = sleep => self.expire_tickets(),
             }
-            // The clock may be a hair behind the gate's own bound.
+            // The timer may fire slightly before the gate's deadline.
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
     }
@@ -126,7 +128,7 @@
         let found = waiters.binary_search_by_key(&notice.ticket, |(known, _)| *known);
         if let Ok(index) = found {
             let (_, sender) = waiters.remove(index);
-            // A waiter that is gone gives its ticket back by its pass.
+            // A waiter that was dropped has released its ticket with its pass.
             let _ = sender.send(notice.outcome);
         }
     }
--- a/crates/arbutusrudder/src/group/confirm.rs
+++ b/crates/arbutusrudder/src/group/confirm.rs
@@ -1,7 +1,7 @@
-//! Waiting until a majority of the members confirms a commit, or a primary's term for a read.
+//! Waits until a majority of the members confirms a commit, or a primary's term for a read.
 //!
-//! All that wait in one group share the members' reports: while anything waits, each member is
-//! asked again as soon as it has answered, and every answer serves all waiters.
+//! All waiters of a group share the members' reports: while there is a waiter, each member is
+//! probed again soon after it has responded, and every report serves all waiters.
 
 use super::state::GroupState;
 use rudder_core::{
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What became of a wait for a majority.
+/// Outcome of a wait for a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfirmOutcome {
     /// A majority holds the commit at its own term.
     Acknowledged,
-    /// A greater term was accepted somewhere: the commit may be lost.
+    /// A member has accepted a greater term: the commit may be lost.
     Superseded,
-    /// No majority answered in time.
+    /// No majority confirmed in time.
     TimedOut,
 }
 
-/// While it lives, every member is asked for reports without pause.
+/// Makes the probes of all members continuous until it is dropped.
 struct WaiterGuard<'a> {
     group: &'a GroupState,
 }
@@ -61,8 +61,8 @@
         outcome
     }
 
-    /// Waits until a majority, asked at or after `since`, has accepted no greater term than
-    /// `term`: then the data of that term's primary was the newest at `since`.
+    /// Waits until a majority, probed at or after `since`, has reported no greater term than
+    /// `term`. This shows that the data of that term's primary was the newest at `since`.
     pub(crate) async fn confirm_term(
         &self,
         term: LogTerm,
--- a/crates/arbutusrudder/src/group/member.rs
+++ b/crates/arbutusrudder/src/group/member.rs
@@ -1,4 +1,4 @@
-//! One member of a group: its pool, its control channel and what was learned of its speed.
+//! One member of a group: its connection pool, its control channel and its measured speed.
 
 use super::pool::ConnectionPool;
 use rudder_core::{ConnectionCount, MemberName, MemberStatus};
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
 
-/// Service time assumed of a member of the reference speed before any was observed.
+/// Service time assumed for a member of the reference speed before any is observed.
 const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// A longer round trip moves the known one by this part of the difference.
+/// A longer round trip raises the recorded one by the difference divided by this number.
 const ROUND_TRIP_RISE_DIVISOR: u32 = 64;
 
-/// How long a larger share of connections must have been due before it is used.
+/// Time for which a larger share of connections must have been due before it is used.
 const SHARE_GROWTH_DELAY: Duration = Duration::from_secs(10);
 
-/// A member as this instance uses it.
+/// State of one member in this instance.
 pub(crate) struct GroupMember {
-    /// What operators declared.
+    /// The member's declared settings.
     pub(crate) settings: MemberSettings,
     /// The connections for callers.
     pub(crate) pool: ConnectionPool,
     /// The connection for control statements.
     pub(crate) channel: Arc<ControlChannel>,
-    /// Statements in flight from this instance.
+    /// Number of this instance's statements in flight at the member.
     pub(crate) in_flight: AtomicU32,
-    /// How many commits and reads wait for this member's next report.
+    /// Number of commits and reads that wait for a majority's reports.
     pub(crate) waiters: AtomicUsize,
-    /// Wakes the watch when demand rises from none.
+    /// Starts the next probe at once.
     pub(crate) probe_requested: Notify,
     meter: Mutex<MemberMeter>,
     health: watch::Sender<MemberHealth>,
@@ -41,17 +41,17 @@
     ramp: Mutex<Option<RampSchedule>>,
 }
 
-/// How fresh a member is.
+/// Freshness of a member's data.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemberFreshness {
-    /// The greatest age that its answer can have, if that is known.
+    /// Maximum age of the data that it returns, if known.
     pub(crate) age: Option<Duration>,
-    /// How far it trailed the primary when it last reported.
+    /// Time by which it lagged behind the primary at its last report.
     pub(crate) lag: Duration,
 }
 
 impl GroupMember {
-    /// A member at `address`, with `connections` connections for callers.
+    /// Creates a member at `address`, with `connections` connections for callers.
     pub(crate) fn new(
         settings: MemberSettings,
         address: MemberAddress,
@@ -78,47 +78,47 @@
         }
     }
 
-    /// The member's name.
+    /// Returns the member's name.
     pub(crate) fn name(&self) -> &MemberName {
         &self.settings.name
     }
 
-    /// The share of connections to hold when `wanted` is due. It shrinks at once and grows only
-    /// after a while: two instances with different views would otherwise hold more than the member
-    /// accepts.
+    /// Returns the number of connections to hold when a share of `wanted` is due. It shrinks at
+    /// once and grows only after a delay: instances with different instance lists would otherwise
+    /// hold more connections in total than the member accepts.
     pub(crate) fn update_share(&self, wanted: u32, now: Duration) -> u32 {
         let mut share = self.share.lock().expect("no holder of this lock panics");
         share.update(ConnectionCount(wanted), now).0
     }
 
-    /// Takes the time of an answered statement, link included.
+    /// Records the latency of a completed statement, including the network round trip.
     pub(crate) fn observe(&self, latency: Duration) {
         let inside = latency.saturating_sub(self.link());
         self.lock_meter().observe(inside, Instant::now());
     }
 
-    /// Takes the round trip of a probe, which no statement slows. The least one lately counts:
-    /// everything above it is waiting, not distance.
+    /// Records the round trip of a probe, which does not wait behind statements. The recorded value
+    /// follows the recent minimum, since anything above it is queueing, not distance.
     pub(crate) fn observe_link(&self, round_trip: Duration) {
         let mut link = self.link.lock().expect("no holder of this lock panics");
         let rise = round_trip.saturating_sub(*link) / ROUND_TRIP_RISE_DIVISOR;
         *link = round_trip.min(*link + rise);
     }
 
-    /// The link's round trip.
+    /// Returns the network round trip to the member.
     pub(crate) fn link(&self) -> Duration {
         *self.link.lock().expect("no holder of this lock panics")
     }
 
-    /// Statements that this instance may keep in flight here: enough to keep the slots busy over
-    /// the link, as far as its share of the connections allows.
+    /// Returns the number of statements that this instance may keep in flight at the member: enough
+    /// to keep the slots busy over the round trip, within its share of the connections.
     pub(crate) fn window(&self) -> u32 {
         let window = self.lock_meter().window(self.link(), Instant::now());
         let share = self.share.lock().expect("no holder of this lock panics").current();
         window.min(share.0).max(1)
     }
 
-    /// Whether the member may get work.
+    /// Returns the member's health, which decides whether it gets work.
     pub(crate) fn health(&self) -> MemberHealth {
         if self.settings.draining {
             return MemberHealth::Leaving;
@@ -126,32 +126,34 @@
         *self.health.borrow()
     }
 
-    /// Changes the health; answers whether it was another before.
+    /// Sets the health; returns whether it changed.
     pub(crate) fn set_health(&self, health: MemberHealth) -> bool {
         let before = self.health.send_replace(health);
         if before == MemberHealth::Down && health == MemberHealth::Ready {
-            // Guards against a burst onto a member that just came back with cold caches.
+            // A member that has just recovered has cold caches, so its load is raised gradually.
             let ramp = RampSchedule::new(Instant::now());
             *self.ramp.lock().expect("no holder of this lock panics") = Some(ramp);
         }
         before != health
     }
 
-    /// Returns once the member is known not to answer. Guards against a cut that swallows packets: a
-    /// statement in flight would hang until its own bound, long after a successor leads.
+    /// Waits until the member is known not to respond. Without this, when packets are dropped
+    /// silently, a statement in flight would hang until its own timeout, long after a new primary
+    /// is promoted.
     pub(crate) async fn wait_down(&self) {
         let mut health = self.health.subscribe();
-        // The sender lives as long as the member, so the wait ends by a change only.
+        // The sender is never dropped before the member, so only a change ends the wait.
         let _ = health.wait_for(|health| *health == MemberHealth::Down).await;
     }
 
-    /// The share of its usual work that the member gets while it warms up.
+    /// Returns the fraction of its usual load that the member gets while it warms up.
     fn ramp_weight(&self, now: Instant) -> MemberWeight {
         let ramp = self.ramp.lock().expect("no holder of this lock panics");
         ramp.map_or(MemberWeight::FULL, |ramp| ramp.weight(now))
     }
 
-    /// What the read router is told of this member. `weight` is what the outlier tracker leaves it.
+    /// Returns the read router's view of this member. `weight` is the weight set by the outlier
+    /// tracker.
     pub(crate) fn view(
         &self,
         status: MemberStatus,
--- a/crates/arbutusrudder/src/group/mod.rs
+++ b/crates/arbutusrudder/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! One database group as this instance sees it: its members, their last reports, the connections
-//! to them, and the acknowledgement of commits.
+//! State of one database group in this instance: its members, their latest reports, the connections
+//! to them, admission control, and the confirmation of commits by a majority.
 
 mod admission;
 mod confirm;
--- a/crates/arbutusrudder/src/group/pool.rs
+++ b/crates/arbutusrudder/src/group/pool.rs
@@ -1,4 +1,4 @@
-//! The connections of this instance to one member.
+//! Pool of this instance's connections to one member.
 
 use displaydoc::Display;
 use rudder_endpoint::{EndpointError, MemberAddress, MemberConnection};
@@ -7,13 +7,14 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// Statements kept prepared on one connection; beyond this all are dropped at its return.
+/// Maximum number of prepared statements on an idle connection. A connection with more is closed
+/// when it is returned to the pool.
 const PREPARED_MAX: usize = 256;
 
-/// How long an idle connection may take to prove itself; a new one is opened after that.
+/// Timeout of the check of an idle connection. After it, another connection is used.
 const IDLE_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why no connection could be had. Nothing was sent, so the request did not run.
+/// Reason why no connection is available. Nothing was sent, so the request did not run.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum PoolError {
@@ -25,22 +26,23 @@
 
 impl std::error::Error for PoolError {}
 
-/// A connection in use, with what it remembers of earlier callers.
+/// A connection in use, with the state that earlier callers left on it.
 pub(crate) struct PooledConnection {
     /// The connection itself.
     pub(crate) connection: MemberConnection,
     /// Hashes of the statements that are prepared on it, sorted.
     pub(crate) prepared: Vec<u128>,
-    /// The settings that are in force on it, sorted by name, with their SET statements.
+    /// The settings in force on it, sorted by name, with their SET statements.
     pub(crate) settings: Vec<(String, String)>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl PooledConnection {
-    /// Notes that it is not known which settings are in force: they are set anew before the next
-    /// use, whatever that use wants.
+    /// Marks the settings in force as unknown, so that they are always set again before the next
+    /// use.
     pub(crate) fn forget_settings(&mut self) {
-        // No session has a setting without a name, so this equals nobody's settings.
+        // No session has a setting with an empty name, so this differs from every session's
+        // settings.
         self.settings = vec![(String::new(), String::new())];
     }
 }
@@ -62,7 +64,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool of at most `limit` connections.
+    /// Creates a pool of at most `limit` connections.
     pub(crate) fn new(address: MemberAddress, limit: u32) -> Self {
         Self {
             address,
@@ -73,17 +75,17 @@
         }
     }
 
-    /// Where the member is.
+    /// Returns the member's address.
     pub(crate) fn address(&self) -> &MemberAddress {
         &self.address
     }
 
-    /// The settings that the member reported at the first login.
+    /// Returns the settings that the member reported at the first login.
     pub(crate) fn reported_parameters(&self) -> Option<Vec<(String, String)>> {
         self.login_parameters.get().cloned()
     }
 
-    /// Connections that are open, idle ones included.
+    /// Returns the number of open connections, including idle ones.
     pub(crate) fn open_count(&self) -> u32 {
         let limit = *self.limit.lock().expect("no holder of this lock panics");
         let free = u32::try_from(self.permits.available_permits()).unwrap_or(u32::MAX);
@@ -91,7 +93,7 @@
         limit.saturating_sub(free) + idle
     }
 
-    /// Changes the limit; a smaller one takes effect as connections come back.
+    /// Changes the limit. A smaller one takes effect as connections are returned.
     pub(crate) fn set_limit(&self, wanted: u32) {
         let mut limit = self.limit.lock().expect("no holder of this lock panics");
         if wanted > *limit {
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Takes a connection, idle or new, within `within`.
+    /// Takes an idle connection or opens a new one. Waits at most `max_wait` for a permit, and at
+    /// most the shorter of `max_wait` and `connect_timeout` to connect.
     pub(crate) async fn take(
         &self,
         max_wait: Duration,
@@ -137,9 +140,9 @@
         })
     }
 
-    /// Takes back a connection that its member called ready and outside of a transaction. Every
-    /// other connection is dropped instead, which closes it: a late answer on it would reach the
-    /// next caller.
+    /// Returns a connection to the pool that its member reported ready and outside a transaction.
+    /// Every other connection must be dropped instead, which closes it: a late response on it would
+    /// reach the next caller.
     pub(crate) fn give_back(&self, pooled: PooledConnection) {
         let PooledConnection { connection, prepared, settings, _permit: permit } = pooled;
         if prepared.len() <= PREPARED_MAX {
@@ -149,7 +152,7 @@
         drop(permit);
     }
 
-    /// Closes all idle connections, because the member is gone or leaving.
+    /// Closes all idle connections, for a member that failed.
     pub(crate) fn clear(&self) {
         self.lock_idle().clear();
     }
@@ -157,16 +160,16 @@
     async fn take_idle(&self, check_after: Duration) -> Option<IdleConnection> {
         loop {
             let mut idle = self.lock_idle().pop()?;
-            // Guards against a connection that the member closed while it was idle: the statement
-            // would be lost with an unknown outcome although it never ran.
+            // Skips a connection that the member closed while it was idle: a statement sent on it
+            // would have an unknown outcome although it never ran.
             if !idle.connection.link().is_quiet().await {
                 continue;
             }
             if idle.since.elapsed() < check_after {
                 return Some(idle);
             }
-            // Guards against a connection that something between the two ends lost track of: it
-            // takes bytes and answers nothing. An idle one proves itself before a caller's work.
+            // Checks a connection after a long idle time. A device on the path may have dropped its
+            // state: the connection then accepts bytes but never responds.
             let check = idle.connection.control(&rudder_core::ControlStatement::Status);
             if matches!(timeout(IDLE_CHECK_TIMEOUT, check).await, Ok(Ok(_))) {
                 return Some(idle);
--- a/crates/arbutusrudder/src/group/probe.rs
+++ b/crates/arbutusrudder/src/group/probe.rs
@@ -1,4 +1,5 @@
-//! Asking each member for reports: at an interval, and without pause while something waits.
+//! Probes the members for status reports: at an interval, and continuously while commits or reads
+//! wait for a report.
 
 use super::member::GroupMember;
 use super::state::GroupState;
@@ -11,11 +12,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two questions to one member while something waits for its report. Replication
-/// takes milliseconds between failure domains, so asking faster brings nothing.
+/// Pause between two probes of one member while commits or reads wait for its report. Replication
+/// between failure domains takes milliseconds, so faster probes have no benefit.
 const EAGER_PROBE_INTERVAL: Duration = Duration::from_micros(400);
 
-/// Starts the tasks that ask the members of `group`; they end with the returned set.
+/// Starts the tasks that probe the members of `group`. Dropping the returned set stops them.
 pub(crate) fn spawn_probes(group: &Arc<GroupState>) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     for index in 0..group.members.len() {
@@ -29,7 +30,8 @@
     let mut pacer = ReconnectPacer::new();
     loop {
         if !probe(&group, index).await {
-            // Spread in time: every instance would otherwise fall upon a member that came back.
+            // The pause is randomized, so that not all instances reconnect to a recovered member at
+            // once.
             let pause = pacer.after_failure(&mut rand::rng());
             sleep(pause).await;
             continue;
@@ -45,7 +47,7 @@
     }
 }
 
-/// Asks a member for its status; answers whether it gave one.
+/// Probes a member; returns whether it responded.
 async fn probe(group: &GroupState, index: usize) -> bool {
     let member = &group.members[index];
     let requested_at = group.board.now();
--- a/crates/arbutusrudder/src/group/reports.rs
+++ b/crates/arbutusrudder/src/group/reports.rs
@@ -1,4 +1,4 @@
-//! The last report of each member, and what follows from all of them together.
+//! The latest report of each member, and the conclusions from all of them.
 
 use rudder_core::{
     AgeLedger, LogTerm, MemberName, MemberRole, MemberStatus, TimedReport, confirm_sample,
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Reports of a group's members, with the age ledger that they feed.
+/// Latest reports of a group's members, with the age ledger built from them.
 pub(crate) struct MemberReports {
     origin: Instant,
     members: usize,
@@ -23,29 +23,29 @@
 }
 
 impl MemberReports {
-    /// An empty board for a group of `members` members.
+    /// Creates an empty table for a group of `members` members.
     pub(crate) fn new(origin: Instant, members: usize) -> Self {
         let (changes, _) = watch::channel(0);
         Self { origin, members, inner: Mutex::default(), changes }
     }
 
-    /// The time since this instance's origin.
+    /// Returns the time since this instance's origin.
     pub(crate) fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// A moment on this instance's time line.
+    /// Converts an instant to the time since this instance's origin.
     pub(crate) fn since_origin(&self, moment: Instant) -> Duration {
         moment.saturating_duration_since(self.origin)
     }
 
-    /// The moment at a time on this instance's time line.
+    /// Converts a time since this instance's origin to an instant.
     pub(crate) fn instant_at(&self, time: Duration) -> Instant {
         self.origin + time
     }
 
-    /// Takes a member's report. One that was asked for earlier than the known one is dropped: it
-    /// says less.
+    /// Records a member's report. One that was requested earlier than the recorded one is dropped,
+    /// since it is less recent.
     pub(crate) fn record(&self, member: &MemberName, requested_at: Duration, status: MemberStatus) {
         {
             let mut inner = self.lock();
@@ -62,24 +62,24 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// A receiver that is woken by each report.
+    /// Returns a receiver that is notified of each report.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// The reports, sorted by member name.
+    /// Returns the reports, sorted by member name.
     pub(crate) fn reports(&self) -> Vec<TimedReport> {
         self.lock().reports.clone()
     }
 
-    /// The last status of one member.
+    /// Returns the latest status of one member.
     pub(crate) fn status_of(&self, member: &MemberName) -> Option<MemberStatus> {
         let inner = self.lock();
         let index = inner.reports.binary_search_by(|known| known.member.cmp(member)).ok()?;
         Some(inner.reports[index].status)
     }
 
-    /// The member that leads at the greatest term, as far as the reports say.
+    /// Returns the member that reported the primary role at the greatest term.
     pub(crate) fn primary(&self) -> Option<(MemberName, LogTerm)> {
         let inner = self.lock();
         let is_primary = |report: &&TimedReport| report.status.role == MemberRole::Primary;
@@ -88,12 +88,12 @@
         Some((primary.member.clone(), primary.status.accepted))
     }
 
-    /// Whether any member has reported yet.
+    /// Whether no member has reported yet.
     pub(crate) fn is_empty(&self) -> bool {
         self.lock().reports.is_empty()
     }
 
-    /// Runs a question against the age ledger.
+    /// Runs a query on the age ledger.
     pub(crate) fn with_ledger<T>(&self, query: impl FnOnce(&AgeLedger) -> T) -> T {
         query(&self.lock().ledger)
     }
--- a/crates/arbutusrudder/src/group/state.rs
+++ b/crates/arbutusrudder/src/group/state.rs
@@ -1,4 +1,4 @@
-//! A group's state: the declared service, its members, and what is believed of its primary.
+//! State of a group: the declared service, its members, and the primary according to their reports.
 
 use super::admission::AdmissionQueue;
 use super::member::{GroupMember, MemberFreshness};
@@ -18,39 +18,40 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// How long after its last request a group is still watched.
+/// Time after its last request during which a group's members are still probed.
 const IN_USE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Requests that may wait at one member, per slot.
+/// Maximum number of requests queued for one member, per slot.
 const QUEUE_PER_SLOT: u32 = 64;
 
-/// Round trip assumed to a member in the same failure domain, in another one, in another region.
+/// Round trips assumed before the first measured one: to a member in the same failure domain, in
+/// another domain of the region, and in another region.
 const ASSUMED_ROUND_TRIPS: [Duration; 3] =
     [Duration::from_millis(1), Duration::from_millis(8), Duration::from_millis(24)];
 
-/// Slots of a lane where the gate is not to bound anything.
+/// Number of slots of a lane while the admission limits are disabled.
 const UNLIMITED_SLOTS: u32 = 1_000_000;
 
-/// Lag assumed of a replica whose age is not known.
+/// Lag assumed for a replica whose staleness is unknown.
 const ASSUMED_LAG: Duration = Duration::from_millis(500);
 
-/// Connections per member that stay apart for control statements.
+/// Connections per member that are reserved for control statements.
 const CONTROL_CONNECTIONS: u32 = 1;
 
-/// What this instance is, as far as its groups need it.
+/// Facts about this instance and its deployment that its groups need.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupTuning {
     /// The failure domain of this instance.
     pub(crate) domain: DomainName,
     /// The declared failure domains, sorted by name.
     pub(crate) domains: Vec<DomainSettings>,
-    /// How many instances share the members' connections.
+    /// Number of instances that share the members' connections.
     pub(crate) instances: u32,
-    /// The origin of this instance's time line.
+    /// Start time from which this instance measures times.
     pub(crate) origin: Instant,
-    /// Members reached at another address than the declared one.
+    /// Routes to members that are reached at another address than the declared one.
     pub(crate) routes: Vec<AddressRoute>,
-    /// Whether the admission gate bounds what runs and waits.
+    /// Whether the admission limits are enforced.
     pub(crate) limits: bool,
 }
 
@@ -61,26 +62,26 @@
     }
 }
 
-/// Which member is believed to lead.
+/// The primary according to the members' latest reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReportedPrimary {
-    /// Its index among the group's members.
+    /// The primary's index among the group's members.
     pub(crate) index: usize,
-    /// The term at which it leads.
+    /// The primary's term.
     pub(crate) term: LogTerm,
 }
 
-/// One database group as this instance sees it.
+/// State of one database group in this instance.
 pub(crate) struct GroupState {
     /// The declared service.
     pub(crate) service: ServiceSettings,
-    /// Bounds in time.
+    /// Timing settings.
     pub(crate) timing: TimingSettings,
     /// The members, sorted by name.
     pub(crate) members: Vec<GroupMember>,
-    /// The members' reports.
+    /// The members' latest reports.
     pub(crate) board: MemberReports,
-    /// The admission gate.
+    /// The admission queue.
     pub(crate) desk: Arc<AdmissionQueue>,
     usage: GroupUsage,
     keeper: Mutex<Option<KeeperHandle>>,
@@ -92,17 +93,17 @@
     estimate: Mutex<WorkEstimate>,
 }
 
-/// Whether anybody at this instance needs the group.
+/// Use of the group by this instance.
 #[derive(Default)]
 struct GroupUsage {
-    /// Milliseconds from the origin to the last request.
+    /// Time of the last request, in milliseconds since the origin.
     last_used_ms: AtomicU64,
     /// Whether this instance keeps the group.
     is_kept: AtomicBool,
 }
 
 impl GroupState {
-    /// The state of a declared service, before any member was asked.
+    /// Creates the state of a declared service, before any member has reported.
     pub(crate) fn new(
         service: ServiceSettings,
         timing: TimingSettings,
@@ -144,8 +145,8 @@
         group
     }
 
-    /// Notes that a request needs the group; the first one after a pause wakes its watch, and waits
-    /// until a member has reported.
+    /// Records a use of the group. The first use after an idle period resumes the probes. Waits
+    /// until a member has reported, if none has yet.
     pub(crate) async fn touch(&self, within: Duration) {
         let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
         let was_idle = !self.is_in_use();
@@ -156,14 +157,14 @@
         if self.board.is_empty() {
             let mut changes = self.board.subscribe();
             let reported = changes.wait_for(|_| !self.board.is_empty());
-            // Without any report the request is refused further on, and says why.
+            // Without any report, the request is rejected later with a reason.
             let _ = timeout(within, reported).await;
         }
     }
 
-    /// Whether the members are to be asked at an interval: this instance keeps the group, or
-    /// served it lately. At the planned size an instance serves few of all groups, and asking the
-    /// others would cost more than its whole budget for control.
+    /// Whether the members are probed at an interval: this instance is a keeper of the group or
+    /// used it recently. At the planned size an instance serves few of all groups, and probing the
+    /// others would cost more than its whole budget for control traffic.
     pub(crate) fn is_in_use(&self) -> bool {
         let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
         let last = self.usage.last_used_ms.load(Ordering::Relaxed);
@@ -171,15 +172,15 @@
         self.usage.is_kept.load(Ordering::Relaxed) || (last > 0 && idle < IN_USE_PERIOD)
     }
 
-    /// Notes whether this instance keeps the group.
+    /// Sets or removes this instance's keeper of the group.
     pub(crate) fn set_keeper(&self, keeper: Option<KeeperHandle>) {
         self.usage.is_kept.store(keeper.is_some(), Ordering::Relaxed);
         *self.keeper.lock().expect("no holder of this lock panics") = keeper;
         self.members.iter().for_each(|member| member.probe_requested.notify_one());
     }
 
-    /// Takes what a request or probe showed of a member: on the board, and to the keeper, whose
-    /// own probe it replaces.
+    /// Records a member status observed by a request or probe, and passes it to the keeper, where
+    /// it replaces the keeper's own probe.
     pub(crate) fn take_report(
         &self,
         index: usize,
@@ -197,29 +198,29 @@
         }
     }
 
-    /// The settings that members reported at login, if any connection was opened.
+    /// Returns the settings that a member reported at login, if any connection was opened.
     pub(crate) fn reported_parameters(&self) -> Option<Vec<(String, String)>> {
         self.members.iter().find_map(|member| member.pool.reported_parameters())
     }
 
-    /// The member believed to lead, if any report says that one does.
+    /// Returns the primary according to the members' reports, if one reported that role.
     pub(crate) fn primary(&self) -> Option<ReportedPrimary> {
         let (name, term) = self.board.primary()?;
         Some(ReportedPrimary { index: self.index_of(&name)?, term })
     }
 
-    /// The index of a member.
+    /// Returns the index of a member.
     pub(crate) fn index_of(&self, name: &MemberName) -> Option<usize> {
         self.members.binary_search_by(|member| member.name().cmp(name)).ok()
     }
 
-    /// The lane of a member at the admission gate.
+    /// Returns the admission lane of a member.
     pub(crate) fn lane(&self, index: usize) -> LaneKey {
         let member = self.members[index].name().clone();
         LaneKey { service: self.service.name.clone(), member }
     }
 
-    /// Sets the lanes' slots to what the members' meters allow.
+    /// Sets the number of slots of each lane to the member's in-flight limit.
     fn refresh_lanes(&self) {
         for (index, member) in self.members.iter().enumerate() {
             let slots = if self.limits { member.window() } else { UNLIMITED_SLOTS };
@@ -229,7 +230,8 @@
         }
     }
 
-    /// Takes the outcome of a statement at a member: whether its connection held.
+    /// Records whether a member responded to a statement, for outlier tracking and the retry
+    /// budget.
     pub(crate) fn note_outcome(&self, index: usize, responded: bool) {
         let mut outliers = self.outliers.lock().expect("no holder of this lock panics");
         outliers.observe(self.members[index].name(), responded);
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Takes the term of an acknowledged commit. The first one of a new term ends a failover gap, as
-    /// this instance's callers saw it.
+    /// Records the term of an acknowledged commit. The first one of a new term ends the failover
+    /// gap that this instance's callers observed.
     pub(crate) fn record_acknowledged_term(&self, term: LogTerm) {
         let now = Instant::now();
         let mut last = self.last_acknowledged.lock().expect("no holder of this lock panics");
@@ -256,26 +258,28 @@
         *last = Some((term, now));
     }
 
-    /// Takes how long work of one shape held its slot.
+    /// Records how long a statement with this fingerprint held its slot.
     pub(crate) fn note_work(&self, fingerprint: u64, held: Duration) {
         let mut estimate = self.estimate.lock().expect("no holder of this lock panics");
         estimate.observe(fingerprint, held);
     }
 
-    /// Whether work of this shape is expected to hold its slot for long. Without this, long
-    /// reports would fill every slot that short lookups wait for.
+    /// Returns the expected size of statements with this fingerprint. Without it, long reports
+    /// would occupy every slot that short lookups wait for.
     pub(crate) fn size_of(&self, fingerprint: u64) -> WorkSize {
         self.estimate.lock().expect("no holder of this lock panics").size(fingerprint)
     }
 
-    /// Whether a request that provably did not run may be tried again. Guards against a storm of
-    /// retries after a failover: they are paid for by successes.
+    /// Takes a retry from the budget for a request that provably did not run, and returns whether
+    /// one was left. Successful requests refill the budget, which prevents a storm of retries after
+    /// a failover.
     pub(crate) fn may_retry(&self, class: WorkClass) -> bool {
         let mut retries = self.retries.lock().expect("no holder of this lock panics");
         retries.try_spend(class, OutcomeClass::NotRun)
     }
 
-    /// Follows what was learned since the last call: outliers, lanes, connection shares.
+    /// Updates outliers, connection shares and admission lanes by the observations since the last
+    /// call.
     pub(crate) fn refresh(&self, instances: u32) {
         self.outliers.lock().expect("no holder of this lock panics").step(Instant::now());
         self.sharers.store(instances, Ordering::Relaxed);
@@ -296,8 +300,8 @@
         outliers.weight(self.members[index].name())
     }
 
-    /// What the read router is told, in the order of the members. Members that have not reported
-    /// are left out by the second list, which gives each view's member index.
+    /// Returns the read router's views of the members that have reported, sorted by name, and the
+    /// member index of each view.
     pub(crate) fn views(&self) -> (Vec<MemberView>, Vec<usize>) {
         let now = self.board.now();
         let sharers = self.sharers.load(Ordering::Relaxed);
@@ -318,7 +322,8 @@
     }
 }
 
-/// An equal share of a member's connections, less those for control, and at least one.
+/// Returns an instance's equal share of a member's connections, less those reserved for control
+/// statements, and at least one.
 fn connection_share(settings: &MemberSettings, instances: u32) -> u32 {
     let share = settings.connections.0 / instances.max(1);
     share.saturating_sub(CONTROL_CONNECTIONS).max(1)
