--- a/crates/arbutusrudder/src/duty/drain.rs
+++ b/crates/arbutusrudder/src/duty/drain.rs
@@ -1,5 +1,5 @@
-//! Moving the primary off a member that operators drain: an endpoint that is leaving must get no
-//! new work, and writes are work.
+//! Moves the primary off a member that operators drain: a draining endpoint must get no new work,
+//! and that includes writes.
 
 use crate::group::GroupState;
 use rudder_core::{MemberName, SwitchOrder, WriterMark};
@@ -7,7 +7,8 @@
 use rudder_store::{ObjectKind, PlatformStore, StoreError};
 use std::sync::Arc;
 
-/// The member that should lead instead of a draining primary: the most advanced one that stays.
+/// Returns the member that replaces a draining primary: the ready one with the most advanced log.
+/// Returns none if the primary is not draining.
 pub(super) fn successor_of(group: &GroupState) -> Option<MemberName> {
     let primary = group.primary()?;
     if !group.members[primary.index].settings.draining {
@@ -22,8 +23,8 @@
     Some(group.members[index].name().clone())
 }
 
-/// Orders the switch in the platform, where the group's keeper of rank one finds it. An order that
-/// stands there already is left alone.
+/// Stores a switch order in the platform, where the group's first-ranked keeper reads it. An
+/// existing order is not replaced.
 pub(super) async fn order_switch(
     store: Arc<dyn PlatformStore>,
     group: Arc<GroupState>,
--- a/crates/arbutusrudder/src/duty/exchange.rs
+++ b/crates/arbutusrudder/src/duty/exchange.rs
@@ -1,4 +1,4 @@
-//! Carrying the keepers' votes over the peers' mesh.
+//! Exchanges the keepers' votes over the peer mesh.
 
 use crate::keeper::{KeeperEntry, KeeperRanking, ObserverExchange};
 use rudder_core::{
@@ -9,29 +9,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Votes kept for one service until its keeper takes them.
+/// Maximum number of received votes kept for one service until its keeper takes them; further ones
+/// are dropped.
 const VOTES_MAX: usize = 64;
 
-/// The mesh as the keepers of this instance see it.
+/// Vote exchange of this instance's keepers, over the peer mesh.
 pub(crate) struct VoteExchange {
     mesh: Arc<PeerMesh>,
     instance: InstanceName,
     domain: DomainName,
     next_number: AtomicU64,
-    /// Votes that arrived, sorted by service.
+    /// Received votes, sorted by service.
     inbox: Mutex<Vec<(ServiceName, Vec<ObserverVote>)>>,
 }
 
 impl VoteExchange {
-    /// An exchange over `mesh` for this instance.
+    /// Creates the exchange of this instance over `mesh`.
     pub(crate) fn new(mesh: Arc<PeerMesh>, instance: InstanceName, domain: DomainName) -> Self {
         Self { mesh, instance, domain, next_number: AtomicU64::new(1), inbox: Mutex::default() }
     }
 
-    /// Takes a vote that a peer cast.
+    /// Stores a vote received from a peer until the service's keeper takes it.
     pub(crate) fn take(&self, vote: &SuspicionVote) {
-        // Guards against an echo: an own doubt that comes back would be answered like another's,
-        // and each answer would bring the next one.
+        // Ignores own votes that return over the mesh. The keeper would reply to its own suspicion
+        // as to another's, and each reply would cause the next one.
         if vote.observer == self.instance {
             return;
         }
@@ -87,7 +88,8 @@
     }
 }
 
-/// A vote is about the service's primary, whichever member that is.
+/// Returns the member name sent in every vote: a vote concerns the service's primary, whichever
+/// member that is.
 fn vote_subject() -> MemberName {
     "primary".parse().expect("the name has only allowed characters")
 }
--- a/crates/arbutusrudder/src/duty/mod.rs
+++ b/crates/arbutusrudder/src/duty/mod.rs
@@ -1,5 +1,5 @@
-//! This instance's standing tasks for each group: asking its members, and keeping it if it is one
-//! of the group's keepers.
+//! This instance's long-running tasks for each group: probing its members, and running a keeper if
+//! the instance is one of the group's keepers.
 
 mod drain;
 mod exchange;
--- a/crates/arbutusrudder/src/duty/tasks.rs
+++ b/crates/arbutusrudder/src/duty/tasks.rs
@@ -1,4 +1,4 @@
-//! Starting and ending this instance's tasks as settings and instances change.
+//! Starts and stops this instance's tasks as settings and the instance list change.
 
 use super::drain::{order_switch, successor_of};
 use super::exchange::VoteExchange;
@@ -17,13 +17,13 @@
 use tokio::time::timeout;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// How often lanes and connection shares follow what was learned.
+/// Interval at which admission lanes and connection shares are refreshed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause between two orders to move the primary off the same draining member.
+/// Minimum time between two orders to move the primary off a draining member of the same group.
 const DRAIN_ORDER_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The tasks of one group. Dropping it ends them.
+/// The tasks of one group. Dropping it stops them.
 struct GroupTasks {
     group: Arc<GroupState>,
     _probes: JoinSet<()>,
@@ -36,14 +36,14 @@
     _stop: DropGuard,
 }
 
-/// What the duties work with.
+/// Starts and stops the tasks of all groups.
 struct TaskManager {
     context: Arc<InstanceContext>,
     store: Arc<dyn PlatformStore>,
     exchange: Arc<VoteExchange>,
 }
 
-/// Runs this instance's standing tasks for as long as it lives.
+/// Runs this instance's tasks for all groups. It never returns.
 pub(crate) async fn run_duties(
     context: Arc<InstanceContext>,
     store: Arc<dyn PlatformStore>,
@@ -59,7 +59,8 @@
         peers.borrow_and_update();
         manager.context.note_instances(&mesh.live());
         manager.update_tasks(&mut groups);
-        // Between changes, only what was learned is followed.
+        // While settings and instances do not change, only refreshes what depends on member
+        // reports.
         loop {
             let changed = async {
                 tokio::select! {
@@ -79,7 +80,7 @@
 }
 
 impl TaskManager {
-    /// Ends the duties of groups that are gone or changed, and starts those that are new.
+    /// Stops the tasks of removed or changed groups, and starts those of new ones.
     fn update_tasks(&self, groups: &mut Vec<GroupTasks>) {
         let fleet = self.context.fleet.load();
         groups.retain(|tasks| fleet.groups.iter().any(|group| Arc::ptr_eq(group, &tasks.group)));
@@ -114,7 +115,8 @@
         tasks.keeper = keeps.then(|| self.start_keeper(&tasks.group));
     }
 
-    /// Orders a switch if the group's primary is draining and this instance is its first keeper.
+    /// Orders a switch if the group's primary is draining and this instance is the first-ranked
+    /// keeper.
     fn order_drain_switch(&self, tasks: &mut GroupTasks) {
         let recent = tasks.drain_ordered_at.is_some_and(|at| at.elapsed() < DRAIN_ORDER_INTERVAL);
         let ranking = self.exchange.ranking(&tasks.group.service.name);
@@ -158,7 +160,7 @@
     }
 }
 
-/// Puts what a keeper learns on the group's board.
+/// Copies the member statuses that a keeper publishes into the group's member reports.
 async fn copy_reports(group: Arc<GroupState>, handle: KeeperHandle) {
     let mut view = handle.view();
     loop {
