--- a/crates/arbutusrudder/src/duty/tasks.rs
+++ b/crates/arbutusrudder/src/duty/tasks.rs
@@ -109,7 +109,7 @@
         }
         log::info!(
             target: "rudder::placement", service:% = service, keeps, reason = "rendezvous_rank";
-            "keeper duty changed"
+            "keeper assignment changed"
         );
         tasks.group.set_keeper(None);
         tasks.keeper = keeps.then(|| self.start_keeper(&tasks.group));
--- a/crates/arbutusrudder/src/keeper/orders.rs
+++ b/crates/arbutusrudder/src/keeper/orders.rs
@@ -25,7 +25,7 @@
         Err(error) => {
             log::warn!(
                 target: "rudder::succession", service:% = service, error:% = error;
-                "switch order removed: it is malformed"
+                "malformed switch order removed"
             );
             store.delete(ObjectKind::SwitchOrder, service.as_str(), &object.version).await?;
             Ok(None)
