--- a/crates/rudder-peers/examples/slopes/fleet.rs
+++ b/crates/rudder-peers/examples/slopes/fleet.rs
@@ -59,11 +59,11 @@
         live.len() == count && live.iter().all(|entry| entry.state == PeerState::Live)
     }
 
-    pub(crate) fn heard_term(&self, term: LogTerm) -> bool {
+    pub(crate) fn has_received_term(&self, term: LogTerm) -> bool {
         self.latest.term.load(Ordering::Relaxed) >= term.0
     }
 
-    pub(crate) fn heard_revision(&self, number: u64) -> bool {
+    pub(crate) fn has_received_revision(&self, number: u64) -> bool {
         self.latest.revision.load(Ordering::Relaxed) >= number
     }
 }
--- a/crates/rudder-peers/examples/slopes/run.rs
+++ b/crates/rudder-peers/examples/slopes/run.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything takes; a broken fleet ends the run.
-const PATIENCE: Duration = Duration::from_secs(180);
+const STATE_TIMEOUT: Duration = Duration::from_secs(180);
 /// The news of 570 joining at once takes minutes, ten to a heartbeat.
-const CALM_PATIENCE: Duration = Duration::from_secs(1200);
-const POLL: Duration = Duration::from_millis(5);
+const CALM_TIMEOUT: Duration = Duration::from_secs(1200);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Hints published one after the other at each size.
 const HINTS: u64 = 9;
 /// Between two hints, so that each finds the budget as it is in quiet.
-const HINT_PAUSE: Duration = Duration::from_secs(2);
+const HINT_INTERVAL: Duration = Duration::from_secs(2);
 /// A datagram of this fleet without news is smaller, one with news is larger.
 const BARE_BYTES_MAX: u64 = 92;
 /// How long the fleet is watched for news that still rides along.
@@ -109,7 +109,7 @@
 /// Waits until the news of so many joining at once has been passed on.
 async fn wait_for_calm(fleet: &[FleetMember]) -> Result<Duration, RunError> {
     let timer = Instant::now();
-    while timer.elapsed() < CALM_PATIENCE {
+    while timer.elapsed() < CALM_TIMEOUT {
         let before = traffic(fleet);
         tokio::time::sleep(CALM_WINDOW).await;
         let sent = total(&before, &traffic(fleet));
@@ -123,7 +123,7 @@
 async fn spread_terms(fleet: &[FleetMember]) -> Result<Value, RunError> {
     let mut times = Vec::new();
     for term in 1..=HINTS {
-        tokio::time::sleep(HINT_PAUSE).await;
+        tokio::time::sleep(HINT_INTERVAL).await;
         let hint = PeerHint::Group(GroupHint {
             service: "scores-db-001".parse().expect("a name of allowed characters"),
             term: LogTerm(term),
@@ -133,8 +133,9 @@
         });
         let timer = Instant::now();
         fleet[0].mesh.publish(hint).await;
-        let heard = || fleet[1..].iter().all(|member| member.heard_term(LogTerm(term)));
-        wait_for("new term heard", heard).await?;
+        let has_received =
+            || fleet[1..].iter().all(|member| member.has_received_term(LogTerm(term)));
+        wait_for("new term heard", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
@@ -143,11 +144,11 @@
 async fn spread_revisions(fleet: &[FleetMember]) -> Result<Value, RunError> {
     let mut times = Vec::new();
     for number in 1..=HINTS {
-        tokio::time::sleep(HINT_PAUSE).await;
+        tokio::time::sleep(HINT_INTERVAL).await;
         let timer = Instant::now();
         fleet[0].mesh.publish(PeerHint::Revision(RevisionHint { number })).await;
-        let heard = || fleet[1..].iter().all(|member| member.heard_revision(number));
-        wait_for("new revision heard", heard).await?;
+        let has_received = || fleet[1..].iter().all(|member| member.has_received_revision(number));
+        wait_for("new revision heard", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
@@ -172,7 +173,7 @@
     let start = traffic(fleet);
     let (mut before, mut peak) = (start.clone(), 0);
     while !fleet.iter().all(|member| member.sees(size)) {
-        if timer.elapsed() > PATIENCE {
+        if timer.elapsed() > STATE_TIMEOUT {
             return Err(RunError::Patience("lost instances removed"));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -195,10 +196,10 @@
 async fn wait_for(what: &'static str, condition: impl Fn() -> bool) -> Result<(), RunError> {
     let wait = async {
         while !condition() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.map_err(|_| RunError::Patience(what))
+    tokio::time::timeout(STATE_TIMEOUT, wait).await.map_err(|_| RunError::Patience(what))
 }
 
 fn summary(mut times: Vec<Duration>) -> Value {
--- a/crates/rudder-peers/src/budget/bucket.rs
+++ b/crates/rudder-peers/src/budget/bucket.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendClass {
     /// Heartbeats and their answers.
-    Liveness,
+    Heartbeat,
     /// News of members and urgent hints.
-    News,
+    Updates,
     /// Routine hints.
     Routine,
 }
@@ -23,8 +23,8 @@
 impl SendClass {
     const fn reserve_percent(self) -> i64 {
         match self {
-            Self::Liveness => 0,
-            Self::News => 30,
+            Self::Heartbeat => 0,
+            Self::Updates => 30,
             Self::Routine => 60,
         }
     }
@@ -65,7 +65,7 @@
     }
 
     /// Takes `bytes` out if no earlier debt stands; for transfers larger than the bucket.
-    pub(crate) fn take_on_credit(&mut self, bytes: u64, now: Duration) -> bool {
+    pub(crate) fn take_with_debt(&mut self, bytes: u64, now: Duration) -> bool {
         self.fill(now);
         let allowed = self.level_millibytes > 0;
         if allowed {
--- a/crates/rudder-peers/src/budget/tests.rs
+++ b/crates/rudder-peers/src/budget/tests.rs
@@ -8,13 +8,13 @@
 }
 
 #[test]
-fn a_bucket_gives_its_rate_and_no_more() {
+fn bucket_does_not_exceed_its_rate() {
     let mut bucket = TokenBucket::new(1000, 4000, Duration::ZERO);
     let mut sent = 0;
 
     for step in 0..100_000_u64 {
         let now = Duration::from_millis(step);
-        if bucket.allows(100, SendClass::Liveness, now) {
+        if bucket.allows(100, SendClass::Heartbeat, now) {
             bucket.take(100);
             sent += 100;
         }
@@ -25,22 +25,22 @@
 }
 
 #[test]
-fn each_class_leaves_a_part_to_those_above_it() {
+fn each_class_leaves_a_reserve_for_more_important_ones() {
     let mut bucket = TokenBucket::new(1000, 1000, Duration::ZERO);
 
     bucket.take(500);
 
     assert!(!bucket.allows(1, SendClass::Routine, Duration::ZERO));
-    assert!(bucket.allows(200, SendClass::News, Duration::ZERO));
-    assert!(!bucket.allows(201, SendClass::News, Duration::ZERO));
-    assert!(bucket.allows(500, SendClass::Liveness, Duration::ZERO));
+    assert!(bucket.allows(200, SendClass::Updates, Duration::ZERO));
+    assert!(!bucket.allows(201, SendClass::Updates, Duration::ZERO));
+    assert!(bucket.allows(500, SendClass::Heartbeat, Duration::ZERO));
 }
 
 #[test]
-fn a_transfer_on_credit_is_paid_off_before_the_next() {
+fn transfer_debt_is_repaid_before_the_next_transfer() {
     let mut bucket = TokenBucket::new(100, 1000, Duration::ZERO);
 
-    assert!(bucket.take_on_credit(5000, Duration::ZERO));
-    assert!(!bucket.take_on_credit(1, seconds(40)));
-    assert!(bucket.take_on_credit(1, seconds(41)));
+    assert!(bucket.take_with_debt(5000, Duration::ZERO));
+    assert!(!bucket.take_with_debt(1, seconds(40)));
+    assert!(bucket.take_with_debt(1, seconds(41)));
 }
--- a/crates/rudder-peers/src/handler.rs
+++ b/crates/rudder-peers/src/handler.rs
@@ -6,10 +6,10 @@
 
 /// A handler that takes no notice of hints and answers no request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct QuietHandler;
+pub struct NoopHandler;
 
 #[async_trait]
-impl PeerHandler for QuietHandler {
+impl PeerHandler for NoopHandler {
     async fn on_hint(&self, _message: HintMessage) {}
 
     async fn on_request(&self, _request: PeerRequest) -> PeerReply {
--- a/crates/rudder-peers/src/hints/board.rs
+++ b/crates/rudder-peers/src/hints/cache.rs
@@ -8,35 +8,35 @@
 const HINTS_MAX: usize = 16_384;
 
 /// A vote speaks of the last seconds; later it only takes memory.
-const VOTE_LIFE: Duration = Duration::from_secs(30);
+const VOTE_TTL: Duration = Duration::from_secs(30);
 
 /// By then the settings say that a member is leaving, or it has left.
-const NOTICE_LIFE: Duration = Duration::from_secs(600);
+const NOTICE_TTL: Duration = Duration::from_secs(600);
 
 /// How often a routine hint is told.
-const ROUTINE_SENDS: u32 = 2;
+const ROUTINE_SENDS_MAX: u32 = 2;
 
 #[derive(Clone, Debug)]
 struct HintRecord {
     key: HintKey,
     hint: PeerHint,
-    heard_at: Duration,
+    received_at: Duration,
     urgency: HintUrgency,
     sends_left: u32,
 }
 
 /// The newest hint for each key, sorted by key, and how often each is still to be told.
 #[derive(Debug, Default)]
-pub(crate) struct HintBoard {
+pub(crate) struct HintCache {
     records: Vec<HintRecord>,
     digest: u32,
 }
 
-impl HintBoard {
+impl HintCache {
     /// Takes a hint in. Returns how it travels, or none if it is not news.
     ///
     /// `sends` is how often an urgent hint is told, `relayed` whether a peer told it.
-    pub(crate) fn absorb(
+    pub(crate) fn insert(
         &mut self,
         hint: PeerHint,
         relayed: bool,
@@ -52,21 +52,21 @@
             // A routine hint is not relayed: 780 groups passed on by 570 instances would not fit
             // any budget, and each relay makes its age worse.
             HintUrgency::Routine if relayed => 0,
-            HintUrgency::Routine => ROUTINE_SENDS,
+            HintUrgency::Routine => ROUTINE_SENDS_MAX,
         };
         if found.is_err() && self.records.len() >= HINTS_MAX {
             return None;
         }
         self.digest = self.digest.wrapping_add(hint.digest());
-        let record = HintRecord { key, hint, heard_at: now, urgency, sends_left };
+        let record = HintRecord { key, hint, received_at: now, urgency, sends_left };
         match found {
             Ok(index) => {
                 // A refresh of a term that is still being spread must not stop its spread.
                 let pending = &self.records[index];
                 self.digest = self.digest.wrapping_sub(pending.hint.digest());
-                let spreading = pending.urgency == HintUrgency::Urgent
+                let urgent_pending = pending.urgency == HintUrgency::Urgent
                     && pending.sends_left > record.sends_left;
-                let (urgency, sends_left) = if spreading {
+                let (urgency, sends_left) = if urgent_pending {
                     (pending.urgency, pending.sends_left)
                 } else {
                     (record.urgency, record.sends_left)
@@ -87,7 +87,7 @@
     pub(crate) fn groups(&self) -> Vec<PeerHint> {
         let is_group = |hint: &&PeerHint| matches!(hint, PeerHint::Group(_));
         let hints = self.records.iter().map(|record| &record.hint);
-        hints.filter(is_group).cloned().map(PeerHint::unbounded).collect()
+        hints.filter(is_group).cloned().map(PeerHint::without_age_bound).collect()
     }
 
     /// The hints of this urgency that are still to be told, the least told first, aged to `now`.
@@ -97,14 +97,14 @@
         count_max: usize,
         now: Duration,
     ) -> Vec<PeerHint> {
-        let waits = |record: &&HintRecord| record.urgency == urgency && record.sends_left > 0;
-        let mut waiting: Vec<&HintRecord> = self.records.iter().filter(waits).collect();
-        waiting.sort_by_key(|record| std::cmp::Reverse(record.sends_left));
-        waiting.iter().take(count_max).map(|record| record.current(now)).collect()
+        let is_pending = |record: &&HintRecord| record.urgency == urgency && record.sends_left > 0;
+        let mut pending: Vec<&HintRecord> = self.records.iter().filter(is_pending).collect();
+        pending.sort_by_key(|record| std::cmp::Reverse(record.sends_left));
+        pending.iter().take(count_max).map(|record| record.current(now)).collect()
     }
 
     /// Counts a hint as told once more.
-    pub(crate) fn told(&mut self, hint: &PeerHint) {
+    pub(crate) fn record_sent(&mut self, hint: &PeerHint) {
         let key = hint.key();
         if let Ok(index) = self.records.binary_search_by(|record| record.key.cmp(&key)) {
             let record = &mut self.records[index];
@@ -123,10 +123,10 @@
     /// Drops votes and notices that have served.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.records.retain(|record| {
-            let age = now.saturating_sub(record.heard_at);
+            let age = now.saturating_sub(record.received_at);
             match record.hint {
-                PeerHint::Vote(_) => age < VOTE_LIFE,
-                PeerHint::Leaving(_) => age < NOTICE_LIFE,
+                PeerHint::Vote(_) => age < VOTE_TTL,
+                PeerHint::Leaving(_) => age < NOTICE_TTL,
                 _ => true,
             }
         });
@@ -135,6 +135,6 @@
 
 impl HintRecord {
     fn current(&self, now: Duration) -> PeerHint {
-        self.hint.clone().aged(now.saturating_sub(self.heard_at))
+        self.hint.clone().aged(now.saturating_sub(self.received_at))
     }
 }
--- a/crates/rudder-peers/src/hints/hint.rs
+++ b/crates/rudder-peers/src/hints/hint.rs
@@ -150,7 +150,7 @@
     }
 
     /// The same hint without a bound on its age.
-    pub(crate) fn unbounded(mut self) -> Self {
+    pub(crate) fn without_age_bound(mut self) -> Self {
         if let Some(age) = self.age_mut() {
             *age = None;
         }
--- a/crates/rudder-peers/src/keepers/mod.rs
+++ b/crates/rudder-peers/src/keepers/mod.rs
@@ -2,10 +2,10 @@
 //! of the live instances, so that all instances that see the same ones agree without a word.
 
 mod ranking;
+mod selection;
 mod share;
 #[cfg(test)]
 mod tests;
-mod watch;
 
+pub use selection::{DutyMap, KEEPER_COUNT, forwarding_order, holders_of, keepers_of};
 pub use share::{ConnectionShare, HolderRule};
-pub use watch::{DutyMap, KEEPER_COUNT, forward_order, holders_of, keepers_of};
--- a/crates/rudder-peers/src/keepers/ranking.rs
+++ b/crates/rudder-peers/src/keepers/ranking.rs
@@ -49,7 +49,7 @@
             kept.resize_with(peer.domain + 1, Vec::new);
         }
         let weight = xxh3_64_with_seed(&peer.hash.to_le_bytes(), key_hash);
-        keep_heaviest(&mut kept[peer.domain], (weight, peer.index), count);
+        insert_by_weight(&mut kept[peer.domain], (weight, peer.index), count);
     }
     let mut chosen: Vec<(usize, u64, usize)> = Vec::new();
     for domain in kept {
@@ -61,7 +61,7 @@
 }
 
 /// Keeps the `count` heaviest, the heaviest first.
-fn keep_heaviest(kept: &mut Vec<(u64, usize)>, peer: (u64, usize), count: usize) {
+fn insert_by_weight(kept: &mut Vec<(u64, usize)>, peer: (u64, usize), count: usize) {
     if kept.len() == count && kept.last().is_some_and(|last| last.0 >= peer.0) {
         return;
     }
--- a/crates/rudder-peers/src/keepers/watch.rs
+++ b/crates/rudder-peers/src/keepers/selection.rs
@@ -52,12 +52,12 @@
 /// of its own failure domain first.
 ///
 /// ```
-/// let order = rudder_peers::forward_order(&"bangor".parse()?, &[], &[]);
+/// let order = rudder_peers::forwarding_order(&"bangor".parse()?, &[], &[]);
 /// assert!(order.is_empty());
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[must_use]
-pub fn forward_order(
+pub fn forwarding_order(
     domain: &DomainName,
     holders: &[InstanceName],
     peers: &[PeerEntry],
--- a/crates/rudder-peers/src/keepers/share.rs
+++ b/crates/rudder-peers/src/keepers/share.rs
@@ -64,20 +64,20 @@
 /// wanted share has stayed as large for longer than any two views differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionShare {
-    settle: Duration,
+    growth_delay: Duration,
     current: ConnectionCount,
-    growing: Option<Growth>,
+    pending_growth: Option<PendingGrowth>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Growth {
+struct PendingGrowth {
     /// The least that was wanted since.
     wanted: ConnectionCount,
     since: Duration,
 }
 
 impl ConnectionShare {
-    /// A share of `first` that grows only after a greater one was wanted for `settle`.
+    /// A share of `first` that grows only after a greater one was wanted for `growth_delay`.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
@@ -89,8 +89,8 @@
     /// assert_eq!(share.update(ConnectionCount(3), Duration::from_secs(11)), ConnectionCount(3));
     /// ```
     #[must_use]
-    pub fn new(first: ConnectionCount, settle: Duration) -> Self {
-        Self { settle, current: first, growing: None }
+    pub fn new(first: ConnectionCount, growth_delay: Duration) -> Self {
+        Self { growth_delay, current: first, pending_growth: None }
     }
 
     /// Takes in the share that the present view gives, and returns the one that may be used.
@@ -107,16 +107,16 @@
     pub fn update(&mut self, wanted: ConnectionCount, now: Duration) -> ConnectionCount {
         if wanted <= self.current {
             self.current = wanted;
-            self.growing = None;
+            self.pending_growth = None;
             return self.current;
         }
-        let growth = self.growing.get_or_insert(Growth { wanted, since: now });
+        let growth = self.pending_growth.get_or_insert(PendingGrowth { wanted, since: now });
         if wanted < growth.wanted {
             growth.wanted = wanted;
         }
-        if now.saturating_sub(growth.since) >= self.settle {
+        if now.saturating_sub(growth.since) >= self.growth_delay {
             self.current = growth.wanted;
-            self.growing = None;
+            self.pending_growth = None;
         }
         self.current
     }
--- a/crates/rudder-peers/src/keepers/tests.rs
+++ b/crates/rudder-peers/src/keepers/tests.rs
@@ -1,6 +1,6 @@
 //! Who keeps and who holds, as instances come and go.
 
-use super::{ConnectionShare, DutyMap, HolderRule, forward_order, holders_of, keepers_of};
+use super::{ConnectionShare, DutyMap, HolderRule, forwarding_order, holders_of, keepers_of};
 use crate::member::{Incarnation, PeerEntry, PeerState};
 use rudder_core::{ConnectionCount, ServiceName};
 use std::time::Duration;
@@ -23,8 +23,8 @@
     (0..count).map(|number| format!("s{number:04}").parse().unwrap()).collect()
 }
 
-fn without(peers: &[PeerEntry], gone: usize) -> Vec<PeerEntry> {
-    let others = peers.iter().enumerate().filter(|(index, _)| *index != gone);
+fn without(peers: &[PeerEntry], removed: usize) -> Vec<PeerEntry> {
+    let others = peers.iter().enumerate().filter(|(index, _)| *index != removed);
     others.map(|(_, peer)| peer.clone()).collect()
 }
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn keepers_stand_in_different_failure_domains() {
+fn keepers_are_in_different_failure_domains() {
     // A failure domain is lost with a primary and all keepers of its group: nobody is left to
     // notice and to promote.
     let peers = fleet(60);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn with_too_few_domains_keepers_still_are_as_many() {
+fn too_few_failure_domains_do_not_reduce_keeper_count() {
     let mut peers = fleet(6);
     for peer in &mut peers {
         peer.domain = "only".parse().unwrap();
@@ -63,18 +63,18 @@
 }
 
 #[test]
-fn only_the_groups_of_the_one_that_goes_move() {
+fn removing_an_instance_reassigns_only_its_groups() {
     // An instance is replaced every few minutes somewhere in a large fleet. If that moved the
     // duties of others, groups would be without a settled keeper all day.
     let peers = fleet(60);
 
-    for gone in [0, 17, 59] {
-        let rest = without(&peers, gone);
+    for removed in [0, 17, 59] {
+        let rest = without(&peers, removed);
         for service in services(300) {
             let before = keepers_of(&service, &peers, 3);
             let after = keepers_of(&service, &rest, 3);
             let kept = before.iter().filter(|name| after.contains(name)).count();
-            let affected = before.contains(&peers[gone].name);
+            let affected = before.contains(&peers[removed].name);
 
             assert_eq!(kept, if affected { 2 } else { 3 });
             if !affected {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn leaving_instances_keep_nothing_and_suspect_ones_stay() {
+fn leaving_instances_lose_their_duties_and_suspect_ones_keep_them() {
     let mut peers = fleet(10);
     let service = &services(1)[0];
     let before = keepers_of(service, &peers, 3);
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn holders_take_turns_over_the_failure_domains() {
+fn holders_are_spread_over_failure_domains() {
     let peers = fleet(570);
 
     for service in services(50) {
         let holders = holders_of(&service, &peers, 7);
-        let order = forward_order(&peers[3].domain, &holders, &peers);
+        let order = forwarding_order(&peers[3].domain, &holders, &peers);
 
         assert_eq!(domains_of(&holders, &peers), 7);
         assert_eq!(domains_of(&order[..1], &peers), 1);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_share_shrinks_at_once_and_grows_only_after_a_settled_time() {
+fn share_shrinks_at_once_and_grows_only_after_the_growth_delay() {
     // An instance sees another one go and takes over its part, while a third has seen a newcomer
     // that the first has not. Together they open more connections than the member accepts.
     let settle = Duration::from_secs(10);
@@ -189,11 +189,11 @@
 
     let shrunk = share.update(ConnectionCount(3), second(0));
     let waiting = share.update(ConnectionCount(5), second(1));
-    let dented = share.update(ConnectionCount(4), second(6));
+    let reduced = share.update(ConnectionCount(4), second(6));
     let grown = share.update(ConnectionCount(5), second(11));
     let later = share.update(ConnectionCount(5), second(12));
 
-    assert_eq!([shrunk.0, waiting.0, dented.0], [3, 3, 3]);
+    assert_eq!([shrunk.0, waiting.0, reduced.0], [3, 3, 3]);
     assert_eq!(grown, ConnectionCount(4), "only what was wanted all the time");
     assert_eq!(later, ConnectionCount(4), "the rest waits anew");
 }
--- a/crates/rudder-peers/src/lib.rs
+++ b/crates/rudder-peers/src/lib.rs
@@ -13,13 +13,13 @@
 mod node;
 mod wire;
 
-pub use handler::{PeerHandler, QuietHandler};
+pub use handler::{NoopHandler, PeerHandler};
 pub use hints::{
     GroupHint, HintMessage, LeavingNotice, LeavingSubject, MemberSample, PeerHint, RevisionHint,
     SuspicionVote,
 };
 pub use keepers::{
-    ConnectionShare, DutyMap, HolderRule, KEEPER_COUNT, forward_order, holders_of, keepers_of,
+    ConnectionShare, DutyMap, HolderRule, KEEPER_COUNT, forwarding_order, holders_of, keepers_of,
 };
 pub use member::{Incarnation, PeerEntry, PeerState};
 pub use mesh::{MeshError, MeshSettings, PeerError, PeerMesh};
--- a/crates/rudder-peers/src/member.rs
+++ b/crates/rudder-peers/src/member.rs
@@ -52,7 +52,7 @@
     /// leaving
     Leaving,
     /// gone
-    Gone,
+    Removed,
 }
 
 plain_data! {
@@ -66,7 +66,7 @@
         pub domain: DomainName,
         /// The life of the instance that this entry speaks of.
         pub incarnation: Incarnation,
-        /// Its state. Entries handed out by the mesh are never `Gone`.
+        /// Its state. Entries handed out by the mesh are never `Removed`.
         pub state: PeerState,
     }
 }
--- a/crates/rudder-peers/src/membership/action.rs
+++ b/crates/rudder-peers/src/membership/action.rs
@@ -11,6 +11,6 @@
         pub(crate) to: SocketAddr,
         pub(crate) body: DatagramBody,
         /// What must be the first of its news.
-        pub(crate) first: Option<PeerEntry>,
+        pub(crate) first_update: Option<PeerEntry>,
     }
 }
--- a/crates/rudder-peers/src/membership/hearing.rs
+++ b/crates/rudder-peers/src/membership/merging.rs
@@ -8,95 +8,96 @@
 
 impl Membership {
     /// Takes in what somebody says about an instance.
-    pub(super) fn hear(&mut self, heard: PeerEntry, now: Duration) {
-        if heard.name == self.me.name {
-            self.refute(&heard);
+    pub(super) fn apply_entry(&mut self, received: PeerEntry, now: Duration) {
+        if received.name == self.local_entry.name {
+            self.refute(&received);
             return;
         }
-        let held = self.table.get(&heard.name).map(|record| (record.entry.clone(), record.check));
-        match held {
-            None if heard.state == PeerState::Gone => {}
+        let known =
+            self.table.get(&received.name).map(|record| (record.entry.clone(), record.check));
+        match known {
+            None if received.state == PeerState::Removed => {}
             None => {
-                self.order.insert(heard.name.clone(), &mut self.rng);
+                self.order.insert(received.name.clone(), &mut self.rng);
                 self.urgent = true;
-                self.adopt(heard, now);
+                self.store_entry(received, now);
             }
-            Some((held, _)) if !heard.supersedes(&held) => {}
-            Some((held, check)) if heard.state == PeerState::Gone => {
-                self.doubt(held, check, &heard, now);
+            Some((known, _)) if !received.supersedes(&known) => {}
+            Some((known, check)) if received.state == PeerState::Removed => {
+                self.verify_removal(known, check, &received, now);
             }
-            Some(_) => self.adopt(heard, now),
+            Some(_) => self.store_entry(received, now),
         }
     }
 
     /// A peer found the instance gone. Guards against removing a live instance on hearsay, which
     /// would happen to every instance of a region when two regions meet again: this instance asks
     /// it once itself, and its answer brings a greater incarnation if it is live.
-    fn doubt(
+    fn verify_removal(
         &mut self,
-        held: PeerEntry,
+        known: PeerEntry,
         check: Option<CheckPlan>,
-        heard: &PeerEntry,
+        received: &PeerEntry,
         now: Duration,
     ) {
         if check.is_some_and(|plan| plan.style == ProbeStyle::Single)
-            && heard.incarnation == held.incarnation
+            && received.incarnation == known.incarnation
         {
             return;
         }
-        let state = held.state.max(PeerState::Suspect);
-        let entry = PeerEntry { incarnation: heard.incarnation, state, ..held };
+        let state = known.state.max(PeerState::Suspect);
+        let entry = PeerEntry { incarnation: received.incarnation, state, ..known };
         let check = Some(CheckPlan { at: now, style: ProbeStyle::Single });
         self.replace(entry, check, now);
     }
 
-    fn adopt(&mut self, heard: PeerEntry, now: Duration) {
-        let check = match heard.state {
+    fn store_entry(&mut self, received: PeerEntry, now: Duration) {
+        let check = match received.state {
             PeerState::Suspect => {
                 Some(CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Repeated })
             }
             _ => None,
         };
-        self.urgent |= heard.state == PeerState::Leaving;
-        for name in self.table.others_at(heard.address, &heard.name) {
+        self.urgent |= received.state == PeerState::Leaving;
+        for name in self.table.others_at(received.address, &received.name) {
             // The address has been taken over: whoever was there is asked at once.
             self.table.plan_check(&name, Some(CheckPlan { at: now, style: ProbeStyle::Single }));
         }
-        self.replace(heard, check, now);
+        self.replace(received, check, now);
     }
 
     pub(super) fn replace(&mut self, entry: PeerEntry, check: Option<CheckPlan>, now: Duration) {
-        self.news.add(&entry.name, self.table.records().len());
-        self.table.put(PeerRecord { entry, check, gone_at: now });
+        self.updates.add(&entry.name, self.table.records().len());
+        self.table.put(PeerRecord { entry, check, removed_at: now });
         self.changed = true;
     }
 
     /// Guards against being removed while live: a claim against this instance is superseded by a
     /// greater incarnation, which nobody else may choose.
-    fn refute(&mut self, heard: &PeerEntry) {
-        if heard.supersedes(&self.me) {
-            self.me.incarnation = heard.incarnation.next();
-            self.announce_me();
+    fn refute(&mut self, received: &PeerEntry) {
+        if received.supersedes(&self.local_entry) {
+            self.local_entry.incarnation = received.incarnation.next();
+            self.announce_local();
         }
     }
 
-    pub(super) fn announce_me(&mut self) {
-        self.news.add(&self.me.name, self.table.records().len());
+    pub(super) fn announce_local(&mut self) {
+        self.updates.add(&self.local_entry.name, self.table.records().len());
         self.changed = true;
         self.urgent = true;
     }
 
-    pub(super) fn bury(&mut self, entry: PeerEntry, now: Duration) {
+    pub(super) fn mark_removed(&mut self, entry: PeerEntry, now: Duration) {
         log::info!(target: "rudder::membership", instance:% = entry.name; "gone");
-        self.replace(PeerEntry { state: PeerState::Gone, ..entry }, None, now);
+        self.replace(PeerEntry { state: PeerState::Removed, ..entry }, None, now);
     }
 
     /// The sender listens at its address, so whoever was known there is gone.
-    pub(super) fn bury_predecessors(&mut self, sender: &PeerEntry, now: Duration) {
+    pub(super) fn remove_predecessors(&mut self, sender: &PeerEntry, now: Duration) {
         for name in self.table.others_at(sender.address, &sender.name) {
             if let Some(record) = self.table.get(&name) {
                 let entry = record.entry.clone();
-                self.bury(entry, now);
+                self.mark_removed(entry, now);
             }
         }
     }
--- a/crates/rudder-peers/src/membership/mod.rs
+++ b/crates/rudder-peers/src/membership/mod.rs
@@ -5,13 +5,13 @@
 //! incarnation, which it alone can choose.
 
 mod action;
-mod hearing;
-mod news;
+mod merging;
 mod probe;
 mod probing;
 mod settings;
 mod state;
 mod table;
+mod updates;
 
 pub(crate) use action::PeerAction;
 pub(crate) use settings::MembershipSettings;
--- a/crates/rudder-peers/src/membership/probe.rs
+++ b/crates/rudder-peers/src/membership/probe.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStyle {
     /// If there is no answer, helpers are asked: nobody else suspects the target yet.
-    Helped,
+    Indirect,
     /// If there is no answer, it is asked once more: a peer suspects it.
     Repeated,
     /// It is asked once: a peer found it gone.
@@ -103,12 +103,12 @@
     }
 
     /// Forgets all own probes without a verdict.
-    pub(crate) fn abandon(&mut self) {
+    pub(crate) fn clear_probes(&mut self) {
         self.probes.clear();
     }
 
     /// Forgets probes made for others that were sent before `since`.
-    pub(crate) fn forget_relays(&mut self, since: Duration) {
+    pub(crate) fn expire_relays(&mut self, since: Duration) {
         self.relays.retain(|relay| relay.sent_at >= since);
     }
 }
--- a/crates/rudder-peers/src/membership/probing.rs
+++ b/crates/rudder-peers/src/membership/probing.rs
@@ -15,25 +15,25 @@
 impl Membership {
     /// Guards against a frozen instance that wakes and takes its own silence for that of others:
     /// probes sent before the freeze give no verdict, and all checks start anew.
-    pub(super) fn notice_freeze(&mut self, now: Duration) {
-        let frozen =
+    pub(super) fn detect_pause(&mut self, now: Duration) {
+        let paused =
             self.ticked_at.is_some_and(|ticked| now.saturating_sub(ticked) > self.settings.period);
         self.ticked_at = Some(now);
-        if frozen {
-            self.probes.abandon();
+        if paused {
+            self.probes.clear_probes();
             self.table.defer_checks(now + self.settings.suspicion);
-            log::info!(target: "rudder::membership", instance:% = self.me.name; "woke after a freeze");
+            log::info!(target: "rudder::membership", instance:% = self.local_entry.name; "woke after a freeze");
         }
     }
 
-    pub(super) fn judge_probes(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
+    pub(super) fn check_probe_timeouts(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
         let settings = &self.settings;
         let (mut failed, mut slow) = (Vec::new(), Vec::new());
         for probe in self.probes.probes() {
             let waited = now.saturating_sub(probe.sent_at);
             let bound = match probe.style {
                 ProbeStyle::Single => settings.direct_timeout,
-                ProbeStyle::Helped | ProbeStyle::Repeated => settings.probe_timeout,
+                ProbeStyle::Indirect | ProbeStyle::Repeated => settings.probe_timeout,
             };
             if waited >= bound {
                 failed.push(probe.sequence);
@@ -55,15 +55,15 @@
         let ProbeTarget::Peer { name, incarnation } = &probe.target else { return };
         let Some(record) = self.table.get(name) else { return };
         let entry = record.entry.clone();
-        if entry.incarnation != *incarnation || entry.state == PeerState::Gone {
+        if entry.incarnation != *incarnation || entry.state == PeerState::Removed {
             return;
         }
         match record.check {
-            Some(plan) if plan.at <= now => self.bury(entry, now),
+            Some(plan) if plan.at <= now => self.mark_removed(entry, now),
             Some(_) => {}
             None => {
                 let plan =
-                    CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Helped };
+                    CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Indirect };
                 let state = entry.state.max(PeerState::Suspect);
                 log::info!(target: "rudder::membership", instance:% = entry.name; "suspected");
                 self.replace(PeerEntry { state, ..entry }, Some(plan), now);
@@ -77,7 +77,7 @@
         let ProbeTarget::Peer { name, .. } = &probe.target else { return };
         let Some(target) = self.table.get(name).map(|record| record.entry.clone()) else { return };
         match probe.style {
-            ProbeStyle::Helped => self.ask_helpers(probe.sequence, &target, actions),
+            ProbeStyle::Indirect => self.request_indirect_probes(probe.sequence, &target, actions),
             ProbeStyle::Repeated => actions.push(probe_action(probe.sequence, &target)),
             ProbeStyle::Single => {}
         }
@@ -85,14 +85,19 @@
 
     /// Asks others to probe. They stand in different failure domains, so that one cut link, or one
     /// domain cut off from the target's, does not look like the target's failure.
-    fn ask_helpers(&mut self, sequence: u32, target: &PeerEntry, actions: &mut Vec<PeerAction>) {
-        for to in self.helpers_for(&target.name) {
+    fn request_indirect_probes(
+        &mut self,
+        sequence: u32,
+        target: &PeerEntry,
+        actions: &mut Vec<PeerAction>,
+    ) {
+        for to in self.choose_relays(&target.name) {
             let body = DatagramBody::IndirectProbe { sequence, target: target.name.clone() };
-            actions.push(PeerAction { to, body, first: Some(target.clone()) });
+            actions.push(PeerAction { to, body, first_update: Some(target.clone()) });
         }
     }
 
-    fn helpers_for(&mut self, target: &InstanceName) -> Vec<SocketAddr> {
+    fn choose_relays(&mut self, target: &InstanceName) -> Vec<SocketAddr> {
         let mut candidates: Vec<PeerEntry> = self
             .table
             .present()
@@ -100,7 +105,7 @@
             .cloned()
             .collect();
         candidates.shuffle(&mut self.rng);
-        let mut seen: Vec<DomainName> = vec![self.me.domain.clone()];
+        let mut seen: Vec<DomainName> = vec![self.local_entry.domain.clone()];
         let (mut far, mut near) = (Vec::new(), Vec::new());
         for entry in candidates {
             if seen.contains(&entry.domain) {
@@ -111,7 +116,7 @@
             }
         }
         far.extend(near);
-        far.truncate(self.settings.helpers);
+        far.truncate(self.settings.relay_count);
         far
     }
 
@@ -123,7 +128,7 @@
                 && !self.probes.probes_peer(&record.entry.name)
         });
         if let Some((entry, plan)) = due.map(|record| (record.entry.clone(), record.check)) {
-            let style = plan.map_or(ProbeStyle::Helped, |plan| plan.style);
+            let style = plan.map_or(ProbeStyle::Indirect, |plan| plan.style);
             self.probe(&entry, style, now, actions);
         }
     }
@@ -133,34 +138,34 @@
         let all = || table.present().map(|entry| entry.name.clone()).collect();
         let Some(name) = self.order.next(&mut self.rng, all) else { return };
         let Some(record) = self.table.get(&name) else { return };
-        if record.entry.state != PeerState::Gone && !self.probes.probes_peer(&name) {
+        if record.entry.state != PeerState::Removed && !self.probes.probes_peer(&name) {
             let entry = record.entry.clone();
-            self.probe(&entry, ProbeStyle::Helped, now, actions);
+            self.probe(&entry, ProbeStyle::Indirect, now, actions);
         }
     }
 
     /// Probes one instance that is gone, or a seed nobody is known at. Guards against two parted
     /// regions that never find each other again, since each has removed the other.
-    pub(super) fn revive_one(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
-        let taken = |address: &SocketAddr| {
-            *address == self.me.address
+    pub(super) fn probe_removed(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
+        let in_use = |address: &SocketAddr| {
+            *address == self.local_entry.address
                 || self.table.present().any(|entry| entry.address == *address)
         };
-        let gone = self.table.gone().filter(|entry| !taken(&entry.address));
-        let gone: Vec<PeerEntry> = gone.cloned().collect();
-        let seeds = self.seeds.iter().filter(|seed| !taken(seed));
+        let removed = self.table.removed().filter(|entry| !in_use(&entry.address));
+        let removed: Vec<PeerEntry> = removed.cloned().collect();
+        let seeds = self.seeds.iter().filter(|seed| !in_use(seed));
         let seeds: Vec<SocketAddr> = seeds.copied().collect();
-        if self.takes_turn(gone.len())
-            && let Some(entry) = gone.choose(&mut self.rng)
+        if self.chooses_rejoin_probe(removed.len())
+            && let Some(entry) = removed.choose(&mut self.rng)
         {
             self.probe(entry, ProbeStyle::Single, now, actions);
         }
-        if self.takes_turn(seeds.len())
+        if self.chooses_rejoin_probe(seeds.len())
             && let Some(&seed) = seeds.choose(&mut self.rng)
         {
             let sequence = self.add_probe(ProbeTarget::Seed, ProbeStyle::Single, now);
             let body = DatagramBody::Probe { sequence, target: None };
-            actions.push(PeerAction { to: seed, body, first: None });
+            actions.push(PeerAction { to: seed, body, first_update: None });
         }
     }
 
@@ -169,9 +174,9 @@
     /// Guards against a fleet that falls upon one address: 570 instances that remember the same one
     /// would probe it over a hundred times a second, and whoever listens there by then would use
     /// its budget up on answers. All together probe each address about once a period.
-    fn takes_turn(&mut self, targets: usize) -> bool {
+    fn chooses_rejoin_probe(&mut self, targets: usize) -> bool {
         let periods =
-            self.settings.revival_interval.as_secs_f64() / self.settings.period.as_secs_f64();
+            self.settings.rejoin_interval.as_secs_f64() / self.settings.period.as_secs_f64();
         let peers = self.table.present().count() + 1;
         let turns = targets as f64 * periods / peers as f64;
         self.rng.random_bool(turns.min(1.0))
@@ -200,7 +205,7 @@
         self.sequence
     }
 
-    pub(super) fn probe_for(
+    pub(super) fn relay_probe(
         &mut self,
         origin: SocketAddr,
         origin_sequence: u32,
@@ -215,7 +220,7 @@
         }
     }
 
-    pub(super) fn acknowledged(
+    pub(super) fn on_ack(
         &mut self,
         sequence: u32,
         sender: &PeerEntry,
@@ -224,17 +229,22 @@
     ) -> Option<Duration> {
         if let Some(relay) = self.probes.take_relay(sequence) {
             let body = DatagramBody::RelayedAck { sequence: relay.origin_sequence };
-            let first = Some(sender.clone());
-            actions.push(PeerAction { to: relay.origin, body, first });
+            let first_update = Some(sender.clone());
+            actions.push(PeerAction { to: relay.origin, body, first_update });
             return None;
         }
         let probe = self.probes.take(sequence)?;
-        self.confirm(&probe, sender, now);
+        self.confirm_alive(&probe, sender, now);
         Some(now.saturating_sub(probe.sent_at))
     }
 
     /// The target of a probe has answered.
-    pub(super) fn confirm(&mut self, probe: &ProbeRecord, answerer: &PeerEntry, now: Duration) {
+    pub(super) fn confirm_alive(
+        &mut self,
+        probe: &ProbeRecord,
+        answerer: &PeerEntry,
+        now: Duration,
+    ) {
         let ProbeTarget::Peer { name, .. } = &probe.target else { return };
         if *name != answerer.name {
             return;
@@ -242,7 +252,7 @@
         let Some(record) = self.table.get(name) else { return };
         // A suspect instance answers with a greater incarnation once it has heard of the
         // suspicion; until then it stays suspect, but it is not removed.
-        let plan = CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Helped };
+        let plan = CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Indirect };
         let check = (record.entry.state == PeerState::Suspect).then_some(plan);
         self.table.plan_check(name, check);
     }
@@ -251,6 +261,6 @@
 /// The datagram that probes an instance; a doubted one hears of the doubt with it.
 fn probe_action(sequence: u32, target: &PeerEntry) -> PeerAction {
     let body = DatagramBody::Probe { sequence, target: Some(target.name.clone()) };
-    let first = (target.state != PeerState::Live).then(|| target.clone());
-    PeerAction { to: target.address, body, first }
+    let first_update = (target.state != PeerState::Live).then(|| target.clone());
+    PeerAction { to: target.address, body, first_update }
 }
--- a/crates/rudder-peers/src/membership/settings.rs
+++ b/crates/rudder-peers/src/membership/settings.rs
@@ -16,11 +16,11 @@
     /// The least time between two checks of suspect instances.
     pub(crate) check_interval: Duration,
     /// How many others are asked to probe.
-    pub(crate) helpers: usize,
+    pub(crate) relay_count: usize,
     /// How often one instance that is gone, or a seed that has not answered, is probed.
-    pub(crate) revival_interval: Duration,
+    pub(crate) rejoin_interval: Duration,
     /// How long an instance that is gone is remembered; longer than regions are parted.
-    pub(crate) tombstone_life: Duration,
+    pub(crate) tombstone_ttl: Duration,
 }
 
 impl Default for MembershipSettings {
@@ -31,9 +31,9 @@
             probe_timeout: Duration::from_millis(1000),
             suspicion: Duration::from_secs(2),
             check_interval: Duration::from_millis(250),
-            helpers: 2,
-            revival_interval: Duration::from_secs(5),
-            tombstone_life: Duration::from_secs(2 * 3600),
+            relay_count: 2,
+            rejoin_interval: Duration::from_secs(5),
+            tombstone_ttl: Duration::from_secs(2 * 3600),
         }
     }
 }
--- a/crates/rudder-peers/src/membership/state.rs
+++ b/crates/rudder-peers/src/membership/state.rs
@@ -1,10 +1,10 @@
 //! The membership of one instance: a state machine without sockets or a clock.
 
 use super::action::PeerAction;
-use super::news::{NewsQueue, sends_for};
 use super::probe::{ProbeList, ProbeOrder};
 use super::settings::MembershipSettings;
 use super::table::{PeerTable, entry_digest};
+use super::updates::{UpdateQueue, sends_for};
 use crate::member::{PeerEntry, PeerState};
 use crate::wire::{DatagramBody, PeerDatagram};
 use rand::SeedableRng;
@@ -18,17 +18,17 @@
 #[derive(Debug)]
 pub(crate) struct Membership {
     pub(super) settings: MembershipSettings,
-    pub(super) me: PeerEntry,
+    pub(super) local_entry: PeerEntry,
     pub(super) table: PeerTable,
     pub(super) probes: ProbeList,
     pub(super) order: ProbeOrder,
-    pub(super) news: NewsQueue,
+    pub(super) updates: UpdateQueue,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) rng: StdRng,
     pub(super) sequence: u32,
     pub(super) ticked_at: Option<Duration>,
     pub(super) probe_at: Duration,
-    pub(super) revive_at: Duration,
+    pub(super) rejoin_at: Duration,
     pub(super) check_at: Duration,
     pub(super) changed: bool,
     pub(super) urgent: bool,
@@ -36,24 +36,24 @@
 
 impl Membership {
     pub(crate) fn new(
-        me: PeerEntry,
+        local_entry: PeerEntry,
         seeds: Vec<SocketAddr>,
         settings: MembershipSettings,
         random_seed: u64,
     ) -> Self {
         Self {
             settings,
-            me,
+            local_entry,
             table: PeerTable::default(),
             probes: ProbeList::default(),
             order: ProbeOrder::default(),
-            news: NewsQueue::default(),
+            updates: UpdateQueue::default(),
             seeds,
             rng: StdRng::seed_from_u64(random_seed),
             sequence: 0,
             ticked_at: None,
             probe_at: Duration::ZERO,
-            revive_at: Duration::ZERO,
+            rejoin_at: Duration::ZERO,
             check_at: Duration::ZERO,
             changed: true,
             urgent: false,
@@ -61,15 +61,15 @@
     }
 
     /// This instance about itself.
-    pub(crate) fn me(&self) -> &PeerEntry {
-        &self.me
+    pub(crate) fn local_entry(&self) -> &PeerEntry {
+        &self.local_entry
     }
 
     /// The instances that are not gone, this one included, sorted by name.
     pub(crate) fn snapshot(&self) -> Vec<PeerEntry> {
         let mut entries: Vec<PeerEntry> = self.table.present().cloned().collect();
-        let index = entries.partition_point(|entry| entry.name < self.me.name);
-        entries.insert(index, self.me.clone());
+        let index = entries.partition_point(|entry| entry.name < self.local_entry.name);
+        entries.insert(index, self.local_entry.clone());
         entries
     }
 
@@ -80,8 +80,8 @@
 
     /// What is held of an instance.
     pub(crate) fn entry(&self, name: &InstanceName) -> Option<&PeerEntry> {
-        if *name == self.me.name {
-            return Some(&self.me);
+        if *name == self.local_entry.name {
+            return Some(&self.local_entry);
         }
         self.table.get(name).map(|record| &record.entry)
     }
@@ -93,7 +93,7 @@
 
     /// The digest of the table, this instance included.
     pub(crate) fn digest(&self) -> u32 {
-        self.table.digest().wrapping_add(entry_digest(&self.me))
+        self.table.digest().wrapping_add(entry_digest(&self.local_entry))
     }
 
     /// How often a piece of news must be told to reach the whole fleet.
@@ -112,14 +112,14 @@
     }
 
     /// The news that should ride on the next datagram.
-    pub(crate) fn next_news(&self, count_max: usize) -> Vec<PeerEntry> {
-        let names = self.news.next(count_max);
+    pub(crate) fn next_updates(&self, count_max: usize) -> Vec<PeerEntry> {
+        let names = self.updates.next(count_max);
         names.iter().filter_map(|name| self.entry(name).cloned()).collect()
     }
 
     /// Counts the news of an instance as told once more.
-    pub(crate) fn told(&mut self, name: &InstanceName) {
-        self.news.told(name);
+    pub(crate) fn record_sent(&mut self, name: &InstanceName) {
+        self.updates.record_sent(name);
     }
 
     /// Some random instances that take part, at most `count`.
@@ -135,16 +135,16 @@
 
     /// Says that this instance is leaving. Of one incarnation, that is final.
     pub(crate) fn leave(&mut self) {
-        if self.me.state != PeerState::Leaving {
-            self.me.state = PeerState::Leaving;
-            self.announce_me();
+        if self.local_entry.state != PeerState::Leaving {
+            self.local_entry.state = PeerState::Leaving;
+            self.announce_local();
         }
     }
 
     /// Takes somebody else's word that an instance is leaving. If it is not, it refutes this.
     pub(crate) fn mark_leaving(&mut self, name: &InstanceName, now: Duration) {
         if let Some(entry) = self.table.get(name).map(|record| record.entry.clone()) {
-            self.hear(PeerEntry { state: PeerState::Leaving, ..entry }, now);
+            self.apply_entry(PeerEntry { state: PeerState::Leaving, ..entry }, now);
         }
     }
 
@@ -158,8 +158,8 @@
     /// Lets time pass. To be called several times per probe timeout.
     pub(crate) fn tick(&mut self, now: Duration) -> Vec<PeerAction> {
         let mut actions = Vec::new();
-        self.notice_freeze(now);
-        self.judge_probes(now, &mut actions);
+        self.detect_pause(now);
+        self.check_probe_timeouts(now, &mut actions);
         if now >= self.check_at {
             self.check_at = now + self.settings.check_interval;
             self.check_one(now, &mut actions);
@@ -168,11 +168,11 @@
             self.probe_at = now + self.settings.period;
             self.probe_next(now, &mut actions);
         }
-        if now >= self.revive_at {
-            self.revive_at = now + self.settings.revival_interval;
-            self.revive_one(now, &mut actions);
-            self.table.forget(now, self.settings.tombstone_life);
-            self.probes.forget_relays(now.saturating_sub(self.settings.probe_timeout));
+        if now >= self.rejoin_at {
+            self.rejoin_at = now + self.settings.rejoin_interval;
+            self.probe_removed(now, &mut actions);
+            self.table.expire(now, self.settings.tombstone_ttl);
+            self.probes.expire_relays(now.saturating_sub(self.settings.probe_timeout));
         }
         actions
     }
@@ -186,32 +186,32 @@
     ) -> (Vec<PeerAction>, Option<Duration>) {
         let mut actions = Vec::new();
         let sender = &datagram.sender;
-        self.hear(sender.clone(), now);
-        self.bury_predecessors(sender, now);
-        for entry in &datagram.news {
-            self.hear(entry.clone(), now);
+        self.apply_entry(sender.clone(), now);
+        self.remove_predecessors(sender, now);
+        for entry in &datagram.updates {
+            self.apply_entry(entry.clone(), now);
         }
         let mut round_trip = None;
         match &datagram.body {
             DatagramBody::Probe { sequence, .. } => {
                 let body = DatagramBody::Ack { sequence: *sequence };
-                let first = self.correction_for(sender);
-                actions.push(PeerAction { to: sender.address, body, first });
+                let first_update = self.correction_for(sender);
+                actions.push(PeerAction { to: sender.address, body, first_update });
             }
             DatagramBody::IndirectProbe { sequence, target } => {
-                self.probe_for(sender.address, *sequence, target, now, &mut actions);
+                self.relay_probe(sender.address, *sequence, target, now, &mut actions);
             }
             DatagramBody::Ack { sequence } => {
-                round_trip = self.acknowledged(*sequence, sender, now, &mut actions);
+                round_trip = self.on_ack(*sequence, sender, now, &mut actions);
             }
             DatagramBody::RelayedAck { sequence } => {
                 if let (Some(probe), Some(target)) =
-                    (self.probes.take(*sequence), datagram.news.first())
+                    (self.probes.take(*sequence), datagram.updates.first())
                 {
-                    self.confirm(&probe, target, now);
+                    self.confirm_alive(&probe, target, now);
                 }
             }
-            DatagramBody::Push | DatagramBody::Tell => {}
+            DatagramBody::Push | DatagramBody::Direct => {}
         }
         (actions, round_trip)
     }
@@ -223,21 +223,24 @@
         entries: &[PeerEntry],
         now: Duration,
     ) -> Vec<PeerEntry> {
-        self.hear(sender.clone(), now);
+        self.apply_entry(sender.clone(), now);
         for entry in entries {
-            self.hear(entry.clone(), now);
+            self.apply_entry(entry.clone(), now);
         }
-        let mut told: Vec<&PeerEntry> = entries.iter().chain([sender]).collect();
-        told.sort_by(|a, b| a.name.cmp(&b.name));
+        let mut received: Vec<&PeerEntry> = entries.iter().chain([sender]).collect();
+        received.sort_by(|a, b| a.name.cmp(&b.name));
         let known_there = |name: &InstanceName| {
-            told.binary_search_by(|entry| entry.name.cmp(name)).ok().map(|index| told[index])
+            received
+                .binary_search_by(|entry| entry.name.cmp(name))
+                .ok()
+                .map(|index| received[index])
         };
         self.known()
             .into_iter()
-            .chain([self.me.clone()])
+            .chain([self.local_entry.clone()])
             .filter(|mine| match known_there(&mine.name) {
                 Some(theirs) => mine.supersedes(theirs),
-                None => mine.state != PeerState::Gone,
+                None => mine.state != PeerState::Removed,
             })
             .collect()
     }
--- a/crates/rudder-peers/src/membership/table.rs
+++ b/crates/rudder-peers/src/membership/table.rs
@@ -25,7 +25,7 @@
     pub(crate) entry: PeerEntry,
     pub(crate) check: Option<CheckPlan>,
     /// When it was found to be gone; meaningful in that state only.
-    pub(crate) gone_at: Duration,
+    pub(crate) removed_at: Duration,
 }
 
 /// The other instances, sorted by name, with a digest of those not gone.
@@ -56,7 +56,7 @@
     }
 
     /// The instances that are gone and remembered.
-    pub(crate) fn gone(&self) -> impl Iterator<Item = &PeerEntry> {
+    pub(crate) fn removed(&self) -> impl Iterator<Item = &PeerEntry> {
         self.records.iter().map(|record| &record.entry).filter(|entry| !is_present(entry))
     }
 
@@ -82,7 +82,7 @@
     /// Puts all checks off until `at`, and forgets what peers said against anyone.
     pub(crate) fn defer_checks(&mut self, at: Duration) {
         for record in &mut self.records {
-            record.check = record.check.map(|_| CheckPlan { at, style: ProbeStyle::Helped });
+            record.check = record.check.map(|_| CheckPlan { at, style: ProbeStyle::Indirect });
         }
     }
 
@@ -94,23 +94,23 @@
             .collect()
     }
 
-    /// Forgets instances that have been gone for longer than `life`, and the oldest beyond a bound.
-    pub(crate) fn forget(&mut self, now: Duration, life: Duration) {
+    /// Forgets instances that have been gone for longer than `ttl`, and the oldest beyond a bound.
+    pub(crate) fn expire(&mut self, now: Duration, ttl: Duration) {
         let expired = |record: &PeerRecord| {
-            !is_present(&record.entry) && now.saturating_sub(record.gone_at) >= life
+            !is_present(&record.entry) && now.saturating_sub(record.removed_at) >= ttl
         };
         self.records.retain(|record| !expired(record));
-        let mut gone: Vec<Duration> = self
+        let mut removed: Vec<Duration> = self
             .records
             .iter()
             .filter(|record| !is_present(&record.entry))
-            .map(|record| record.gone_at)
+            .map(|record| record.removed_at)
             .collect();
-        if gone.len() > TOMBSTONES_MAX {
-            gone.sort_unstable();
-            let oldest_kept = gone[gone.len() - TOMBSTONES_MAX];
+        if removed.len() > TOMBSTONES_MAX {
+            removed.sort_unstable();
+            let oldest_kept = removed[removed.len() - TOMBSTONES_MAX];
             self.records
-                .retain(|record| is_present(&record.entry) || record.gone_at >= oldest_kept);
+                .retain(|record| is_present(&record.entry) || record.removed_at >= oldest_kept);
         }
     }
 
@@ -133,5 +133,5 @@
 }
 
 fn is_present(entry: &PeerEntry) -> bool {
-    entry.state != PeerState::Gone
+    entry.state != PeerState::Removed
 }
--- a/crates/rudder-peers/src/membership/news.rs
+++ b/crates/rudder-peers/src/membership/updates.rs
@@ -6,7 +6,7 @@
 const SENDS_BASE: u32 = 3;
 
 #[derive(Debug)]
-struct NewsRecord {
+struct UpdateRecord {
     name: InstanceName,
     sends_left: u32,
 }
@@ -16,27 +16,27 @@
 /// Only names are kept; the entry is looked up when it is sent, so that what is sent is never older
 /// than what is held.
 #[derive(Debug, Default)]
-pub(crate) struct NewsQueue {
-    records: Vec<NewsRecord>,
+pub(crate) struct UpdateQueue {
+    records: Vec<UpdateRecord>,
 }
 
-impl NewsQueue {
+impl UpdateQueue {
     /// Queues the news of `name` for as many transmissions as a fleet of `peers` needs.
     pub(crate) fn add(&mut self, name: &InstanceName, peers: usize) {
         self.records.retain(|record| record.name != *name);
         let sends_left = sends_for(peers);
-        self.records.push(NewsRecord { name: name.clone(), sends_left });
+        self.records.push(UpdateRecord { name: name.clone(), sends_left });
     }
 
     /// The names that should ride on the next datagram, the least told first.
     pub(crate) fn next(&self, count_max: usize) -> Vec<InstanceName> {
-        let mut waiting: Vec<&NewsRecord> = self.records.iter().collect();
-        waiting.sort_by_key(|record| std::cmp::Reverse(record.sends_left));
-        waiting.iter().take(count_max).map(|record| record.name.clone()).collect()
+        let mut pending: Vec<&UpdateRecord> = self.records.iter().collect();
+        pending.sort_by_key(|record| std::cmp::Reverse(record.sends_left));
+        pending.iter().take(count_max).map(|record| record.name.clone()).collect()
     }
 
     /// Counts the news of `name` as told once more.
-    pub(crate) fn told(&mut self, name: &InstanceName) {
+    pub(crate) fn record_sent(&mut self, name: &InstanceName) {
         if let Some(record) = self.records.iter_mut().find(|record| record.name == *name) {
             record.sends_left = record.sends_left.saturating_sub(1);
         }
--- a/crates/rudder-peers/src/mesh/client.rs
+++ b/crates/rudder-peers/src/mesh/client.rs
@@ -2,7 +2,7 @@
 
 use super::error::PeerError;
 use super::frame::{read_frame, write_frame};
-use crate::wire::{AnswerFrame, RequestBody, RequestFrame, decode_answer, encode_request};
+use crate::wire::{RequestBody, RequestFrame, ResponseFrame, decode_response, encode_request};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -38,19 +38,19 @@
     ///
     /// Guards against an answer that reaches another request: each has its number, and a
     /// connection on which an answer was given up is closed with it.
-    pub(super) async fn ask(&mut self, body: RequestBody) -> Result<AnswerFrame, PeerError> {
+    pub(super) async fn request(&mut self, body: RequestBody) -> Result<ResponseFrame, PeerError> {
         let number = self.counter.next();
         let bytes = encode_request(&RequestFrame { number, body })?;
         write_frame(&mut self.stream, &bytes).await?;
-        let answer = decode_answer(&read_frame(&mut self.stream).await?)?;
-        if answer.number() == number { Ok(answer) } else { Err(PeerError::Mismatched) }
+        let response = decode_response(&read_frame(&mut self.stream).await?)?;
+        if response.number() == number { Ok(response) } else { Err(PeerError::Mismatched) }
     }
 }
 
-/// Runs a conversation with a peer within a bound.
-pub(super) async fn within<T>(
-    bound: Duration,
+/// Runs a conversation with a peer within a timeout.
+pub(super) async fn with_timeout<T>(
+    timeout: Duration,
     work: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
-    tokio::time::timeout(bound, work).await.map_err(|_| PeerError::TimedOut)?
+    tokio::time::timeout(timeout, work).await.map_err(|_| PeerError::TimedOut)?
 }
--- a/crates/rudder-peers/src/mesh/command.rs
+++ b/crates/rudder-peers/src/mesh/command.rs
@@ -13,7 +13,7 @@
     /// Spread a hint.
     Publish(PeerHint),
     /// Send a hint to these instances only.
-    Tell(Vec<InstanceName>, PeerHint),
+    SendHint(Vec<InstanceName>, PeerHint),
     /// Say that this instance is leaving.
     Leave,
     /// Answer once everything commanded before has been sent.
--- a/crates/rudder-peers/src/mesh/driver.rs
+++ b/crates/rudder-peers/src/mesh/driver.rs
@@ -6,7 +6,7 @@
 use crate::hints::HintMessage;
 use crate::member::PeerEntry;
 use crate::node::{NodeOutput, PeerNode, TrafficCount};
-use crate::wire::{AnswerFrame, DATAGRAM_BYTES_MAX, encode_answer};
+use crate::wire::{DATAGRAM_BYTES_MAX, ResponseFrame, encode_response};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,9 +43,9 @@
             // silence is judged.
             let output = tokio::select! {
                 biased;
-                received = self.socket.recv_from(&mut buffer) => self.received(&buffer, received),
+                received = self.socket.recv_from(&mut buffer) => self.handle_datagram(&buffer, received),
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 _ = ticker.tick() => {
@@ -62,7 +62,7 @@
         self.started.elapsed()
     }
 
-    fn received(
+    fn handle_datagram(
         &mut self,
         buffer: &[u8],
         received: std::io::Result<(usize, SocketAddr)>,
@@ -82,23 +82,23 @@
         })
     }
 
-    fn command(&mut self, command: MeshCommand) -> NodeOutput {
+    fn handle_command(&mut self, command: MeshCommand) -> NodeOutput {
         let now = self.now();
         match command {
             MeshCommand::Publish(hint) => return self.node.publish(hint, now),
-            MeshCommand::Tell(names, hint) => return self.node.tell(&names, &hint, now),
+            MeshCommand::SendHint(names, hint) => return self.node.send_hint(&names, &hint, now),
             MeshCommand::Leave => return self.node.leave(now),
             MeshCommand::Flush { reply } => {
                 let _ = reply.send(());
             }
             MeshCommand::EncodeTable { number, reply } => {
-                let answer = AnswerFrame::Table { number, table: self.node.table() };
-                let _ = reply.send(self.encode(&answer, now));
+                let response = ResponseFrame::Table { number, table: self.node.table() };
+                let _ = reply.send(self.encode(&response, now));
             }
             MeshCommand::EncodeGroups { number, reply } => {
-                let (sender, hints) = (self.node.me().name.clone(), self.node.groups());
-                let answer = AnswerFrame::Groups { number, sender, hints };
-                let _ = reply.send(self.encode(&answer, now));
+                let (sender, hints) = (self.node.local_entry().name.clone(), self.node.groups());
+                let response = ResponseFrame::Groups { number, sender, hints };
+                let _ = reply.send(self.encode(&response, now));
             }
             MeshCommand::MergeGroups { from, groups } => {
                 return self.node.merge_groups(&from, groups, now);
@@ -112,11 +112,11 @@
     }
 
     /// Encodes an answer, or a refusal if the budget for transfers is used up.
-    fn encode(&mut self, answer: &AnswerFrame, now: Duration) -> Vec<u8> {
-        let busy = AnswerFrame::Busy { number: answer.number() };
-        match encode_answer(answer) {
+    fn encode(&mut self, response: &ResponseFrame, now: Duration) -> Vec<u8> {
+        let busy = ResponseFrame::Busy { number: response.number() };
+        match encode_response(response) {
             Ok(bytes) if self.node.charge_table(length_of(&bytes), now) => bytes,
-            _ => encode_answer(&busy).unwrap_or_default(),
+            _ => encode_response(&busy).unwrap_or_default(),
         }
     }
 
@@ -133,7 +133,13 @@
         for (from, kind) in output.fetches {
             if let Some(commands) = self.command_sender.upgrade() {
                 let counter = Arc::clone(&self.counter);
-                let fetch = PeerFetch { from, kind, commands, counter, me: self.node.me().clone() };
+                let fetch = PeerFetch {
+                    from,
+                    kind,
+                    commands,
+                    counter,
+                    local_entry: self.node.local_entry().clone(),
+                };
                 fetches.spawn(fetch.run());
             }
         }
--- a/crates/rudder-peers/src/mesh/fetch.rs
+++ b/crates/rudder-peers/src/mesh/fetch.rs
@@ -1,18 +1,18 @@
 //! Fetching from a peer what datagrams did not bring.
 
-use super::client::{PeerConnection, RequestCounter, within};
+use super::client::{PeerConnection, RequestCounter, with_timeout};
 use super::command::MeshCommand;
 use super::error::PeerError;
 use crate::member::PeerEntry;
 use crate::node::FetchKind;
-use crate::wire::{AnswerFrame, PeerTableFrame, RequestBody};
+use crate::wire::{PeerTableFrame, RequestBody, ResponseFrame};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
 /// How long a transfer may take.
-const FETCH_BOUND: Duration = Duration::from_secs(5);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One transfer from a peer.
 pub(super) struct PeerFetch {
@@ -21,48 +21,49 @@
     pub(super) commands: mpsc::Sender<MeshCommand>,
     pub(super) counter: Arc<RequestCounter>,
     /// This instance about itself.
-    pub(super) me: PeerEntry,
+    pub(super) local_entry: PeerEntry,
 }
 
 impl PeerFetch {
     /// Runs the transfer. After a failure the digests still differ, so another peer is tried.
     pub(super) async fn run(self) {
         let result = match self.kind {
-            FetchKind::Peers => within(FETCH_BOUND, self.fetch_peers()).await,
-            FetchKind::Groups => within(FETCH_BOUND, self.fetch_groups()).await,
+            FetchKind::Peers => with_timeout(FETCH_TIMEOUT, self.fetch_peers()).await,
+            FetchKind::Groups => with_timeout(FETCH_TIMEOUT, self.fetch_groups()).await,
         };
         if let Err(error) = result {
             log::debug!(target: "rudder::peers", peer:% = self.from, reason:% = error; "fetch failed");
-            let _ = self.command(MeshCommand::FetchFailed(self.kind)).await;
+            let _ = self.send_command(MeshCommand::FetchFailed(self.kind)).await;
         }
     }
 
     /// Takes the peer's table in, and tells the peer what it did not know.
     async fn fetch_peers(&self) -> Result<(), PeerError> {
         let mut connection = PeerConnection::open(self.from, &self.counter).await?;
-        let AnswerFrame::Table { table, .. } = connection.ask(RequestBody::Table).await? else {
+        let ResponseFrame::Table { table, .. } = connection.request(RequestBody::Table).await?
+        else {
             return Err(PeerError::Busy);
         };
         let (reply, differences) = oneshot::channel();
-        self.command(MeshCommand::Merge { table, reply }).await?;
+        self.send_command(MeshCommand::Merge { table, reply }).await?;
         let entries = differences.await.map_err(|_| PeerError::Busy)?;
         if !entries.is_empty() {
-            let update = PeerTableFrame { sender: self.me.clone(), entries };
-            connection.ask(RequestBody::Update(update)).await?;
+            let update = PeerTableFrame { sender: self.local_entry.clone(), entries };
+            connection.request(RequestBody::Update(update)).await?;
         }
         Ok(())
     }
 
     async fn fetch_groups(&self) -> Result<(), PeerError> {
         let mut connection = PeerConnection::open(self.from, &self.counter).await?;
-        let answer = connection.ask(RequestBody::Groups).await?;
-        let AnswerFrame::Groups { sender, hints, .. } = answer else {
+        let response = connection.request(RequestBody::Groups).await?;
+        let ResponseFrame::Groups { sender, hints, .. } = response else {
             return Err(PeerError::Busy);
         };
-        self.command(MeshCommand::MergeGroups { from: sender, groups: hints }).await
+        self.send_command(MeshCommand::MergeGroups { from: sender, groups: hints }).await
     }
 
-    async fn command(&self, command: MeshCommand) -> Result<(), PeerError> {
+    async fn send_command(&self, command: MeshCommand) -> Result<(), PeerError> {
         self.commands.send(command).await.map_err(|_| PeerError::Busy)
     }
 }
--- a/crates/rudder-peers/src/mesh/handle.rs
+++ b/crates/rudder-peers/src/mesh/handle.rs
@@ -1,6 +1,6 @@
 //! The handle by which the rest of the proxy uses the mesh.
 
-use super::client::{PeerConnection, RequestCounter, within};
+use super::client::{PeerConnection, RequestCounter, with_timeout};
 use super::command::MeshCommand;
 use super::driver::MeshDriver;
 use super::error::{MeshError, PeerError};
@@ -11,7 +11,7 @@
 use crate::member::{PeerEntry, PeerState};
 use crate::membership::{Membership, MembershipSettings};
 use crate::node::{BudgetSettings, PeerNode, TrafficCount};
-use crate::wire::{AnswerFrame, PeerReply, PeerRequest, RequestBody};
+use crate::wire::{PeerReply, PeerRequest, RequestBody, ResponseFrame};
 use rudder_core::InstanceName;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,13 +25,13 @@
 const BYTES_PER_SECOND_MIN: u64 = 800;
 
 /// Commands that wait for the driver.
-const COMMANDS_MAX: usize = 256;
+const COMMAND_QUEUE_MAX: usize = 256;
 
 /// Hints that wait for the handler; more are lost, which hints may be.
-const HINTS_WAITING_MAX: usize = 4096;
+const HINT_QUEUE_MAX: usize = 4096;
 
 /// How often a free port is looked for that serves UDP and TCP alike.
-const PORT_TRIES: usize = 16;
+const PORT_ATTEMPTS_MAX: usize = 16;
 
 /// This instance's part in the mesh. It ends when it is dropped.
 #[derive(Debug)]
@@ -48,12 +48,12 @@
     /// Listens for peers and begins to look for them. Must be called inside a tokio runtime.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// assert_eq!(mesh.live().len(), 1);
     /// mesh.stop().await;
     /// # Ok(())
@@ -67,9 +67,9 @@
             return Err(MeshError::Budget(settings.bytes_per_second));
         }
         let (socket, listener, address) = listen(settings.address).await?;
-        let node = start_node(settings, address);
-        let (command_sender, commands) = mpsc::channel(COMMANDS_MAX);
-        let (hint_sender, hints) = mpsc::channel(HINTS_WAITING_MAX);
+        let node = create_node(settings, address);
+        let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE_MAX);
+        let (hint_sender, hints) = mpsc::channel(HINT_QUEUE_MAX);
         let (view_sender, view) = watch::channel(node.snapshot().into());
         let (traffic_sender, traffic) = watch::channel(TrafficCount::default());
         let counter = Arc::new(RequestCounter::default());
@@ -88,7 +88,7 @@
         let tasks = vec![
             tokio::spawn(driver.run()).abort_handle(),
             tokio::spawn(server.serve(listener)).abort_handle(),
-            tokio::spawn(deliver(hints, handler)).abort_handle(),
+            tokio::spawn(dispatch_hints(hints, handler)).abort_handle(),
         ];
         Ok(Self { address, commands: command_sender, view, traffic, counter, tasks })
     }
@@ -96,12 +96,12 @@
     /// Where this instance listens.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// assert_ne!(mesh.address().port(), 0);
     /// # Ok(())
     /// # }
@@ -114,12 +114,12 @@
     /// The instances that are not gone, this one included, sorted by name.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// assert_eq!(mesh.live()[0].name, "i1".parse()?);
     /// # Ok(())
     /// # }
@@ -132,12 +132,12 @@
     /// The same, for a task that waits for changes.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// assert_eq!(mesh.watch().borrow().len(), 1);
     /// # Ok(())
     /// # }
@@ -150,12 +150,12 @@
     /// What this instance has sent to its peers so far.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// assert_eq!(mesh.traffic().table_bytes, 0);
     /// # Ok(())
     /// # }
@@ -169,12 +169,12 @@
     /// or a new revision at once; refreshes and samples in answers to heartbeats.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// let hint = rudder_peers::RevisionHint { number: 7 };
     /// mesh.publish(rudder_peers::PeerHint::Revision(hint)).await;
     /// # Ok(())
@@ -187,31 +187,31 @@
     /// Sends a hint once to these instances only, for instance a vote to a group's keepers.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// let hint = rudder_peers::RevisionHint { number: 7 };
     /// mesh.tell(&["i2".parse()?], rudder_peers::PeerHint::Revision(hint)).await;
     /// # Ok(())
     /// # }
     /// ```
     pub async fn tell(&self, instances: &[InstanceName], hint: PeerHint) {
-        let _ = self.commands.send(MeshCommand::Tell(instances.to_vec(), hint)).await;
+        let _ = self.commands.send(MeshCommand::SendHint(instances.to_vec(), hint)).await;
     }
 
     /// Says that this instance is leaving, and returns once that has been sent to some peers. It
     /// still answers, until it is stopped.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// mesh.leave().await;
     /// assert_eq!(mesh.live()[0].state, rudder_peers::PeerState::Leaving);
     /// # Ok(())
@@ -227,12 +227,12 @@
     /// Asks an instance, and waits for its reply no longer than `within`.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// let request = rudder_peers::PeerRequest::SessionLookup("anna".parse()?);
     /// let reply = mesh.request(&"i1".parse()?, request, std::time::Duration::from_secs(5)).await?;
     /// assert_eq!(reply, rudder_peers::PeerReply::Unknown);
@@ -243,27 +243,27 @@
         &self,
         instance: &InstanceName,
         request: PeerRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let live = self.live();
         let index = live
             .binary_search_by(|entry| entry.name.cmp(instance))
             .map_err(|_| PeerError::NotKnown)?;
-        self.request_at(live[index].address, request, within).await
+        self.request_at(live[index].address, request, timeout).await
     }
 
     /// Asks whoever listens at an address.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// let request = rudder_peers::PeerRequest::RevisionFetch { newer_than: 7 };
-    /// let bound = std::time::Duration::from_secs(5);
-    /// let reply = mesh.request_at(mesh.address(), request, bound).await?;
+    /// let timeout = std::time::Duration::from_secs(5);
+    /// let reply = mesh.request_at(mesh.address(), request, timeout).await?;
     /// assert_eq!(reply, rudder_peers::PeerReply::Unknown);
     /// # Ok(())
     /// # }
@@ -272,30 +272,30 @@
         &self,
         address: SocketAddr,
         request: PeerRequest,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let work = async {
             let mut connection = PeerConnection::open(address, &self.counter).await?;
-            match connection.ask(RequestBody::Ask(request)).await? {
-                AnswerFrame::Reply { reply, .. } => Ok(reply),
-                AnswerFrame::Busy { .. } => Err(PeerError::Busy),
-                AnswerFrame::Table { .. } | AnswerFrame::Groups { .. } => {
+            match connection.request(RequestBody::Handler(request)).await? {
+                ResponseFrame::Reply { reply, .. } => Ok(reply),
+                ResponseFrame::Busy { .. } => Err(PeerError::Busy),
+                ResponseFrame::Table { .. } | ResponseFrame::Groups { .. } => {
                     Err(PeerError::Mismatched)
                 }
             }
         };
-        within(bound, work).await
+        with_timeout(timeout, work).await
     }
 
     /// Ends all tasks and closes the sockets. `leave` first, unless the instance is to look failed.
     ///
     /// ```
-    /// # use rudder_peers::{MeshSettings, PeerMesh, QuietHandler};
+    /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
     /// # #[tokio::main(flavor = "current_thread")]
     /// # async fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
-    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(QuietHandler)).await?;
+    /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// mesh.stop().await;
     /// # Ok(())
     /// # }
@@ -321,22 +321,22 @@
 /// Binds one port for UDP and TCP.
 async fn listen(wanted: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), MeshError> {
     let failure = |source| MeshError::Listen { address: wanted, source };
-    let mut tries = PORT_TRIES;
+    let mut attempts_left = PORT_ATTEMPTS_MAX;
     loop {
         let socket = UdpSocket::bind(wanted).await.map_err(failure)?;
         let address = socket.local_addr().map_err(failure)?;
-        tries -= 1;
+        attempts_left -= 1;
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok((socket, listener, address)),
             // The port that was free for UDP was taken for TCP; another one may be free for both.
-            Err(_) if wanted.port() == 0 && tries > 0 => {}
+            Err(_) if wanted.port() == 0 && attempts_left > 0 => {}
             Err(source) => return Err(failure(source)),
         }
     }
 }
 
-fn start_node(settings: MeshSettings, address: SocketAddr) -> PeerNode {
-    let me = PeerEntry {
+fn create_node(settings: MeshSettings, address: SocketAddr) -> PeerNode {
+    let local_entry = PeerEntry {
         name: settings.instance,
         address,
         domain: settings.domain,
@@ -344,11 +344,11 @@
         state: PeerState::Live,
     };
     let membership =
-        Membership::new(me, settings.seeds, MembershipSettings::default(), rand::random());
+        Membership::new(local_entry, settings.seeds, MembershipSettings::default(), rand::random());
     PeerNode::new(membership, &BudgetSettings::split(settings.bytes_per_second), Duration::ZERO)
 }
 
-async fn deliver(mut hints: mpsc::Receiver<HintMessage>, handler: Arc<dyn PeerHandler>) {
+async fn dispatch_hints(mut hints: mpsc::Receiver<HintMessage>, handler: Arc<dyn PeerHandler>) {
     while let Some(message) = hints.recv().await {
         handler.on_hint(message).await;
     }
--- a/crates/rudder-peers/src/mesh/server.rs
+++ b/crates/rudder-peers/src/mesh/server.rs
@@ -4,7 +4,9 @@
 use super::error::PeerError;
 use super::frame::{read_frame, write_frame};
 use crate::handler::PeerHandler;
-use crate::wire::{AnswerFrame, PeerReply, RequestBody, WireError, decode_request, encode_answer};
+use crate::wire::{
+    PeerReply, RequestBody, ResponseFrame, WireError, decode_request, encode_response,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -15,10 +17,10 @@
 const CONNECTIONS_MAX: usize = 128;
 
 /// A peer that says nothing for so long is cut off.
-const IDLE_MAX: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long to wait after a failed accept, for instance without free file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Clone)]
 pub(super) struct PeerServer {
@@ -38,7 +40,7 @@
                 Ok((stream, _)) => {
                     let server = self.clone();
                     tasks.spawn(async move {
-                        let result = server.converse(stream).await;
+                        let result = server.serve_connection(stream).await;
                         drop(permit);
                         if let Err(error) = result {
                             log::debug!(target: "rudder::peers", reason:% = error; "peer connection ended");
@@ -47,24 +49,24 @@
                 }
                 Err(error) => {
                     log::warn!(target: "rudder::peers", reason:% = error; "cannot accept a peer");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn converse(&self, mut stream: TcpStream) -> Result<(), PeerError> {
+    async fn serve_connection(&self, mut stream: TcpStream) -> Result<(), PeerError> {
         stream.set_nodelay(true)?;
         loop {
-            let read = tokio::time::timeout(IDLE_MAX, read_frame(&mut stream));
+            let read = tokio::time::timeout(IDLE_TIMEOUT, read_frame(&mut stream));
             let bytes = read.await.map_err(|_| PeerError::TimedOut)??;
-            let answer = self.answer(&bytes).await?;
-            let write = tokio::time::timeout(IDLE_MAX, write_frame(&mut stream, &answer));
+            let response = self.handle_request(&bytes).await?;
+            let write = tokio::time::timeout(IDLE_TIMEOUT, write_frame(&mut stream, &response));
             write.await.map_err(|_| PeerError::TimedOut)??;
         }
     }
 
-    async fn answer(&self, bytes: &[u8]) -> Result<Vec<u8>, PeerError> {
+    async fn handle_request(&self, bytes: &[u8]) -> Result<Vec<u8>, PeerError> {
         let request = decode_request(bytes)?;
         let number = request.number;
         let reply = match request.body {
@@ -78,24 +80,24 @@
             }
             RequestBody::Update(table) => {
                 let (reply, _) = oneshot::channel();
-                self.command(MeshCommand::Merge { table, reply }).await?;
-                PeerReply::Taken
+                self.send_command(MeshCommand::Merge { table, reply }).await?;
+                PeerReply::Accepted
             }
-            RequestBody::Ask(request) => self.handler.on_request(request).await,
+            RequestBody::Handler(request) => self.handler.on_request(request).await,
         };
-        Ok(encode_answer(&AnswerFrame::Reply { number, reply })?)
+        Ok(encode_response(&ResponseFrame::Reply { number, reply })?)
     }
 
     async fn encode(
         &self,
         command: impl FnOnce(oneshot::Sender<Vec<u8>>) -> MeshCommand,
     ) -> Result<Vec<u8>, PeerError> {
-        let (reply, answer) = oneshot::channel();
-        self.command(command(reply)).await?;
-        answer.await.map_err(|_| PeerError::Busy)
+        let (reply, response) = oneshot::channel();
+        self.send_command(command(reply)).await?;
+        response.await.map_err(|_| PeerError::Busy)
     }
 
-    async fn command(&self, command: MeshCommand) -> Result<(), PeerError> {
+    async fn send_command(&self, command: MeshCommand) -> Result<(), PeerError> {
         self.commands.send(command).await.map_err(|_| PeerError::Malformed(WireError::Encode))
     }
 }
--- a/crates/rudder-peers/src/node/compose.rs
+++ b/crates/rudder-peers/src/node/compose.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// News of members that one datagram carries at most.
-const NEWS_PER_DATAGRAM: usize = 10;
+const UPDATES_PER_DATAGRAM: usize = 10;
 /// Urgent hints that one datagram carries at most.
 const URGENT_PER_DATAGRAM: usize = 20;
 /// Routine hints that one answer carries at most.
@@ -27,32 +27,32 @@
         &mut self,
         to: SocketAddr,
         body: DatagramBody,
-        first: Option<PeerEntry>,
+        first_update: Option<PeerEntry>,
         now: Duration,
     ) -> Option<(SocketAddr, Vec<u8>)> {
         let push = body == DatagramBody::Push;
-        let answer = matches!(body, DatagramBody::Ack { .. });
+        let response = matches!(body, DatagramBody::Ack { .. });
         let mut datagram = PeerDatagram {
-            sender: self.membership.me().clone(),
+            sender: self.membership.local_entry().clone(),
             digest: self.membership.digest(),
-            groups: self.board.digest(),
-            revision: self.board.revision(),
+            groups: self.cache.digest(),
+            revision: self.cache.revision(),
             body,
-            news: first.into_iter().collect(),
+            updates: first_update.into_iter().collect(),
             hints: Vec::new(),
         };
         let base = encode_datagram(&datagram).ok()?.len() + COUNT_SLACK_BYTES;
-        let class = if push { SendClass::News } else { SendClass::Liveness };
-        if !self.affords(base, class, now) {
+        let class = if push { SendClass::Updates } else { SendClass::Heartbeat };
+        if !self.is_within_budget(base, class, now) {
             self.traffic.withheld += 1;
             return None;
         }
-        let mut size = self.add_news(&mut datagram, base, now);
+        let mut size = self.add_updates(&mut datagram, base, now);
         size = self.add_hints(&mut datagram, size, HintUrgency::Urgent, URGENT_PER_DATAGRAM, now);
-        if answer {
+        if response {
             self.add_hints(&mut datagram, size, HintUrgency::Routine, ROUTINE_PER_DATAGRAM, now);
         }
-        if push && datagram.news.is_empty() && datagram.hints.is_empty() {
+        if push && datagram.updates.is_empty() && datagram.hints.is_empty() {
             return None;
         }
         let bytes = encode_datagram(&datagram).ok()?;
@@ -60,18 +60,19 @@
         Some((to, bytes))
     }
 
-    fn add_news(&mut self, datagram: &mut PeerDatagram, base: usize, now: Duration) -> usize {
+    fn add_updates(&mut self, datagram: &mut PeerDatagram, base: usize, now: Duration) -> usize {
         let mut size = base;
-        for entry in self.membership.next_news(NEWS_PER_DATAGRAM) {
+        for entry in self.membership.next_updates(UPDATES_PER_DATAGRAM) {
             // The sender's own entry is in every datagram, and the first news is there already.
-            if datagram.news.first() == Some(&entry) || entry.name == datagram.sender.name {
-                self.membership.told(&entry.name);
+            if datagram.updates.first() == Some(&entry) || entry.name == datagram.sender.name {
+                self.membership.record_sent(&entry.name);
                 continue;
             }
             let grown = size + encoded_entry_size(&entry);
-            if grown <= DATAGRAM_BYTES_MAX && self.affords(grown, SendClass::News, now) {
+            if grown <= DATAGRAM_BYTES_MAX && self.is_within_budget(grown, SendClass::Updates, now)
+            {
                 size = grown;
-                datagram.news.push(entry);
+                datagram.updates.push(entry);
             }
         }
         size
@@ -86,13 +87,13 @@
         now: Duration,
     ) -> usize {
         let class = match urgency {
-            HintUrgency::Urgent => SendClass::News,
+            HintUrgency::Urgent => SendClass::Updates,
             HintUrgency::Routine => SendClass::Routine,
         };
         let mut size = base;
-        for hint in self.board.pending(urgency, count_max, now) {
+        for hint in self.cache.pending(urgency, count_max, now) {
             let grown = size + encoded_hint_size(&hint);
-            if grown <= DATAGRAM_BYTES_MAX && self.affords(grown, class, now) {
+            if grown <= DATAGRAM_BYTES_MAX && self.is_within_budget(grown, class, now) {
                 size = grown;
                 datagram.hints.push(hint);
             }
@@ -100,7 +101,7 @@
         size
     }
 
-    fn affords(&mut self, size: usize, class: SendClass, now: Duration) -> bool {
+    fn is_within_budget(&mut self, size: usize, class: SendClass, now: Duration) -> bool {
         self.datagram_bucket.allows(charged_bytes(size), class, now)
     }
 
@@ -108,11 +109,11 @@
         self.datagram_bucket.take(charged_bytes(size));
         self.traffic.datagrams += 1;
         self.traffic.datagram_bytes += charged_bytes(size);
-        for entry in &datagram.news {
-            self.membership.told(&entry.name);
+        for entry in &datagram.updates {
+            self.membership.record_sent(&entry.name);
         }
         for hint in &datagram.hints {
-            self.board.told(hint);
+            self.cache.record_sent(hint);
         }
     }
 }
@@ -127,6 +128,6 @@
 pub(super) fn received_hint(hint: PeerHint, round_trip: Option<Duration>) -> PeerHint {
     match round_trip {
         Some(round_trip) => hint.aged(round_trip),
-        None => hint.unbounded(),
+        None => hint.without_age_bound(),
     }
 }
--- a/crates/rudder-peers/src/node/digest.rs
+++ b/crates/rudder-peers/src/node/digest.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 /// How long digests must differ before a transfer; news usually arrives sooner.
-const PATIENCE: Duration = Duration::from_secs(8);
+const DIFFERENCE_MIN: Duration = Duration::from_secs(8);
 
 /// The least time between two transfers.
-const REST: Duration = Duration::from_secs(20);
+const FETCH_INTERVAL_MIN: Duration = Duration::from_secs(20);
 
 /// The least time between a transfer that failed and another.
-const REST_AFTER_FAILURE: Duration = Duration::from_secs(2);
+const FETCH_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Watches the digests that peers send.
 ///
@@ -20,7 +20,7 @@
 pub(crate) struct DigestWatch {
     differs_since: Option<Duration>,
     fetched_at: Option<Duration>,
-    rest: Duration,
+    fetch_interval: Duration,
 }
 
 impl DigestWatch {
@@ -31,21 +31,23 @@
             return false;
         }
         let since = *self.differs_since.get_or_insert(now);
-        let patient = now.saturating_sub(since) >= PATIENCE;
-        let rested = self.fetched_at.is_none_or(|fetched| now.saturating_sub(fetched) >= self.rest);
-        let fetch = rested && (patient || urgent);
+        let persistent = now.saturating_sub(since) >= DIFFERENCE_MIN;
+        let interval_elapsed = self
+            .fetched_at
+            .is_none_or(|fetched| now.saturating_sub(fetched) >= self.fetch_interval);
+        let fetch = interval_elapsed && (persistent || urgent);
         if fetch {
             self.fetched_at = Some(now);
-            self.rest = REST;
+            self.fetch_interval = FETCH_INTERVAL_MIN;
             self.differs_since = None;
         }
         fetch
     }
 
     /// The transfer failed, perhaps because the peer had no budget: another peer is tried soon.
-    pub(crate) fn failed(&mut self) {
-        self.rest = REST_AFTER_FAILURE;
+    pub(crate) fn record_failure(&mut self) {
+        self.fetch_interval = FETCH_RETRY_DELAY;
         // The digests still differ, for as long as before.
-        self.differs_since = self.fetched_at.map(|fetched| fetched.saturating_sub(PATIENCE));
+        self.differs_since = self.fetched_at.map(|fetched| fetched.saturating_sub(DIFFERENCE_MIN));
     }
 }
--- a/crates/rudder-peers/src/node/state.rs
+++ b/crates/rudder-peers/src/node/state.rs
@@ -5,7 +5,7 @@
 use super::digest::DigestWatch;
 use crate::budget::{DATAGRAM_OVERHEAD_BYTES, SendClass, TokenBucket};
 use crate::hints::{
-    HintBoard, HintMessage, HintUrgency, LeavingNotice, LeavingSubject, PeerHint, RevisionHint,
+    HintCache, HintMessage, HintUrgency, LeavingNotice, LeavingSubject, PeerHint, RevisionHint,
 };
 use crate::member::PeerEntry;
 use crate::membership::{Membership, PeerAction};
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerNode {
     pub(super) membership: Membership,
-    pub(super) board: HintBoard,
+    pub(super) cache: HintCache,
     pub(super) datagram_bucket: TokenBucket,
     pub(super) traffic: TrafficCount,
     table_bucket: TokenBucket,
@@ -64,7 +64,7 @@
     pub(crate) fn new(membership: Membership, budget: &BudgetSettings, now: Duration) -> Self {
         Self {
             membership,
-            board: HintBoard::default(),
+            cache: HintCache::default(),
             datagram_bucket: TokenBucket::new(budget.datagram_rate, budget.datagram_depth, now),
             table_bucket: TokenBucket::new(budget.table_rate, budget.table_depth, now),
             traffic: TrafficCount::default(),
@@ -80,8 +80,8 @@
     }
 
     /// This instance about itself.
-    pub(crate) fn me(&self) -> &PeerEntry {
-        self.membership.me()
+    pub(crate) fn local_entry(&self) -> &PeerEntry {
+        self.membership.local_entry()
     }
 
     /// The instances that are not gone, this one included, sorted by name.
@@ -103,7 +103,7 @@
         let mut output = NodeOutput::default();
         let actions = self.membership.tick(now);
         self.perform(actions, &mut output, now);
-        self.board.expire(now);
+        self.cache.expire(now);
         self.push(&mut output, now);
         output
     }
@@ -115,7 +115,7 @@
         let alone = self.membership.is_alone();
         let (actions, round_trip) = self.membership.receive(&datagram, now);
         self.compare_digests(&datagram, alone, &mut output, now);
-        self.take_hints(datagram, round_trip, &mut output, now);
+        self.process_hints(datagram, round_trip, &mut output, now);
         self.perform(actions, &mut output, now);
         self.push(&mut output, now);
         Ok(output)
@@ -124,9 +124,9 @@
     /// Spreads a hint of this instance's own.
     pub(crate) fn publish(&mut self, hint: PeerHint, now: Duration) -> NodeOutput {
         let mut output = NodeOutput::default();
-        if !self.marks_leaving(&hint, now) {
+        if !self.apply_instance_leaving(&hint, now) {
             let sends = self.hint_sends();
-            let urgency = self.board.absorb(hint, false, sends, now);
+            let urgency = self.cache.insert(hint, false, sends, now);
             if urgency == Some(HintUrgency::Urgent) {
                 self.push_rounds = PUSH_ROUNDS;
             }
@@ -136,7 +136,7 @@
     }
 
     /// Sends a hint to these instances only.
-    pub(crate) fn tell(
+    pub(crate) fn send_hint(
         &mut self,
         names: &[InstanceName],
         hint: &PeerHint,
@@ -146,17 +146,17 @@
         for name in names {
             let Some(to) = self.address_of(name) else { continue };
             let datagram = PeerDatagram {
-                sender: self.membership.me().clone(),
+                sender: self.membership.local_entry().clone(),
                 digest: self.membership.digest(),
-                groups: self.board.digest(),
-                revision: self.board.revision(),
-                body: DatagramBody::Tell,
-                news: Vec::new(),
+                groups: self.cache.digest(),
+                revision: self.cache.revision(),
+                body: DatagramBody::Direct,
+                updates: Vec::new(),
                 hints: vec![hint.clone()],
             };
             let Ok(bytes) = encode_datagram(&datagram) else { continue };
             let charged = u64::try_from(bytes.len()).unwrap_or(u64::MAX) + DATAGRAM_OVERHEAD_BYTES;
-            if self.datagram_bucket.allows(charged, SendClass::News, now) {
+            if self.datagram_bucket.allows(charged, SendClass::Updates, now) {
                 self.datagram_bucket.take(charged);
                 self.traffic.datagrams += 1;
                 self.traffic.datagram_bytes += charged;
@@ -179,19 +179,22 @@
     /// A transfer that was asked for brought nothing.
     pub(crate) fn fetch_failed(&mut self, kind: FetchKind) {
         match kind {
-            FetchKind::Peers => self.peers_watch.failed(),
-            FetchKind::Groups => self.groups_watch.failed(),
+            FetchKind::Peers => self.peers_watch.record_failure(),
+            FetchKind::Groups => self.groups_watch.record_failure(),
         }
     }
 
     /// This instance's table, for a peer.
     pub(crate) fn table(&self) -> PeerTableFrame {
-        PeerTableFrame { sender: self.membership.me().clone(), entries: self.membership.known() }
+        PeerTableFrame {
+            sender: self.membership.local_entry().clone(),
+            entries: self.membership.known(),
+        }
     }
 
     /// Whether a table of so many bytes may be sent now; if so, they are charged.
     pub(crate) fn charge_table(&mut self, bytes: u64, now: Duration) -> bool {
-        let allowed = self.table_bucket.take_on_credit(bytes, now);
+        let allowed = self.table_bucket.take_with_debt(bytes, now);
         if allowed {
             self.traffic.table_bytes += bytes;
         } else {
@@ -202,7 +205,7 @@
 
     /// The primaries of groups that this instance knows of, for a peer; their ages have no bound.
     pub(crate) fn groups(&self) -> Vec<PeerHint> {
-        self.board.groups()
+        self.cache.groups()
     }
 
     /// Takes in the primaries that a peer knows of.
@@ -214,7 +217,13 @@
     ) -> NodeOutput {
         let mut output = NodeOutput::default();
         // The others know these: what is fetched is not spread again.
-        self.absorb(from, groups.into_iter().map(PeerHint::unbounded), 0, &mut output, now);
+        self.accept_hints(
+            from,
+            groups.into_iter().map(PeerHint::without_age_bound),
+            0,
+            &mut output,
+            now,
+        );
         output
     }
 
@@ -226,7 +235,7 @@
     fn perform(&mut self, actions: Vec<PeerAction>, output: &mut NodeOutput, now: Duration) {
         for action in actions {
             let sequence = action.body.probe_sequence();
-            match self.compose(action.to, action.body, action.first, now) {
+            match self.compose(action.to, action.body, action.first_update, now) {
                 Some(datagram) => output.datagrams.push(datagram),
                 // Guards against taking the silence after an unsent probe for the target's: with
                 // the budget used up, live instances would be suspected and removed.
@@ -249,13 +258,13 @@
         if self.peers_watch.compare(mine, datagram.digest, alone, now) {
             output.fetches.push((from, FetchKind::Peers));
         }
-        let mine = self.board.digest();
+        let mine = self.cache.digest();
         if self.groups_watch.compare(mine, datagram.groups, mine == 0, now) {
             output.fetches.push((from, FetchKind::Groups));
         }
     }
 
-    fn take_hints(
+    fn process_hints(
         &mut self,
         datagram: PeerDatagram,
         round_trip: Option<Duration>,
@@ -264,18 +273,18 @@
     ) {
         // Guards against hints for a few that reach all: the votes on one lasting doubt, passed on by
         // each receiver, used up what peers may send, and the answers to it were withheld.
-        let told = datagram.body == DatagramBody::Tell;
+        let is_direct = datagram.body == DatagramBody::Direct;
         let mut hints = datagram.hints;
-        if datagram.revision > self.board.revision() {
+        if datagram.revision > self.cache.revision() {
             hints.push(PeerHint::Revision(RevisionHint { number: datagram.revision }));
         }
         let received = hints.into_iter().map(|hint| received_hint(hint, round_trip));
-        let sends = if told { 0 } else { self.hint_sends() };
-        self.absorb(&datagram.sender.name, received, sends, output, now);
+        let sends = if is_direct { 0 } else { self.hint_sends() };
+        self.accept_hints(&datagram.sender.name, received, sends, output, now);
     }
 
     /// Whether the hint says that an instance is leaving: that is the membership's to spread.
-    fn marks_leaving(&mut self, hint: &PeerHint, now: Duration) -> bool {
+    fn apply_instance_leaving(&mut self, hint: &PeerHint, now: Duration) -> bool {
         let PeerHint::Leaving(LeavingNotice { subject: LeavingSubject::Instance(name) }) = hint
         else {
             return false;
@@ -289,7 +298,7 @@
         PUSH_ROUNDS * u32::try_from(PUSH_FANOUT).unwrap_or_default() + self.membership.sends()
     }
 
-    fn absorb(
+    fn accept_hints(
         &mut self,
         from: &InstanceName,
         hints: impl Iterator<Item = PeerHint>,
@@ -298,10 +307,10 @@
         now: Duration,
     ) {
         for hint in hints {
-            if self.marks_leaving(&hint, now) {
+            if self.apply_instance_leaving(&hint, now) {
                 continue;
             }
-            if let Some(urgency) = self.board.absorb(hint.clone(), true, sends, now) {
+            if let Some(urgency) = self.cache.insert(hint.clone(), true, sends, now) {
                 if urgency == HintUrgency::Urgent && sends > 0 {
                     self.push_rounds = PUSH_ROUNDS;
                 }
@@ -315,8 +324,9 @@
         if self.membership.take_urgent() {
             self.push_rounds = PUSH_ROUNDS;
         }
-        let rested = self.pushed_at.is_none_or(|pushed| now.saturating_sub(pushed) >= PUSH_SPACING);
-        if self.push_rounds == 0 || !rested {
+        let interval_elapsed =
+            self.pushed_at.is_none_or(|pushed| now.saturating_sub(pushed) >= PUSH_SPACING);
+        if self.push_rounds == 0 || !interval_elapsed {
             return;
         }
         self.push_rounds -= 1;
--- a/crates/rudder-peers/src/node/tests.rs
+++ b/crates/rudder-peers/src/node/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn instances_that_know_one_seed_find_all_others() {
+fn instances_with_one_seed_discover_all_others() {
     let mut fleet = Fleet::new(30, 1);
 
     let took = fleet.run_until(seconds(120), Fleet::settled);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_dead_instance_is_removed_by_all_in_bounded_time() {
+fn failed_instance_is_removed_by_all_in_bounded_time() {
     // Callers' forwarded statements keep going to an instance that died without a word. Each of
     // the others must stop counting on it by its own probes or the news of them.
     let mut fleet = Fleet::joined(30, 2);
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn a_cut_link_between_two_instances_removes_neither() {
+fn broken_link_between_two_instances_removes_neither() {
     // Two instances cannot reach each other, while everybody else reaches both. If the two removed
     // each other, duties would be computed differently on both sides.
     let mut fleet = Fleet::joined(12, 3);
-    fleet.cut(4, 8);
+    fleet.cut_link(4, 8);
 
     for _ in 0..120 {
         fleet.run(seconds(1));
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn an_instance_that_reaches_one_peer_only_cannot_have_others_removed() {
+fn instance_that_reaches_only_one_peer_cannot_remove_others() {
     // An instance has lost its links to all but one peer. It finds everybody else gone and says so
     // to that peer; if that were believed, one broken machine would empty the fleet.
     let mut fleet = Fleet::joined(10, 13);
     for other in 2..10 {
-        fleet.cut(0, other);
+        fleet.cut_link(0, other);
     }
 
     for _ in 0..120 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_instance_that_wakes_is_taken_back_and_removes_nobody() {
+fn paused_instance_rejoins_and_removes_no_others() {
     // An instance stands still for a minute and is removed. On waking it finds its own probes
     // unanswered; if it believed them, it would tell everyone that the others are gone.
     let mut fleet = Fleet::joined(12, 4);
@@ -110,11 +110,11 @@
 }
 
 #[test]
-fn a_short_freeze_brings_no_suspicion_of_others() {
+fn short_pause_causes_no_suspicion_of_others() {
     // An instance stands still for two seconds while its probe is under way, and the answer is lost
     // in its full socket. Its timers then say that the other did not answer in time.
     let mut fleet = Fleet::joined(8, 14);
-    fleet.freeze_loses = true;
+    fleet.drop_while_frozen = true;
 
     for step in 0..100 {
         fleet.run(seconds(6) + Duration::from_millis(10) * step);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn regions_parted_for_an_hour_find_each_other_within_the_budget() {
+fn partitioned_regions_rejoin_within_the_budget() {
     // Two regions lose each other for an hour, and each removes the other's instances. When they
     // meet, all instances must refute, and all must hear of it; sent at once, that is a storm. The
     // seeds that they were started with are long gone.
@@ -150,7 +150,7 @@
     let mut fleet = Fleet::joined(size, 6);
     fleet.kill(0);
     fleet.kill(1);
-    fleet.part(half);
+    fleet.partition_from(half);
     fleet.run(seconds(3600));
     assert_eq!(fleet.node(2).snapshot().len(), half - 2);
     assert_eq!(fleet.node(size - 1).snapshot().len(), size - half);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn leaving_reaches_all_and_is_not_taken_back_by_old_news() {
+fn leaving_reaches_all_and_is_not_reverted_by_older_updates() {
     // An instance shuts down, and balancing still sends it work because an older heartbeat says
     // that it is live.
     let mut fleet = Fleet::joined(12, 7);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn an_instance_wrongly_called_leaving_refutes() {
+fn instance_wrongly_marked_leaving_refutes() {
     // The platform's list lags: it still calls an instance leaving that has been started anew.
     let mut fleet = Fleet::joined(8, 8);
     let subject = LeavingSubject::Instance(fleet.name_of(3));
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_leaving_member_is_known_to_all_within_seconds() {
+fn leaving_member_is_known_to_all_within_seconds() {
     // An operator takes a database member away. The platform's list says so half a minute later,
     // and until then proxies give it new statements, which fail when it goes.
     let mut fleet = Fleet::joined(30, 18);
@@ -233,7 +233,7 @@
 
     fleet.publish(4, notice.clone());
     let informed = |fleet: &Fleet| {
-        (0..30).filter(|site| *site != 4).all(|site| fleet.heard(site).contains(&notice))
+        (0..30).filter(|site| *site != 4).all(|site| fleet.received(site).contains(&notice))
     };
     let took = fleet.run_until(seconds(3), informed);
 
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_flood_of_hints_leaves_heartbeats_their_budget() {
+fn many_hints_leave_budget_for_heartbeats() {
     // A failure domain is lost and hundreds of groups change their primary at once. If their news
     // took the whole budget, heartbeats would stay away and live instances be suspected.
     let mut fleet = Fleet::joined(8, 9);
@@ -271,7 +271,7 @@
     // An instance has used its budget up and cannot send its probes. If it judged them all the
     // same, it would find everybody gone and say so as soon as it may send again.
     let mut fleet = Fleet::joined(8, 12);
-    fleet.starve(3);
+    fleet.exhaust_budget(3);
 
     fleet.run(seconds(60));
 
@@ -281,19 +281,19 @@
 }
 
 #[test]
-fn a_new_term_reaches_all_in_spite_of_loss() {
+fn new_term_reaches_all_despite_packet_loss() {
     let mut fleet = Fleet::joined(30, 10);
     fleet.loss_percent = 20;
 
     fleet.publish(0, new_term(1, 9));
-    let heard_by_all = |fleet: &Fleet| (1..30).all(|site| !fleet.heard(site).is_empty());
+    let heard_by_all = |fleet: &Fleet| (1..30).all(|site| !fleet.received(site).is_empty());
     let took = fleet.run_until(seconds(20), heard_by_all);
 
     assert!(took.is_some());
 }
 
 #[test]
-fn a_newcomer_learns_the_terms_and_the_instances_that_nobody_speaks_of_any_more() {
+fn new_instance_learns_terms_and_instances_no_longer_gossiped() {
     // An instance is replaced in a quiet fleet. It takes a superseded primary for the present one,
     // and works out duties from the few instances that happened to speak to it.
     let mut fleet = Fleet::joined(60, 15);
@@ -302,14 +302,14 @@
     fleet.run(seconds(300));
 
     fleet.replace(31);
-    let informed = |fleet: &Fleet| !fleet.heard(31).is_empty() && fleet.settled();
+    let informed = |fleet: &Fleet| !fleet.received(31).is_empty() && fleet.settled();
     let took = fleet.run_until(REMOVAL_BOUND, informed);
 
     assert!(took.is_some());
 }
 
 #[test]
-fn a_fleet_does_not_fall_upon_an_address_that_it_remembers() {
+fn removed_address_is_probed_at_a_bounded_rate() {
     // A machine has died and its address is not in use. All others remember it for hours; if each
     // kept asking, a larger fleet would bury whoever gets that address next.
     let mut fleet = Fleet::joined(60, 16);
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn the_terms_of_a_lost_failure_domain_reach_all_within_the_budget() {
+fn terms_of_a_lost_failure_domain_reach_all_within_the_budget() {
     // A failure domain goes, and with it the primaries of a seventh of 780 groups. The new terms
     // are published within a moment by as many instances, and nobody speaks of anything else.
     let mut fleet = Fleet::joined(fleet_size(), 17);
@@ -335,7 +335,7 @@
     }
     let published_by = |site: usize| (0..GROUPS_LOST).filter(|g| g % fleet_size() == site).count();
     let informed = |fleet: &Fleet| {
-        (0..fleet.size()).all(|site| fleet.heard(site).len() + published_by(site) >= GROUPS_LOST)
+        (0..fleet.size()).all(|site| fleet.received(site).len() + published_by(site) >= GROUPS_LOST)
     };
     let took = fleet.run_until(seconds(300), informed);
 
--- a/crates/rudder-peers/src/node/tests/fleet.rs
+++ b/crates/rudder-peers/src/node/tests/fleet.rs
@@ -5,28 +5,28 @@
 use crate::member::{Incarnation, PeerEntry, PeerState};
 use crate::membership::{Membership, MembershipSettings};
 use crate::node::{BudgetSettings, FetchKind, NodeOutput, PeerNode};
-use crate::wire::{AnswerFrame, encode_answer};
+use crate::wire::{ResponseFrame, encode_response};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rudder_core::InstanceName;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SLICE: Duration = Duration::from_millis(10);
+const STEP: Duration = Duration::from_millis(10);
 const TICK_MILLIS: u128 = 100;
 pub(super) const BYTES_PER_SECOND: u64 = 1600;
 
-struct Site {
+struct SimulatedInstance {
     node: PeerNode,
     running: bool,
     frozen_until: Duration,
     side: usize,
-    life: usize,
-    heard: Vec<PeerHint>,
+    generation: usize,
+    received: Vec<PeerHint>,
     sent_to: usize,
 }
 
-struct Parcel {
+struct InFlightDatagram {
     due: Duration,
     from: usize,
     to: SocketAddr,
@@ -34,55 +34,55 @@
 }
 
 pub(super) struct Fleet {
-    sites: Vec<Site>,
-    parcels: Vec<Parcel>,
+    sites: Vec<SimulatedInstance>,
+    in_flight: Vec<InFlightDatagram>,
     cut_links: Vec<(usize, usize)>,
     pub(super) now: Duration,
     pub(super) loss_percent: u32,
     /// Whether what reaches a frozen instance is lost, because its socket's buffer is full.
-    pub(super) freeze_loses: bool,
+    pub(super) drop_while_frozen: bool,
     rng: StdRng,
 }
 
-pub(super) fn name(site: usize, life: usize) -> InstanceName {
-    format!("i{site}-{life}").parse().unwrap()
+pub(super) fn name(site: usize, generation: usize) -> InstanceName {
+    format!("i{site}-{generation}").parse().unwrap()
 }
 
 fn address(site: usize) -> SocketAddr {
     ([10, 0, 0, 1], 7000 + u16::try_from(site).unwrap()).into()
 }
 
-fn new_node(site: usize, life: usize, now: Duration, seed: u64) -> PeerNode {
-    let me = PeerEntry {
-        name: name(site, life),
+fn new_node(site: usize, generation: usize, now: Duration, seed: u64) -> PeerNode {
+    let local_entry = PeerEntry {
+        name: name(site, generation),
         address: address(site),
         domain: format!("d{}", site % 3).parse().unwrap(),
         incarnation: Incarnation(u64::try_from(now.as_millis()).unwrap() + 1),
         state: PeerState::Live,
     };
     let seeds = vec![address(0), address(1)];
-    let membership = Membership::new(me, seeds, MembershipSettings::default(), seed);
+    let membership = Membership::new(local_entry, seeds, MembershipSettings::default(), seed);
     PeerNode::new(membership, &BudgetSettings::split(BYTES_PER_SECOND), now)
 }
 
 impl Fleet {
     pub(super) fn new(size: usize, seed: u64) -> Self {
-        let site = |number| Site {
+        let site = |number| SimulatedInstance {
             node: new_node(number, 0, Duration::ZERO, seed + u64::try_from(number).unwrap()),
             running: true,
             frozen_until: Duration::ZERO,
             side: 0,
-            life: 0,
-            heard: Vec::new(),
+            generation: 0,
+            received: Vec::new(),
             sent_to: 0,
         };
         Self {
             sites: (0..size).map(site).collect(),
-            parcels: Vec::new(),
+            in_flight: Vec::new(),
             cut_links: Vec::new(),
             now: Duration::ZERO,
             loss_percent: 0,
-            freeze_loses: false,
+            drop_while_frozen: false,
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -103,7 +103,7 @@
     }
 
     /// Takes an instance's budget away.
-    pub(super) fn starve(&mut self, site: usize) {
+    pub(super) fn exhaust_budget(&mut self, site: usize) {
         self.sites[site].node.datagram_bucket = TokenBucket::new(0, 0, self.now);
     }
 
@@ -113,12 +113,19 @@
 
     /// Starts a new instance, with a new name, at the address of the one that was there.
     pub(super) fn replace(&mut self, site: usize) {
-        let life = self.sites[site].life + 1;
+        let generation = self.sites[site].generation + 1;
         let seed = self.rng.random();
-        let (node, side) = (new_node(site, life, self.now, seed), self.sites[site].side);
+        let (node, side) = (new_node(site, generation, self.now, seed), self.sites[site].side);
         let frozen_until = Duration::ZERO;
-        self.sites[site] =
-            Site { node, running: true, frozen_until, side, life, heard: vec![], sent_to: 0 };
+        self.sites[site] = SimulatedInstance {
+            node,
+            running: true,
+            frozen_until,
+            side,
+            generation,
+            received: vec![],
+            sent_to: 0,
+        };
     }
 
     pub(super) fn leave(&mut self, site: usize) {
@@ -132,31 +139,31 @@
     }
 
     /// Sends a hint to these sites only.
-    pub(super) fn tell(&mut self, site: usize, receivers: &[usize], hint: &PeerHint) {
+    pub(super) fn send_hint(&mut self, site: usize, receivers: &[usize], hint: &PeerHint) {
         let names: Vec<_> = receivers.iter().map(|site| self.name_of(*site)).collect();
-        let output = self.sites[site].node.tell(&names, hint, self.now);
+        let output = self.sites[site].node.send_hint(&names, hint, self.now);
         self.perform(site, output);
     }
 
     /// Parts the sites from `first` on from those before it.
-    pub(super) fn part(&mut self, first: usize) {
+    pub(super) fn partition_from(&mut self, first: usize) {
         for (number, site) in self.sites.iter_mut().enumerate() {
             site.side = usize::from(number >= first);
         }
     }
 
-    pub(super) fn cut(&mut self, a: usize, b: usize) {
+    pub(super) fn cut_link(&mut self, a: usize, b: usize) {
         self.cut_links.push((a, b));
     }
 
     pub(super) fn heal(&mut self) {
-        self.part(self.sites.len());
+        self.partition_from(self.sites.len());
         self.cut_links.clear();
         self.loss_percent = 0;
     }
 
-    pub(super) fn heard(&self, site: usize) -> &[PeerHint] {
-        &self.sites[site].heard
+    pub(super) fn received(&self, site: usize) -> &[PeerHint] {
+        &self.sites[site].received
     }
 
     pub(super) fn bytes_sent(&self, site: usize) -> u64 {
@@ -177,7 +184,7 @@
     }
 
     pub(super) fn name_of(&self, site: usize) -> InstanceName {
-        name(site, self.sites[site].life)
+        name(site, self.sites[site].generation)
     }
 
     /// What `site` holds of `of`.
@@ -194,7 +201,7 @@
     pub(super) fn settled(&self) -> bool {
         let mut expected: Vec<PeerEntry> = Vec::new();
         for site in self.running() {
-            expected.push(self.sites[site].node.me().clone());
+            expected.push(self.sites[site].node.local_entry().clone());
         }
         expected.sort_by(|a, b| a.name.cmp(&b.name));
         self.running().iter().all(|site| self.sites[*site].node.snapshot() == expected)
@@ -222,10 +229,10 @@
     }
 
     fn step(&mut self, ticked: bool) {
-        self.now += SLICE;
+        self.now += STEP;
         self.deliver_due();
         for site in 0..self.sites.len() {
-            if ticked && self.awake(site) {
+            if ticked && self.is_responsive(site) {
                 let output = self.sites[site].node.tick(self.now);
                 self.perform(site, output);
             }
@@ -234,21 +241,24 @@
 
     fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<Parcel>, Vec<Parcel>) =
-            std::mem::take(&mut self.parcels).into_iter().partition(|parcel| parcel.due <= now);
-        self.parcels = later;
-        for parcel in due {
-            let to = usize::from(parcel.to.port() - 7000);
-            if !self.sites[to].running || self.is_cut(parcel.from, to) {
+        let (due, later): (Vec<InFlightDatagram>, Vec<InFlightDatagram>) =
+            std::mem::take(&mut self.in_flight)
+                .into_iter()
+                .partition(|datagram| datagram.due <= now);
+        self.in_flight = later;
+        for datagram in due {
+            let to = usize::from(datagram.to.port() - 7000);
+            if !self.sites[to].running || self.is_cut(datagram.from, to) {
                 continue;
             }
-            if !self.awake(to) {
-                if !self.freeze_loses {
-                    self.parcels.push(Parcel { due: self.sites[to].frozen_until, ..parcel });
+            if !self.is_responsive(to) {
+                if !self.drop_while_frozen {
+                    self.in_flight
+                        .push(InFlightDatagram { due: self.sites[to].frozen_until, ..datagram });
                 }
                 continue;
             }
-            let output = self.sites[to].node.receive(&parcel.bytes, now).unwrap();
+            let output = self.sites[to].node.receive(&datagram.bytes, now).unwrap();
             self.perform(to, output);
         }
     }
@@ -258,17 +268,17 @@
             self.sites[usize::from(to.port() - 7000)].sent_to += 1;
             if self.rng.random_range(0..100) >= self.loss_percent {
                 let due = self.now + Duration::from_millis(self.rng.random_range(1..40));
-                self.parcels.push(Parcel { due, from, to, bytes });
+                self.in_flight.push(InFlightDatagram { due, from, to, bytes });
             }
         }
-        self.sites[from].heard.extend(output.hints.into_iter().map(|message| message.hint));
+        self.sites[from].received.extend(output.hints.into_iter().map(|message| message.hint));
         for (address, kind) in output.fetches {
             self.fetch(from, usize::from(address.port() - 7000), kind);
         }
     }
 
     fn fetch(&mut self, from: usize, to: usize, kind: FetchKind) {
-        if !self.awake(to) || !self.sites[to].running || self.is_cut(from, to) {
+        if !self.is_responsive(to) || !self.sites[to].running || self.is_cut(from, to) {
             return;
         }
         if kind == FetchKind::Groups {
@@ -277,11 +287,11 @@
             return self.perform(from, output);
         }
         let table = self.sites[to].node.table();
-        let answer = AnswerFrame::Table { number: 0, table: table.clone() };
-        let bytes = u64::try_from(encode_answer(&answer).unwrap().len()).unwrap();
+        let response = ResponseFrame::Table { number: 0, table: table.clone() };
+        let bytes = u64::try_from(encode_response(&response).unwrap().len()).unwrap();
         if self.sites[to].node.charge_table(bytes, self.now) {
             let entries = self.sites[from].node.merge(&table, self.now);
-            let sender = self.sites[from].node.me().clone();
+            let sender = self.sites[from].node.local_entry().clone();
             let update = crate::wire::PeerTableFrame { sender, entries };
             self.sites[to].node.merge(&update, self.now);
         } else {
@@ -289,7 +299,7 @@
         }
     }
 
-    fn awake(&self, site: usize) -> bool {
+    fn is_responsive(&self, site: usize) -> bool {
         self.sites[site].running && self.now >= self.sites[site].frozen_until
     }
 
--- a/crates/rudder-peers/src/node/tests/schedule.rs
+++ b/crates/rudder-peers/src/node/tests/schedule.rs
@@ -20,9 +20,9 @@
     Freeze(usize, u64),
     Replace(usize),
     Leave(usize),
-    Part(usize),
-    Cut(usize, usize),
-    Lose(u32),
+    Partition(usize),
+    CutLink(usize, usize),
+    LossPercent(u32),
     Heal,
 }
 
@@ -33,14 +33,14 @@
         (site.clone(), 1..90_u64).prop_map(|(site, time)| Failure::Freeze(site, time)),
         site.clone().prop_map(Failure::Replace),
         site.clone().prop_map(Failure::Leave),
-        (1..SIZE).prop_map(Failure::Part),
-        (site.clone(), site).prop_map(|(a, b)| Failure::Cut(a, b)),
-        (1..40_u32).prop_map(Failure::Lose),
+        (1..SIZE).prop_map(Failure::Partition),
+        (site.clone(), site).prop_map(|(a, b)| Failure::CutLink(a, b)),
+        (1..40_u32).prop_map(Failure::LossPercent),
         Just(Failure::Heal),
     ]
 }
 
-fn bring_about(fleet: &mut Fleet, failure: &Failure) {
+fn inject(fleet: &mut Fleet, failure: &Failure) {
     match *failure {
         // Two instances always stay, so that there is a fleet to come back to.
         Failure::Kill(site) if fleet.running().len() > 2 => fleet.kill(site),
@@ -49,9 +49,9 @@
         Failure::Replace(site) => fleet.replace(site),
         Failure::Leave(site) if fleet.running().contains(&site) => fleet.leave(site),
         Failure::Leave(_) => {}
-        Failure::Part(first) => fleet.part(first),
-        Failure::Cut(a, b) => fleet.cut(a, b),
-        Failure::Lose(percent) => fleet.loss_percent = percent,
+        Failure::Partition(first) => fleet.partition_from(first),
+        Failure::CutLink(a, b) => fleet.cut_link(a, b),
+        Failure::LossPercent(percent) => fleet.loss_percent = percent,
         Failure::Heal => fleet.heal(),
     }
 }
@@ -68,13 +68,13 @@
     // exactly the running ones again, whether or not it removed them meanwhile, and those that
     // left stay leaving.
     #[test]
-    fn after_any_failures_all_views_agree(
+    fn all_views_agree_after_any_failures(
         seed in any::<u32>(),
         failures in prop::collection::vec((any_failure(), 0..40_u64), 1..12),
     ) {
         let mut fleet = Fleet::joined(SIZE, u64::from(seed));
         for (failure, pause) in &failures {
-            bring_about(&mut fleet, failure);
+            inject(&mut fleet, failure);
             fleet.run(seconds(*pause));
         }
 
--- a/crates/rudder-peers/src/node/tests/votes.rs
+++ b/crates/rudder-peers/src/node/tests/votes.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn two_votes_of_one_observer_do_not_chase_each_other() {
+fn older_vote_of_an_observer_does_not_replace_its_newer_one() {
     // A member is suspected and at once no longer. The two votes travel on different ways; if the
     // one heard last won, they would replace each other round the fleet without end.
     let mut fleet = Fleet::joined(10, 11);
@@ -33,37 +33,37 @@
     fleet.run(seconds(20));
 
     for site in 1..10 {
-        let heard = fleet.heard(site);
-        assert_eq!(heard.last(), Some(&vote(2, false)));
-        assert!(heard.len() <= 2);
+        let received = fleet.received(site);
+        assert_eq!(received.last(), Some(&vote(2, false)));
+        assert!(received.len() <= 2);
     }
 }
 
 #[test]
-fn a_lasting_doubt_is_answered_each_time() {
+fn direct_votes_reach_their_receivers_and_are_not_relayed() {
     // A healthy primary is replaced. One keeper of its group has lost its link to it and doubts it
     // again and again; the two others answer that all is well. Each receiver passed on what was
     // told to the group's keepers only, which used up what peers may send, and answers were
     // withheld: the doubting keeper heard no objection any more.
-    const DOUBTS: u64 = 60;
+    const VOTES: u64 = 60;
     let mut fleet = Fleet::joined(6, 12);
 
-    for number in 1..=DOUBTS {
-        fleet.tell(0, &[1, 2], &vote_of(0, number, true));
+    for number in 1..=VOTES {
+        fleet.send_hint(0, &[1, 2], &vote_of(0, number, true));
         fleet.run(Duration::from_millis(200));
         for keeper in [1, 2] {
             let others = [0, 3 - keeper];
-            fleet.tell(keeper, &others, &vote_of(keeper, number, false));
+            fleet.send_hint(keeper, &others, &vote_of(keeper, number, false));
         }
         fleet.run(Duration::from_millis(200));
     }
 
-    let expected = usize::try_from(DOUBTS).unwrap();
+    let expected = usize::try_from(VOTES).unwrap();
     for keeper in [1, 2] {
         let from = |hint: &&PeerHint| matches!(hint, PeerHint::Vote(vote) if vote.observer == fleet.name_of(keeper));
-        assert_eq!(fleet.heard(0).iter().filter(from).count(), expected, "keeper {keeper}");
+        assert_eq!(fleet.received(0).iter().filter(from).count(), expected, "keeper {keeper}");
     }
     for outsider in 3..6 {
-        assert!(fleet.heard(outsider).is_empty(), "{:?}", fleet.heard(outsider));
+        assert!(fleet.received(outsider).is_empty(), "{:?}", fleet.received(outsider));
     }
 }
--- a/crates/rudder-peers/src/wire/codec.rs
+++ b/crates/rudder-peers/src/wire/codec.rs
@@ -4,7 +4,7 @@
 use super::entry::WireEntry;
 use super::error::WireError;
 use super::hint::WireHint;
-use super::request::{AnswerFrame, RequestFrame, WireAnswer, WireRequest};
+use super::request::{RequestFrame, ResponseFrame, WireRequest, WireResponse};
 use crate::hints::PeerHint;
 use crate::member::PeerEntry;
 use serde::Serialize;
@@ -36,12 +36,12 @@
     decode::<WireRequest>(bytes, FRAME_BYTES_MAX)?.try_into()
 }
 
-pub(crate) fn encode_answer(frame: &AnswerFrame) -> Result<Vec<u8>, WireError> {
-    encode(&WireAnswer::from(frame), FRAME_BYTES_MAX)
+pub(crate) fn encode_response(frame: &ResponseFrame) -> Result<Vec<u8>, WireError> {
+    encode(&WireResponse::from(frame), FRAME_BYTES_MAX)
 }
 
-pub(crate) fn decode_answer(bytes: &[u8]) -> Result<AnswerFrame, WireError> {
-    decode::<WireAnswer>(bytes, FRAME_BYTES_MAX)?.try_into()
+pub(crate) fn decode_response(bytes: &[u8]) -> Result<ResponseFrame, WireError> {
+    decode::<WireResponse>(bytes, FRAME_BYTES_MAX)?.try_into()
 }
 
 /// The bytes that an entry adds to a datagram.
--- a/crates/rudder-peers/src/wire/datagram.rs
+++ b/crates/rudder-peers/src/wire/datagram.rs
@@ -21,7 +21,7 @@
         pub(crate) revision: u64,
         pub(crate) body: DatagramBody,
         /// News of members.
-        pub(crate) news: Vec<PeerEntry>,
+        pub(crate) updates: Vec<PeerEntry>,
         pub(crate) hints: Vec<PeerHint>,
     }
 }
@@ -40,7 +40,7 @@
     /// Asks nothing; it only carries news and hints.
     Push,
     /// Asks nothing; its hints are for the receiver alone and are not passed on.
-    Tell,
+    Direct,
 }
 
 impl DatagramBody {
@@ -48,7 +48,7 @@
     pub(crate) fn probe_sequence(&self) -> Option<u32> {
         match self {
             Self::Probe { sequence, .. } | Self::IndirectProbe { sequence, .. } => Some(*sequence),
-            Self::Ack { .. } | Self::RelayedAck { .. } | Self::Push | Self::Tell => None,
+            Self::Ack { .. } | Self::RelayedAck { .. } | Self::Push | Self::Direct => None,
         }
     }
 }
@@ -60,7 +60,7 @@
     groups: u32,
     revision: u64,
     body: WireBody,
-    news: Vec<WireEntry>,
+    updates: Vec<WireEntry>,
     hints: Vec<WireHint>,
 }
 
@@ -71,7 +71,7 @@
     Ack { sequence: u32 },
     RelayedAck { sequence: u32 },
     Push,
-    Tell,
+    Direct,
 }
 
 impl From<&PeerDatagram> for WireDatagram {
@@ -82,7 +82,7 @@
             groups: datagram.groups,
             revision: datagram.revision,
             body: (&datagram.body).into(),
-            news: datagram.news.iter().map(WireEntry::from).collect(),
+            updates: datagram.updates.iter().map(WireEntry::from).collect(),
             hints: datagram.hints.iter().map(WireHint::from).collect(),
         }
     }
@@ -92,7 +92,8 @@
     type Error = WireError;
 
     fn try_from(wire: WireDatagram) -> Result<Self, WireError> {
-        let news: Result<_, WireError> = wire.news.into_iter().map(PeerEntry::try_from).collect();
+        let updates: Result<_, WireError> =
+            wire.updates.into_iter().map(PeerEntry::try_from).collect();
         let hints: Result<_, WireError> = wire.hints.into_iter().map(PeerHint::try_from).collect();
         Ok(Self {
             sender: wire.sender.try_into()?,
@@ -100,7 +101,7 @@
             groups: wire.groups,
             revision: wire.revision,
             body: wire.body.try_into()?,
-            news: news?,
+            updates: updates?,
             hints: hints?,
         })
     }
@@ -119,7 +120,7 @@
             DatagramBody::Ack { sequence } => Self::Ack { sequence: *sequence },
             DatagramBody::RelayedAck { sequence } => Self::RelayedAck { sequence: *sequence },
             DatagramBody::Push => Self::Push,
-            DatagramBody::Tell => Self::Tell,
+            DatagramBody::Direct => Self::Direct,
         }
     }
 }
@@ -138,7 +139,7 @@
             WireBody::Ack { sequence } => Self::Ack { sequence },
             WireBody::RelayedAck { sequence } => Self::RelayedAck { sequence },
             WireBody::Push => Self::Push,
-            WireBody::Tell => Self::Tell,
+            WireBody::Direct => Self::Direct,
         })
     }
 }
--- a/crates/rudder-peers/src/wire/entry.rs
+++ b/crates/rudder-peers/src/wire/entry.rs
@@ -25,7 +25,7 @@
                 PeerState::Live => 0,
                 PeerState::Suspect => 1,
                 PeerState::Leaving => 2,
-                PeerState::Gone => 3,
+                PeerState::Removed => 3,
             },
         }
     }
@@ -39,7 +39,7 @@
             0 => PeerState::Live,
             1 => PeerState::Suspect,
             2 => PeerState::Leaving,
-            3 => PeerState::Gone,
+            3 => PeerState::Removed,
             code => return Err(WireError::Code(code)),
         };
         Ok(Self {
--- a/crates/rudder-peers/src/wire/mod.rs
+++ b/crates/rudder-peers/src/wire/mod.rs
@@ -15,11 +15,11 @@
 mod tests;
 
 pub(crate) use codec::{
-    DATAGRAM_BYTES_MAX, FRAME_BYTES_MAX, decode_answer, decode_datagram, decode_request,
-    encode_answer, encode_datagram, encode_request, encoded_entry_size, encoded_hint_size,
+    DATAGRAM_BYTES_MAX, FRAME_BYTES_MAX, decode_datagram, decode_request, decode_response,
+    encode_datagram, encode_request, encode_response, encoded_entry_size, encoded_hint_size,
 };
 pub(crate) use datagram::{DatagramBody, PeerDatagram};
 pub use error::WireError;
-pub(crate) use request::{AnswerFrame, PeerTableFrame, RequestBody, RequestFrame};
 pub use request::{PeerReply, PeerRequest};
+pub(crate) use request::{PeerTableFrame, RequestBody, RequestFrame, ResponseFrame};
 pub use size::{groups_bytes, heartbeat_bytes, table_bytes};
--- a/crates/rudder-peers/src/wire/request.rs
+++ b/crates/rudder-peers/src/wire/request.rs
@@ -32,7 +32,7 @@
     /// What the session must see, as far as the answering instance knows.
     Session(SessionToken),
     /// What was handed over has been taken.
-    Taken,
+    Accepted,
     /// The revision that was asked for, in the settings code's own encoding.
     Revision(Vec<u8>),
     /// An answer of the succession code, in that code's own encoding.
@@ -58,7 +58,7 @@
     Groups,
     /// These entries are newer than yours.
     Update(PeerTableFrame),
-    Ask(PeerRequest),
+    Handler(PeerRequest),
 }
 
 plain_data! {
@@ -71,7 +71,7 @@
 
 /// What is answered over TCP.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerFrame {
+pub(crate) enum ResponseFrame {
     /// The answering instance's own table.
     Table {
         number: u64,
@@ -93,7 +93,7 @@
     },
 }
 
-impl AnswerFrame {
+impl ResponseFrame {
     pub(crate) fn number(&self) -> u64 {
         match self {
             Self::Table { number, .. }
@@ -122,19 +122,19 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct WireAnswer {
+pub(crate) struct WireResponse {
     number: u64,
-    body: WireAnswerBody,
+    body: WireResponseBody,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-enum WireAnswerBody {
+enum WireResponseBody {
     Table(WireTable),
     Groups { sender: String, hints: Vec<WireHint> },
     Busy,
     Unknown,
     Session(WireSession),
-    Taken,
+    Accepted,
     Revision(Vec<u8>),
     Succession(Vec<u8>),
 }
@@ -199,16 +199,16 @@
             RequestBody::Table => WireRequestBody::Table,
             RequestBody::Groups => WireRequestBody::Groups,
             RequestBody::Update(table) => WireRequestBody::Update(table.into()),
-            RequestBody::Ask(PeerRequest::SessionLookup(id)) => {
+            RequestBody::Handler(PeerRequest::SessionLookup(id)) => {
                 WireRequestBody::SessionLookup(id.to_string())
             }
-            RequestBody::Ask(PeerRequest::SessionHandover(tokens)) => {
+            RequestBody::Handler(PeerRequest::SessionHandover(tokens)) => {
                 WireRequestBody::SessionHandover(tokens.iter().map(WireSession::from).collect())
             }
-            RequestBody::Ask(PeerRequest::RevisionFetch { newer_than }) => {
+            RequestBody::Handler(PeerRequest::RevisionFetch { newer_than }) => {
                 WireRequestBody::RevisionFetch { newer_than: *newer_than }
             }
-            RequestBody::Ask(PeerRequest::Succession(bytes)) => {
+            RequestBody::Handler(PeerRequest::Succession(bytes)) => {
                 WireRequestBody::Succession(bytes.clone())
             }
         };
@@ -225,63 +225,65 @@
             WireRequestBody::Groups => RequestBody::Groups,
             WireRequestBody::Update(table) => RequestBody::Update(table.try_into()?),
             WireRequestBody::SessionLookup(id) => {
-                RequestBody::Ask(PeerRequest::SessionLookup(id.parse()?))
+                RequestBody::Handler(PeerRequest::SessionLookup(id.parse()?))
             }
             WireRequestBody::SessionHandover(sessions) => {
                 let tokens: Result<_, WireError> =
                     sessions.into_iter().map(SessionToken::try_from).collect();
-                RequestBody::Ask(PeerRequest::SessionHandover(tokens?))
+                RequestBody::Handler(PeerRequest::SessionHandover(tokens?))
             }
             WireRequestBody::RevisionFetch { newer_than } => {
-                RequestBody::Ask(PeerRequest::RevisionFetch { newer_than })
+                RequestBody::Handler(PeerRequest::RevisionFetch { newer_than })
+            }
+            WireRequestBody::Succession(bytes) => {
+                RequestBody::Handler(PeerRequest::Succession(bytes))
             }
-            WireRequestBody::Succession(bytes) => RequestBody::Ask(PeerRequest::Succession(bytes)),
         };
         Ok(Self { number: wire.number, body })
     }
 }
 
-impl From<&AnswerFrame> for WireAnswer {
-    fn from(frame: &AnswerFrame) -> Self {
+impl From<&ResponseFrame> for WireResponse {
+    fn from(frame: &ResponseFrame) -> Self {
         let body = match frame {
-            AnswerFrame::Table { table, .. } => WireAnswerBody::Table(table.into()),
-            AnswerFrame::Groups { sender, hints, .. } => WireAnswerBody::Groups {
+            ResponseFrame::Table { table, .. } => WireResponseBody::Table(table.into()),
+            ResponseFrame::Groups { sender, hints, .. } => WireResponseBody::Groups {
                 sender: sender.to_string(),
                 hints: hints.iter().map(WireHint::from).collect(),
             },
-            AnswerFrame::Busy { .. } => WireAnswerBody::Busy,
-            AnswerFrame::Reply { reply, .. } => match reply {
-                PeerReply::Unknown => WireAnswerBody::Unknown,
-                PeerReply::Session(token) => WireAnswerBody::Session(token.into()),
-                PeerReply::Taken => WireAnswerBody::Taken,
-                PeerReply::Revision(bytes) => WireAnswerBody::Revision(bytes.clone()),
-                PeerReply::Succession(bytes) => WireAnswerBody::Succession(bytes.clone()),
+            ResponseFrame::Busy { .. } => WireResponseBody::Busy,
+            ResponseFrame::Reply { reply, .. } => match reply {
+                PeerReply::Unknown => WireResponseBody::Unknown,
+                PeerReply::Session(token) => WireResponseBody::Session(token.into()),
+                PeerReply::Accepted => WireResponseBody::Accepted,
+                PeerReply::Revision(bytes) => WireResponseBody::Revision(bytes.clone()),
+                PeerReply::Succession(bytes) => WireResponseBody::Succession(bytes.clone()),
             },
         };
         Self { number: frame.number(), body }
     }
 }
 
-impl TryFrom<WireAnswer> for AnswerFrame {
+impl TryFrom<WireResponse> for ResponseFrame {
     type Error = WireError;
 
-    fn try_from(wire: WireAnswer) -> Result<Self, WireError> {
+    fn try_from(wire: WireResponse) -> Result<Self, WireError> {
         let number = wire.number;
         let reply = match wire.body {
-            WireAnswerBody::Table(table) => {
+            WireResponseBody::Table(table) => {
                 return Ok(Self::Table { number, table: table.try_into()? });
             }
-            WireAnswerBody::Groups { sender, hints } => {
+            WireResponseBody::Groups { sender, hints } => {
                 let hints: Result<_, WireError> =
                     hints.into_iter().map(PeerHint::try_from).collect();
                 return Ok(Self::Groups { number, sender: sender.parse()?, hints: hints? });
             }
-            WireAnswerBody::Busy => return Ok(Self::Busy { number }),
-            WireAnswerBody::Unknown => PeerReply::Unknown,
-            WireAnswerBody::Session(session) => PeerReply::Session(session.try_into()?),
-            WireAnswerBody::Taken => PeerReply::Taken,
-            WireAnswerBody::Revision(bytes) => PeerReply::Revision(bytes),
-            WireAnswerBody::Succession(bytes) => PeerReply::Succession(bytes),
+            WireResponseBody::Busy => return Ok(Self::Busy { number }),
+            WireResponseBody::Unknown => PeerReply::Unknown,
+            WireResponseBody::Session(session) => PeerReply::Session(session.try_into()?),
+            WireResponseBody::Accepted => PeerReply::Accepted,
+            WireResponseBody::Revision(bytes) => PeerReply::Revision(bytes),
+            WireResponseBody::Succession(bytes) => PeerReply::Succession(bytes),
         };
         Ok(Self::Reply { number, reply })
     }
--- a/crates/rudder-peers/src/wire/size.rs
+++ b/crates/rudder-peers/src/wire/size.rs
@@ -1,8 +1,8 @@
 //! Sizes of messages as they are encoded, for planning capacity.
 
-use super::codec::{encode_answer, encode_datagram};
+use super::codec::{encode_datagram, encode_response};
 use super::datagram::{DatagramBody, PeerDatagram};
-use super::request::{AnswerFrame, PeerTableFrame};
+use super::request::{PeerTableFrame, ResponseFrame};
 use crate::budget::DATAGRAM_OVERHEAD_BYTES;
 use crate::hints::PeerHint;
 use crate::member::PeerEntry;
@@ -23,14 +23,14 @@
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[must_use]
-pub fn heartbeat_bytes(sender: &PeerEntry, news: &[PeerEntry], hints: &[PeerHint]) -> u64 {
+pub fn heartbeat_bytes(sender: &PeerEntry, updates: &[PeerEntry], hints: &[PeerHint]) -> u64 {
     let datagram = PeerDatagram {
         sender: sender.clone(),
         digest: u32::MAX,
         groups: u32::MAX,
         revision: u64::from(u16::MAX),
         body: DatagramBody::Ack { sequence: u32::MAX },
-        news: news.to_vec(),
+        updates: updates.to_vec(),
         hints: hints.to_vec(),
     };
     encode_datagram(&datagram).map_or(0, |bytes| length_of(&bytes) + DATAGRAM_OVERHEAD_BYTES)
@@ -54,7 +54,7 @@
 #[must_use]
 pub fn table_bytes(sender: &PeerEntry, entries: &[PeerEntry]) -> u64 {
     let table = PeerTableFrame { sender: sender.clone(), entries: entries.to_vec() };
-    answer_bytes(&AnswerFrame::Table { number: 1, table })
+    response_bytes(&ResponseFrame::Table { number: 1, table })
 }
 
 /// Bytes of the primaries of groups, as they are fetched over TCP; zero if they do not fit.
@@ -67,11 +67,11 @@
 #[must_use]
 pub fn groups_bytes(sender: &rudder_core::InstanceName, hints: &[PeerHint]) -> u64 {
     let (sender, hints) = (sender.clone(), hints.to_vec());
-    answer_bytes(&AnswerFrame::Groups { number: 1, sender, hints })
+    response_bytes(&ResponseFrame::Groups { number: 1, sender, hints })
 }
 
-fn answer_bytes(answer: &AnswerFrame) -> u64 {
-    encode_answer(answer).map_or(0, |bytes| length_of(&bytes))
+fn response_bytes(response: &ResponseFrame) -> u64 {
+    encode_response(response).map_or(0, |bytes| length_of(&bytes))
 }
 
 fn length_of(bytes: &[u8]) -> u64 {
--- a/crates/rudder-peers/src/wire/tests.rs
+++ b/crates/rudder-peers/src/wire/tests.rs
@@ -69,13 +69,13 @@
         groups: 17,
         revision: 410,
         body: DatagramBody::Probe { sequence: 9, target: Some("rudder-0001".parse().unwrap()) },
-        news: vec![entry(PeerState::Gone), entry(PeerState::Leaving)],
+        updates: vec![entry(PeerState::Removed), entry(PeerState::Leaving)],
         hints: hints(),
     }
 }
 
 #[test]
-fn a_datagram_is_read_back_as_written() {
+fn datagram_round_trips() {
     let written = datagram();
 
     let read = decode_datagram(&encode_datagram(&written).unwrap()).unwrap();
@@ -84,22 +84,22 @@
 }
 
 #[test]
-fn requests_and_answers_are_read_back_as_written() {
+fn requests_and_responses_round_trip() {
     let table =
-        PeerTableFrame { sender: entry(PeerState::Live), entries: vec![entry(PeerState::Gone)] };
+        PeerTableFrame { sender: entry(PeerState::Live), entries: vec![entry(PeerState::Removed)] };
     let token = "v1/anna/scores-db=2:40/survey=1:7".parse().unwrap();
     let request = RequestFrame { number: 5, body: RequestBody::Update(table.clone()) };
     let sender = entry(PeerState::Live).name;
-    let answers = [
-        AnswerFrame::Table { number: 5, table },
-        AnswerFrame::Groups { number: 6, sender, hints: hints() },
-        AnswerFrame::Busy { number: 7 },
-        AnswerFrame::Reply { number: 8, reply: PeerReply::Session(token) },
+    let responses = [
+        ResponseFrame::Table { number: 5, table },
+        ResponseFrame::Groups { number: 6, sender, hints: hints() },
+        ResponseFrame::Busy { number: 7 },
+        ResponseFrame::Reply { number: 8, reply: PeerReply::Session(token) },
     ];
 
     assert_eq!(decode_request(&encode_request(&request).unwrap()).unwrap(), request);
-    for answer in answers {
-        assert_eq!(decode_answer(&encode_answer(&answer).unwrap()).unwrap(), answer);
+    for response in responses {
+        assert_eq!(decode_response(&encode_response(&response).unwrap()).unwrap(), response);
     }
 }
 
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_later_version_and_trailing_bytes_are_refused() {
+fn later_version_and_trailing_bytes_are_rejected() {
     let mut later = encode_datagram(&datagram()).unwrap();
     later[0] += 1;
     let mut longer = encode_datagram(&datagram()).unwrap();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_datagram_cut_off_anywhere_is_refused() {
+fn truncated_datagram_is_rejected() {
     let whole = encode_datagram(&datagram()).unwrap();
 
     for length in 0..whole.len() {
@@ -144,16 +144,16 @@
 }
 
 #[test]
-fn sizes_are_those_that_the_capacity_page_counts_with() {
+fn encoded_sizes_match_the_capacity_plan() {
     let sender = entry(PeerState::Live);
     let bare = heartbeat_bytes(&sender, &[], &[]);
 
-    let news = heartbeat_bytes(&sender, std::slice::from_ref(&sender), &[]) - bare;
+    let updates = heartbeat_bytes(&sender, std::slice::from_ref(&sender), &[]) - bare;
     let hints = hints();
     let sizes =
         hints.iter().map(|hint| heartbeat_bytes(&sender, &[], std::slice::from_ref(hint)) - bare);
 
-    assert_eq!((bare, news), (91, 41));
+    assert_eq!((bare, updates), (91, 41));
     assert_eq!(sizes.collect::<Vec<_>>(), [40, 47, 61, 31, 13, 3]);
 }
 
@@ -170,12 +170,12 @@
 
         let _ = decode_datagram(&bytes);
         let _ = decode_request(&bytes);
-        let _ = decode_answer(&bytes);
+        let _ = decode_response(&bytes);
     }
 
     // A peer with a damaged memory or cable: one byte of a good message is wrong.
     #[test]
-    fn a_damaged_byte_never_panics(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn corrupted_byte_never_panics(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut bytes = encode_datagram(&datagram()).unwrap();
         let index = place.index(bytes.len());
         bytes[index] = byte;
--- a/crates/rudder-peers/tests/mesh.rs
+++ b/crates/rudder-peers/tests/mesh.rs
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Far longer than anything here takes; only a broken mesh waits so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Default)]
 struct RecordingHandler {
@@ -32,7 +32,7 @@
             PeerRequest::SessionLookup(id) if id.as_str() == "anna" => {
                 PeerReply::Session("v1/anna/scores-db=2:40".parse().unwrap())
             }
-            PeerRequest::SessionHandover(_) => PeerReply::Taken,
+            PeerRequest::SessionHandover(_) => PeerReply::Accepted,
             PeerRequest::Succession(bytes) => PeerReply::Succession(bytes),
             _ => PeerReply::Unknown,
         }
@@ -70,7 +70,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("the condition should come true");
+    tokio::time::timeout(TIMEOUT, wait).await.expect("the condition should come true");
 }
 
 fn new_term(term: u64) -> PeerHint {
@@ -88,20 +88,20 @@
 }
 
 #[tokio::test]
-async fn one_known_seed_is_enough_to_join_and_a_new_term_reaches_everyone() {
+async fn instances_join_through_one_seed_and_a_new_term_reaches_all() {
     let fleet = start_fleet(4).await;
 
     fleet[3].mesh.publish(new_term(5)).await;
 
-    let heard = |fixture: &MeshFixture| {
+    let received = |fixture: &MeshFixture| {
         let hints = fixture.handler.hints.lock().unwrap();
         hints.iter().any(|hint| matches!(hint, PeerHint::Group(hint) if hint.term == LogTerm(5)))
     };
-    wait_for(|| fleet[..3].iter().all(heard)).await;
+    wait_for(|| fleet[..3].iter().all(received)).await;
 }
 
 #[tokio::test]
-async fn a_hint_that_was_pushed_has_no_age_bound() {
+async fn pushed_hint_has_no_age_bound() {
     // A user would be shown a read as fresh that is not: the datagram that says when the primary
     // was confirmed waits on its way, and its receiver cannot tell for how long.
     let fleet = start_fleet(2).await;
@@ -117,53 +117,53 @@
 async fn requests_are_answered_by_the_handler() {
     let fleet = start_fleet(2).await;
     let peer = name(1);
-    let ask = |request| fleet[0].mesh.request(&peer, request, PATIENCE);
+    let send_request = |request| fleet[0].mesh.request(&peer, request, TIMEOUT);
 
-    let known = ask(PeerRequest::SessionLookup("anna".parse().unwrap())).await.unwrap();
-    let unknown = ask(PeerRequest::SessionLookup("berta".parse().unwrap())).await.unwrap();
+    let known = send_request(PeerRequest::SessionLookup("anna".parse().unwrap())).await.unwrap();
+    let unknown = send_request(PeerRequest::SessionLookup("berta".parse().unwrap())).await.unwrap();
     let tokens = vec!["v1/anna/scores-db=2:40".parse::<SessionToken>().unwrap()];
-    let handover = ask(PeerRequest::SessionHandover(tokens)).await.unwrap();
+    let handover = send_request(PeerRequest::SessionHandover(tokens)).await.unwrap();
 
     assert_eq!(known, PeerReply::Session("v1/anna/scores-db=2:40".parse().unwrap()));
     assert_eq!(unknown, PeerReply::Unknown);
-    assert_eq!(handover, PeerReply::Taken);
+    assert_eq!(handover, PeerReply::Accepted);
 }
 
 #[tokio::test]
-async fn a_large_request_comes_back_whole() {
+async fn large_request_round_trips() {
     let fleet = start_fleet(2).await;
     let bytes: Vec<u8> = (0..=u8::MAX).cycle().take(300_000).collect();
 
     let peer = name(1);
     let request = PeerRequest::Succession(bytes.clone());
-    let reply = fleet[0].mesh.request(&peer, request, PATIENCE).await.unwrap();
+    let reply = fleet[0].mesh.request(&peer, request, TIMEOUT).await.unwrap();
 
     assert_eq!(reply, PeerReply::Succession(bytes));
 }
 
 #[tokio::test]
-async fn an_answer_to_another_request_is_refused() {
+async fn response_to_another_request_is_rejected() {
     // A caller would get another session's floor: a peer, or something between, hands back the
     // late answer to an earlier request.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let fixture = start(0, Vec::new()).await;
 
-    let answering = async {
+    let server = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         // Version 1, request 99, the code for "unknown".
         stream.write_all(&[0, 0, 0, 3, 1, 99, 3]).await.unwrap();
         stream
     };
     let request = PeerRequest::RevisionFetch { newer_than: 1 };
-    let asking = fixture.mesh.request_at(address, request, PATIENCE);
-    let (reply, _stream) = tokio::join!(asking, answering);
+    let client = fixture.mesh.request_at(address, request, TIMEOUT);
+    let (reply, _stream) = tokio::join!(client, server);
 
     assert!(matches!(reply, Err(PeerError::Mismatched)));
 }
 
 #[tokio::test]
-async fn garbage_from_the_network_changes_nothing() {
+async fn malformed_input_is_ignored() {
     // Something else on the network sends to the peers' port: noise over UDP, and over TCP a frame
     // that claims four gigabytes.
     let fleet = start_fleet(2).await;
@@ -180,23 +180,23 @@
     assert!(matches!(closed, Ok(0) | Err(_)));
     let peer = name(0);
     let request = PeerRequest::SessionLookup("anna".parse().unwrap());
-    assert!(fleet[1].mesh.request(&peer, request, PATIENCE).await.is_ok());
+    assert!(fleet[1].mesh.request(&peer, request, TIMEOUT).await.is_ok());
     assert_eq!(fleet[0].mesh.live().len(), 2);
 }
 
 #[tokio::test]
-async fn a_stopped_instance_disappears_and_a_leaving_one_says_so() {
+async fn stopped_instance_is_removed_and_leaving_one_is_announced() {
     // Callers are sent to an instance that is no longer there, or that is about to go.
     let mut fleet = start_fleet(4).await;
 
     fleet[1].mesh.leave().await;
     fleet.remove(3).mesh.stop().await;
 
-    let settled = |fixture: &MeshFixture| {
+    let all_updated = |fixture: &MeshFixture| {
         let live = fixture.mesh.live();
         let state =
             |number| live.iter().find(|entry| entry.name == name(number)).map(|entry| entry.state);
         state(3).is_none() && state(1) == Some(PeerState::Leaving)
     };
-    wait_for(|| fleet.iter().all(settled)).await;
+    wait_for(|| fleet.iter().all(all_updated)).await;
 }
