--- a/crates/rudder-peers/examples/slopes/fleet.rs
+++ b/crates/rudder-peers/examples/slopes/fleet.rs
@@ -1,4 +1,4 @@
-//! Many instances inside one process, each with sockets of its own.
+//! Fleet of many instances inside one process, each with its own sockets.
 
 use async_trait::async_trait;
 use rudder_core::LogTerm;
@@ -12,7 +12,7 @@
 
 const DOMAINS: usize = 7;
 
-/// Remembers the greatest term and revision heard.
+/// Handler that records the greatest received term and revision.
 #[derive(Default)]
 pub(crate) struct LatestHint {
     term: AtomicU64,
@@ -34,7 +34,7 @@
     }
 }
 
-/// One instance.
+/// An instance of the fleet.
 pub(crate) struct FleetMember {
     pub(crate) mesh: PeerMesh,
     latest: Arc<LatestHint>,
@@ -53,7 +53,7 @@
         Ok(Self { mesh, latest })
     }
 
-    /// Whether this instance sees so many others and itself, none of them suspect.
+    /// Whether this instance sees `count` instances, including itself, none of them suspect.
     pub(crate) fn sees(&self, count: usize) -> bool {
         let live = self.mesh.live();
         live.len() == count && live.iter().all(|entry| entry.state == PeerState::Live)
@@ -68,7 +68,7 @@
     }
 }
 
-/// What a fleet has sent, all instances together, and what the busiest one has.
+/// Traffic sent by all instances of a fleet together.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct FleetTraffic {
     pub(crate) datagrams: u64,
@@ -81,7 +81,7 @@
     fleet.iter().map(|member| member.mesh.traffic()).collect()
 }
 
-/// The sum over all instances of what was sent between two counts.
+/// Returns the sum over all instances of the traffic sent between two counts.
 pub(crate) fn total(before: &[TrafficCount], after: &[TrafficCount]) -> FleetTraffic {
     before.iter().zip(after).fold(FleetTraffic::default(), |sum, (before, after)| FleetTraffic {
         datagrams: sum.datagrams + after.datagrams - before.datagrams,
@@ -91,7 +91,7 @@
     })
 }
 
-/// The most that one instance sent in datagrams between two counts, in bytes.
+/// Returns the most datagram bytes that one instance sent between two counts.
 pub(crate) fn busiest(before: &[TrafficCount], after: &[TrafficCount]) -> u64 {
     let pairs = before.iter().zip(after);
     pairs.map(|(before, after)| after.datagram_bytes - before.datagram_bytes).max().unwrap_or(0)
--- a/crates/rudder-peers/examples/slopes/main.rs
+++ b/crates/rudder-peers/examples/slopes/main.rs
@@ -1,4 +1,4 @@
-//! Runs fleets of several sizes on loopback and prints what one instance costs, as JSON lines.
+//! Runs fleets of several sizes on loopback and prints the resource use per instance as JSON lines.
 //!
 //! `cargo run --release -p rudder-peers --example slopes -- --sizes 7,20,60,180 --seconds 10`
 
--- a/crates/rudder-peers/examples/slopes/planned.rs
+++ b/crates/rudder-peers/examples/slopes/planned.rs
@@ -1,4 +1,5 @@
-//! What needs no fleet: encoded sizes, and the choice of keepers at the planned size.
+//! Measurements that need no fleet: encoded sizes, and the selection of keepers at the planned
+//! size.
 
 use rudder_core::{LogStamp, LogTerm, MemberRole, MemberStatus, ServiceName};
 use rudder_peers::{
@@ -12,9 +13,9 @@
 const INSTANCES: usize = 570;
 const SERVICES: usize = 780;
 const DOMAINS: usize = 7;
-/// Connections of 30 shared out four to a holder.
+/// Number of holders when 30 connections are divided, four per holder.
 const HOLDERS: usize = 7;
-/// The start of an incarnation in 2026, in milliseconds since 1970.
+/// Start time of an incarnation in 2026, in milliseconds since 1970.
 const INCARNATION: u64 = 1_796_000_000_000;
 
 pub(crate) fn lines() -> Vec<Value> {
--- a/crates/rudder-peers/examples/slopes/run.rs
+++ b/crates/rudder-peers/examples/slopes/run.rs
@@ -1,4 +1,5 @@
-//! One size: joining, quiet, spreading, and losing instances.
+//! Measurements at one fleet size: joining, idle traffic, distribution of hints, and loss of
+//! instances.
 
 use crate::fleet::{FleetMember, busiest, total, traffic};
 use crate::process::{processor_time, resident_bytes};
@@ -8,23 +9,25 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes; a broken fleet ends the run.
+/// Timeout for each state of the fleet; far longer than any takes, so that only a faulty fleet ends
+/// the run.
 const STATE_TIMEOUT: Duration = Duration::from_secs(180);
-/// The news of 570 joining at once takes minutes, ten to a heartbeat.
+/// Timeout for the updates of a joining fleet to be sent. The updates of 570 instances that join at
+/// once take minutes, at ten per heartbeat.
 const CALM_TIMEOUT: Duration = Duration::from_secs(1200);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Hints published one after the other at each size.
+/// Number of hints published sequentially at each size.
 const HINTS: u64 = 9;
-/// Between two hints, so that each finds the budget as it is in quiet.
+/// Interval between two hints, so that the budget is idle at each hint.
 const HINT_INTERVAL: Duration = Duration::from_secs(2);
-/// A datagram of this fleet without news is smaller, one with news is larger.
+/// Maximum size of a datagram of this fleet without updates; one with updates is larger.
 const BARE_BYTES_MAX: u64 = 92;
-/// How long the fleet is watched for news that still rides along.
+/// Period over which the fleet is checked for datagrams with updates.
 const CALM_WINDOW: Duration = Duration::from_secs(5);
-/// One in so many instances is lost with its failure domain.
+/// Number of failure domains; the loss of one stops this fraction of the instances.
 const DOMAINS: usize = 7;
 
-/// Why a run ended early.
+/// Reason for which a run ended early.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum RunError {
@@ -42,7 +45,7 @@
     }
 }
 
-/// A run at one size.
+/// Run at one fleet size.
 pub(crate) struct SizeRun {
     pub(crate) size: usize,
     pub(crate) quiet: Duration,
@@ -106,7 +109,7 @@
     }
 }
 
-/// Waits until the news of so many joining at once has been passed on.
+/// Waits until the updates of all instances that joined at once have been sent.
 async fn wait_for_calm(fleet: &[FleetMember]) -> Result<Duration, RunError> {
     let timer = Instant::now();
     while timer.elapsed() < CALM_TIMEOUT {
@@ -163,7 +166,7 @@
     Ok(seconds(timer.elapsed()))
 }
 
-/// Stops some instances without a word, and waits until nobody counts on them.
+/// Stops some instances without notice, and waits until all others have removed them.
 async fn lose(fleet: &mut Vec<FleetMember>, count: usize) -> Result<Value, RunError> {
     for lost in fleet.split_off(fleet.len() - count) {
         lost.mesh.stop().await;
--- a/crates/rudder-peers/src/budget/bucket.rs
+++ b/crates/rudder-peers/src/budget/bucket.rs
@@ -1,20 +1,20 @@
-//! A token bucket whose last tokens are kept for what must not wait.
+//! Token bucket that reserves its last tokens for the most important messages.
 
 use std::time::Duration;
 
-/// Bytes that IPv4 and UDP add to each datagram; they are charged too.
+/// Bytes that IPv4 and UDP add to each datagram; they are charged to the budget too.
 pub(crate) const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
-/// What a datagram is for; each class leaves a part of the bucket to those above it.
+/// Priority class of a datagram. Each class leaves part of the bucket to the more important ones.
 ///
-/// Guards against the budget itself causing failures: if hints could use up the bucket, answers to
-/// heartbeats would not be sent, live instances would be suspected, and the news of that would fill
-/// the bucket again.
+/// Without the reserves, the budget itself could cause failures: if hints used up the bucket,
+/// responses to heartbeats would not be sent, live instances would be suspected, and the resulting
+/// updates would use up the bucket again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendClass {
-    /// Heartbeats and their answers.
+    /// Heartbeats and their responses.
     Heartbeat,
-    /// News of members and urgent hints.
+    /// Membership updates and urgent hints.
     Updates,
     /// Routine hints.
     Routine,
@@ -30,7 +30,8 @@
     }
 }
 
-/// A token bucket, in thousandths of a byte so that small steps of time are not lost.
+/// Token bucket that counts in thousandths of a byte, so that short intervals are not lost to
+/// rounding.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     rate_bytes_per_second: i64,
@@ -40,7 +41,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(bytes_per_second: u64, depth_bytes: u64, now: Duration) -> Self {
         let depth_millibytes = to_i64(depth_bytes).saturating_mul(1000);
         Self {
@@ -58,13 +59,14 @@
         self.level_millibytes - to_i64(bytes).saturating_mul(1000) >= reserve
     }
 
-    /// Takes `bytes` out; the level may become negative, and is then paid off by waiting.
+    /// Consumes `bytes`. The level may become negative; the debt is repaid as the bucket refills.
     pub(crate) fn take(&mut self, bytes: u64) {
         self.level_millibytes =
             self.level_millibytes.saturating_sub(to_i64(bytes).saturating_mul(1000));
     }
 
-    /// Takes `bytes` out if no earlier debt stands; for transfers larger than the bucket.
+    /// Consumes `bytes` unless there is debt from an earlier transfer. Allows transfers that are
+    /// larger than the bucket.
     pub(crate) fn take_with_debt(&mut self, bytes: u64, now: Duration) -> bool {
         self.fill(now);
         let allowed = self.level_millibytes > 0;
--- a/crates/rudder-peers/src/budget/mod.rs
+++ b/crates/rudder-peers/src/budget/mod.rs
@@ -1,4 +1,4 @@
-//! The budget of bytes per second that an instance spends on its peers.
+//! Budget of bytes per second that an instance may send to its peers.
 
 mod bucket;
 #[cfg(test)]
--- a/crates/rudder-peers/src/budget/tests.rs
+++ b/crates/rudder-peers/src/budget/tests.rs
@@ -1,4 +1,4 @@
-//! The token bucket.
+//! Tests of the token bucket.
 
 use super::{SendClass, TokenBucket};
 use std::time::Duration;
--- a/crates/rudder-peers/src/handler.rs
+++ b/crates/rudder-peers/src/handler.rs
@@ -1,10 +1,10 @@
-//! The border towards the code that uses what peers say.
+//! Interface to the code that consumes hints and serves requests of peers.
 
 use crate::hints::HintMessage;
 use crate::wire::{PeerReply, PeerRequest};
 use async_trait::async_trait;
 
-/// A handler that takes no notice of hints and answers no request.
+/// Handler that ignores hints and replies to every request with `PeerReply::Unknown`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoopHandler;
 
@@ -17,13 +17,13 @@
     }
 }
 
-/// Takes hints in and answers peers' requests.
+/// Consumer of hints and server of requests from peers.
 #[async_trait]
 pub trait PeerHandler: Send + Sync {
-    /// Takes in a hint that is news. Hints come one at a time, in the order in which they arrived;
-    /// a handler that is too slow loses some.
+    /// Processes a hint that is newer than what was known. Hints are passed one at a time, in the
+    /// order in which they arrived; if the handler is too slow, some are dropped.
     async fn on_hint(&self, message: HintMessage);
 
-    /// Answers a request; `PeerReply::Unknown` if it cannot.
+    /// Serves a request; returns `PeerReply::Unknown` if it cannot.
     async fn on_request(&self, request: PeerRequest) -> PeerReply;
 }
--- a/crates/rudder-peers/src/hints/cache.rs
+++ b/crates/rudder-peers/src/hints/cache.rs
@@ -1,19 +1,19 @@
-//! The board of the newest hints, and which of them are still to be passed on.
+//! Cache of the newest hints, and the number of times each is still to be sent.
 
 use super::hint::{HintKey, HintUrgency, PeerHint};
 use std::time::Duration;
 
-/// Hints kept at most: 780 groups with three members each, their samples and votes, several times
-/// over.
+/// Maximum number of cached hints: several times the samples and votes of 780 groups with three
+/// members each.
 const HINTS_MAX: usize = 16_384;
 
-/// A vote speaks of the last seconds; later it only takes memory.
+/// Lifetime of a vote. A vote describes the last few seconds; after that it only uses memory.
 const VOTE_TTL: Duration = Duration::from_secs(30);
 
-/// By then the settings say that a member is leaving, or it has left.
+/// Lifetime of a leaving notice. By then the settings list the member as leaving, or it has left.
 const NOTICE_TTL: Duration = Duration::from_secs(600);
 
-/// How often a routine hint is told.
+/// Number of times a routine hint is sent.
 const ROUTINE_SENDS_MAX: u32 = 2;
 
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     sends_left: u32,
 }
 
-/// The newest hint for each key, sorted by key, and how often each is still to be told.
+/// Newest hint for each key, sorted by key, and the number of times each is still to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct HintCache {
     records: Vec<HintRecord>,
@@ -33,9 +33,10 @@
 }
 
 impl HintCache {
-    /// Takes a hint in. Returns how it travels, or none if it is not news.
+    /// Inserts a hint. Returns its urgency, or none if it is not newer than the cached one.
     ///
-    /// `sends` is how often an urgent hint is told, `relayed` whether a peer told it.
+    /// `sends` is the number of times an urgent hint is sent; `relayed` is true if the hint came
+    /// from a peer.
     pub(crate) fn insert(
         &mut self,
         hint: PeerHint,
@@ -49,8 +50,8 @@
         let urgency = hint.urgency_after(known.as_ref())?;
         let sends_left = match urgency {
             HintUrgency::Urgent => sends,
-            // A routine hint is not relayed: 780 groups passed on by 570 instances would not fit
-            // any budget, and each relay makes its age worse.
+            // Routine hints are not relayed: 780 groups relayed by 570 instances would exceed any
+            // budget, and each relay increases the age.
             HintUrgency::Routine if relayed => 0,
             HintUrgency::Routine => ROUTINE_SENDS_MAX,
         };
@@ -61,7 +62,8 @@
         let record = HintRecord { key, hint, received_at: now, urgency, sends_left };
         match found {
             Ok(index) => {
-                // A refresh of a term that is still being spread must not stop its spread.
+                // A refresh of a term that is still being sent must not stop the sending of that
+                // term.
                 let pending = &self.records[index];
                 self.digest = self.digest.wrapping_sub(pending.hint.digest());
                 let urgent_pending = pending.urgency == HintUrgency::Urgent
@@ -78,19 +80,20 @@
         Some(urgency)
     }
 
-    /// The digest of the terms of all groups; zero if none is known.
+    /// Returns the digest of the terms of all groups; zero if none is known.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The primaries of all groups, without a bound on their ages.
+    /// Returns the primaries of all groups, without bounds on their ages.
     pub(crate) fn groups(&self) -> Vec<PeerHint> {
         let is_group = |hint: &&PeerHint| matches!(hint, PeerHint::Group(_));
         let hints = self.records.iter().map(|record| &record.hint);
         hints.filter(is_group).cloned().map(PeerHint::without_age_bound).collect()
     }
 
-    /// The hints of this urgency that are still to be told, the least told first, aged to `now`.
+    /// Returns the hints of this urgency that are still to be sent, the least often sent first,
+    /// with their ages at `now`.
     pub(crate) fn pending(
         &self,
         urgency: HintUrgency,
@@ -103,7 +106,7 @@
         pending.iter().take(count_max).map(|record| record.current(now)).collect()
     }
 
-    /// Counts a hint as told once more.
+    /// Records that a hint has been sent once more.
     pub(crate) fn record_sent(&mut self, hint: &PeerHint) {
         let key = hint.key();
         if let Ok(index) = self.records.binary_search_by(|record| record.key.cmp(&key)) {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// The greatest revision number known; zero if none is.
+    /// Returns the greatest known revision number; zero if none is known.
     pub(crate) fn revision(&self) -> u64 {
         match self.records.first().map(|record| &record.hint) {
             Some(PeerHint::Revision(hint)) => hint.number,
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Drops votes and notices that have served.
+    /// Removes expired votes and notices.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.records.retain(|record| {
             let age = now.saturating_sub(record.received_at);
--- a/crates/rudder-peers/src/hints/hint.rs
+++ b/crates/rudder-peers/src/hints/hint.rs
@@ -1,5 +1,4 @@
-//! The hints that instances tell each other. None of them is proof; each only says what to try
-//! first.
+//! Hints exchanged between instances. A hint is never proof; it only decides what to try first.
 
 use rudder_core::{
     DomainName, InstanceName, LogStamp, LogTerm, MemberName, MemberStatus, ServiceName, plain_data,
@@ -10,11 +9,11 @@
 /// A hint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerHint {
-    /// Who is primary of a group.
+    /// Primary of a group.
     Group(GroupHint),
-    /// What a member said about itself.
+    /// Status that a member reported about itself.
     Sample(MemberSample),
-    /// Whether an observer suspects a member.
+    /// Vote of an observer on whether it suspects a member.
     Vote(SuspicionVote),
     /// An instance or a member is leaving.
     Leaving(LeavingNotice),
@@ -23,65 +22,65 @@
 }
 
 plain_data! {
-    /// Who is primary of a group, and how recently that was confirmed.
+    /// Primary of a group, and how recently it was confirmed.
     pub struct GroupHint {
-        /// The group.
+        /// Group that the hint describes.
         pub service: ServiceName,
-        /// The term of the primary.
+        /// Term of the primary.
         pub term: LogTerm,
-        /// The primary.
+        /// Name of the primary.
         pub primary: MemberName,
-        /// The last entry of the primary's log when it was confirmed.
+        /// Last log entry of the primary when it was confirmed.
         pub stamp: LogStamp,
-        /// An upper bound of the time since the confirmation; none if no bound is known.
+        /// Upper bound of the time since the confirmation; none if no bound is known.
         pub age: Option<Duration>,
     }
 }
 
 plain_data! {
-    /// What a member said about itself.
+    /// Status that a member reported about itself.
     pub struct MemberSample {
-        /// The member's group.
+        /// Group of the member.
         pub service: ServiceName,
-        /// The member.
+        /// Name of the member.
         pub member: MemberName,
-        /// What it said.
+        /// Reported status.
         pub status: MemberStatus,
-        /// An upper bound of the time since it said so; none if no bound is known.
+        /// Upper bound of the time since the report; none if no bound is known.
         pub age: Option<Duration>,
     }
 }
 
 plain_data! {
-    /// Whether an observer suspects a member.
+    /// Vote of an observer on whether it suspects a member.
     pub struct SuspicionVote {
-        /// The member's group.
+        /// Group of the member.
         pub service: ServiceName,
-        /// The member.
+        /// Name of the member.
         pub member: MemberName,
-        /// The instance that observed it.
+        /// Instance that observed the member.
         pub observer: InstanceName,
-        /// The failure domain of that instance.
+        /// Failure domain of the observer.
         pub domain: DomainName,
-        /// The term at which the member was observed.
+        /// Term in which the member was observed.
         pub term: LogTerm,
-        /// Grows with each vote of this observer about this member, so that an older vote that
+        /// Increases with each vote of this observer on this member, so that an older vote that
         /// arrives late never replaces a newer one.
         pub number: u64,
-        /// Whether it is suspected.
+        /// Whether the observer suspects the member.
         pub suspected: bool,
     }
 }
 
 plain_data! {
-    /// Something is leaving and gets no new work.
+    /// Notice that an instance or member is leaving and gets no new work.
     pub struct LeavingNotice {
-        /// What is leaving.
+        /// Instance or member that is leaving.
         pub subject: LeavingSubject,
     }
 }
 
-/// What is leaving.
+/// Instance or member that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeavingSubject {
     /// An instance.
@@ -91,25 +90,25 @@
 }
 
 plain_data! {
-    /// The greatest settings revision known to have been accepted.
+    /// Greatest settings revision known to have been accepted.
     #[derive(Copy)]
     pub struct RevisionHint {
-        /// The revision's number.
+        /// Number of the revision.
         pub number: u64,
     }
 }
 
 plain_data! {
-    /// A hint as it was received.
+    /// A received hint.
     pub struct HintMessage {
-        /// The instance that passed it on, which need not be where it began.
+        /// Instance that sent the hint, which need not be its origin.
         pub from: InstanceName,
-        /// The hint, its age counted up to this moment.
+        /// The hint, with its age at the time of receipt.
         pub hint: PeerHint,
     }
 }
 
-/// What a hint is about. A board keeps the newest hint for each key.
+/// Subject of a hint. The cache keeps the newest hint for each key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HintKey {
     Revision,
@@ -119,12 +118,13 @@
     Sample(ServiceName, MemberName),
 }
 
-/// How a hint travels.
+/// Way in which a hint is distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HintUrgency {
-    /// Pushed at once and passed on by every instance that hears it for the first time.
+    /// Pushed at once, and relayed by every instance that receives it for the first time.
     Urgent,
-    /// Told by its first holder only, in answers, as far as the budget allows.
+    /// Sent only by the instance that published it, in responses to heartbeats, as far as the
+    /// budget allows.
     Routine,
 }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The same hint, `elapsed` later; an age that has no bound stays without one.
+    /// Returns the hint with `elapsed` added to its age; an age without a bound stays without one.
     pub(crate) fn aged(mut self, elapsed: Duration) -> Self {
         if let Some(age) = self.age_mut() {
             *age = age.map(|age| age.saturating_add(elapsed));
@@ -149,7 +149,7 @@
         self
     }
 
-    /// The same hint without a bound on its age.
+    /// Returns the hint without a bound on its age.
     pub(crate) fn without_age_bound(mut self) -> Self {
         if let Some(age) = self.age_mut() {
             *age = None;
@@ -157,7 +157,7 @@
         self
     }
 
-    /// How this hint travels, given what was known before it; none if it is not news.
+    /// Returns the urgency of this hint given the hint known before; none if it is not newer.
     pub(crate) fn urgency_after(&self, known: Option<&Self>) -> Option<HintUrgency> {
         match (self, known) {
             (Self::Group(_) | Self::Vote(_) | Self::Leaving(_) | Self::Revision(_), None) => {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A digest of the group and its term; zero for hints of other kinds.
+    /// Returns a digest of the group and its term; zero for hints of other kinds.
     pub(crate) fn digest(&self) -> u32 {
         let Self::Group(hint) = self else { return 0 };
         let hash = xxh3_64_with_seed(hint.service.as_str().as_bytes(), hint.term.0);
--- a/crates/rudder-peers/src/hints/mod.rs
+++ b/crates/rudder-peers/src/hints/mod.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other about groups, members and settings.
+//! Hints exchanged between instances about groups, members and settings.
 
 mod cache;
 mod hint;
--- a/crates/rudder-peers/src/hints/tests.rs
+++ b/crates/rudder-peers/src/hints/tests.rs
@@ -1,4 +1,4 @@
-//! The board of hints.
+//! Tests of the hint cache.
 
 use super::{GroupHint, HintCache, HintUrgency, LeavingNotice, LeavingSubject, PeerHint};
 use rudder_core::{LogStamp, LogTerm};
@@ -31,8 +31,8 @@
 
 #[test]
 fn earlier_term_never_replaces_a_later_one() {
-    // A delayed message of an isolated primary's term arrives after the promotion. If it replaced
-    // the newer one, callers would be sent to the superseded primary first.
+    // A delayed message about the term of an isolated primary arrives after the promotion. If it
+    // replaced the newer term, callers would be sent to the superseded primary first.
     let mut cache = HintCache::default();
     cache.insert(group(2, 0, None), false, 4, NOW);
 
@@ -55,8 +55,8 @@
 
 #[test]
 fn refresh_keeps_pending_sends_of_its_term() {
-    // The new primary is confirmed again right after its promotion. If the refresh replaced the
-    // urgent news, most instances would learn of the new term by a failed statement only.
+    // The new primary is confirmed again right after its promotion. If that refresh replaced the
+    // urgent hint, most instances would learn of the new term only by a failed statement.
     let mut cache = HintCache::default();
     cache.insert(group(2, 0, None), false, 4, NOW);
 
--- a/crates/rudder-peers/src/keepers/mod.rs
+++ b/crates/rudder-peers/src/keepers/mod.rs
@@ -1,5 +1,6 @@
-//! Who watches which group, and which instances hold connections to which members: pure functions
-//! of the live instances, so that all instances that see the same ones agree without a word.
+//! Assignment of groups to instances: the keepers, which monitor a group, and the holders, which
+//! hold connections to its members. The assignment is a pure function of the instance list, so that
+//! all instances with the same list agree without communication.
 
 mod ranking;
 mod selection;
--- a/crates/rudder-peers/src/keepers/ranking.rs
+++ b/crates/rudder-peers/src/keepers/ranking.rs
@@ -1,23 +1,23 @@
-//! Rendezvous hashing that spreads the chosen over failure domains.
+//! Rendezvous hashing that spreads the selected instances over failure domains.
 
 use crate::member::PeerEntry;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The hash of a name, computed once per name and not once per pair.
+/// Hashes a name. The hash is computed once per name and not once per pair of names.
 pub(crate) fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// One instance that may be chosen.
+/// An instance that may be selected.
 #[derive(Clone, Debug)]
 pub(crate) struct RankedPeer {
-    /// Place in the list of instances given.
+    /// Index in the list of instances.
     pub(crate) index: usize,
     hash: u64,
     domain: usize,
 }
 
-/// The instances that may be given duties, prepared for many choices.
+/// Returns the instances that may be assigned duties, prepared for repeated selection.
 pub(crate) fn candidates(peers: &[PeerEntry]) -> Vec<RankedPeer> {
     let mut domains: Vec<&str> = peers.iter().map(|peer| peer.domain.as_str()).collect();
     domains.sort_unstable();
@@ -34,11 +34,11 @@
         .collect()
 }
 
-/// The `count` instances chosen for the key, the first in rank first, as indices.
+/// Selects `count` instances for the key and returns their indices in rank order.
 ///
-/// Each domain's instances are ordered by weight; the order is then by place within the domain, and
-/// by weight among equal places. So domains take turns, and when an instance comes or goes, only
-/// the places of its own domain move up or down by one.
+/// The instances of each domain are ordered by weight. The overall order is by position within the
+/// domain, and by weight among equal positions. The selection therefore alternates between domains,
+/// and when an instance joins or leaves, only positions within its own domain shift by one.
 pub(crate) fn choose(key_hash: u64, candidates: &[RankedPeer], count: usize) -> Vec<usize> {
     if count == 0 {
         return Vec::new();
@@ -60,7 +60,8 @@
     chosen.into_iter().take(count).map(|(_, _, index)| index).collect()
 }
 
-/// Keeps the `count` heaviest, the heaviest first.
+/// Inserts a peer into the list of the `count` highest weights, which is sorted in descending
+/// order.
 fn insert_by_weight(kept: &mut Vec<(u64, usize)>, peer: (u64, usize), count: usize) {
     if kept.len() == count && kept.last().is_some_and(|last| last.0 >= peer.0) {
         return;
--- a/crates/rudder-peers/src/keepers/selection.rs
+++ b/crates/rudder-peers/src/keepers/selection.rs
@@ -1,16 +1,16 @@
-//! The choices made by ranking: keepers of groups and holders of connections.
+//! Selection by rank: keepers of groups and holders of connections.
 
 use super::ranking::{candidates, choose, name_hash};
 use crate::member::PeerEntry;
 use rudder_core::{DomainName, InstanceName, ServiceName};
 
-/// Keepers of each group: three observers, of which two still agree when one is wrong.
+/// Number of keepers per group: of three observers, two still agree when one is wrong.
 pub const KEEPER_COUNT: usize = 3;
 
-/// The keepers of a group, in rank order; the first acts first. They stand in different failure
-/// domains as far as there are enough.
+/// Returns the keepers of a group, the instances that monitor it, in rank order; the first acts
+/// first. They are in different failure domains as far as there are enough.
 ///
-/// `peers` is the mesh's list of instances; leaving ones are not chosen.
+/// `peers` is the instance list of the mesh; leaving instances are not selected.
 ///
 /// ```
 /// use rudder_peers::{Incarnation, PeerEntry, PeerState, keepers_of};
@@ -32,11 +32,11 @@
     chosen.into_iter().map(|index| peers[index].name.clone()).collect()
 }
 
-/// The instances that hold connections to a group's members, first in rank first. They take turns
-/// over the failure domains, so that most callers have a holder in their own.
+/// Returns the instances that hold connections to the members of a group, in rank order. They
+/// alternate between failure domains, so that most callers have a holder in their own.
 ///
-/// The first of them are the group's keepers: the statements that they forward anyway tell them how
-/// its members are.
+/// The first holders are the keepers of the group: the statements that they forward also show them
+/// the state of its members.
 ///
 /// ```
 /// let holders = rudder_peers::holders_of(&"scores-db".parse()?, &[], 7);
@@ -48,8 +48,8 @@
     keepers_of(service, peers, count)
 }
 
-/// The holders in the order in which an instance of `domain` should try to forward to them: those
-/// of its own failure domain first.
+/// Returns the holders in the order in which an instance of `domain` should try to forward to them:
+/// those of its own failure domain first.
 ///
 /// ```
 /// let order = rudder_peers::forwarding_order(&"bangor".parse()?, &[], &[]);
@@ -71,14 +71,14 @@
     near.into_iter().chain(far).collect()
 }
 
-/// The groups that one instance keeps, for all groups at once.
+/// Groups for which one instance is a keeper, computed for all groups at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyMap {
     duties: Vec<(ServiceName, usize)>,
 }
 
 impl DutyMap {
-    /// Works out which of `services` the instance keeps; `services` is sorted.
+    /// Computes for which of `services` the instance is a keeper; `services` is sorted.
     ///
     /// ```
     /// use rudder_peers::DutyMap;
@@ -105,7 +105,8 @@
         Self { duties }
     }
 
-    /// The groups kept and the instance's rank in each, from zero, sorted by group.
+    /// Returns the groups for which the instance is a keeper and its rank in each, from zero,
+    /// sorted by group.
     ///
     /// ```
     /// assert!(rudder_peers::DutyMap::default().duties().is_empty());
@@ -115,7 +116,8 @@
         &self.duties
     }
 
-    /// The instance's rank among the keepers of a group, from zero; none if it does not keep it.
+    /// Returns the rank of the instance among the keepers of a group, from zero; none if it is not
+    /// a keeper.
     ///
     /// ```
     /// assert_eq!(rudder_peers::DutyMap::default().rank(&"scores-db".parse()?), None);
--- a/crates/rudder-peers/src/keepers/share.rs
+++ b/crates/rudder-peers/src/keepers/share.rs
@@ -1,28 +1,29 @@
-//! How many connections to a member an instance may hold.
+//! Number of connections to a member that an instance may hold.
 
 use rudder_core::{ConnectionCount, plain_data};
 use std::time::Duration;
 
 plain_data! {
-    /// How a member's connections are shared out among instances.
+    /// Rule by which the connections of a member are divided among instances.
     pub struct HolderRule {
-        /// Connections kept free for keepers' questions and for a newcomer's first one.
+        /// Connections kept free for status requests of keepers and for the first connection of a
+        /// new instance.
         pub spare: ConnectionCount,
-        /// The least connections that make holding worthwhile. Once an equal split gives less, only
-        /// some instances hold connections, and others forward to them.
+        /// Minimum connections per holder. Once an equal division among all instances gives less,
+        /// only some instances hold connections and the others forward statements to them.
         pub per_holder: ConnectionCount,
     }
 }
 
 impl Default for HolderRule {
     fn default() -> Self {
-        // Four of 30 connections are what an instance has today, seven to a member.
+        // Of 30 connections, four to each of seven instances, and two spare.
         Self { spare: ConnectionCount(2), per_holder: ConnectionCount(4) }
     }
 }
 
 impl HolderRule {
-    /// How many of `instances` hold connections to a member that accepts `connections`.
+    /// Returns how many of `instances` hold connections to a member that accepts `connections`.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
@@ -39,7 +40,7 @@
         usize::try_from(most).unwrap_or(usize::MAX).clamp(1, instances.max(1))
     }
 
-    /// The share of each of `holders` in a member that accepts `connections`; at least one.
+    /// Returns the share of each of `holders` in a member that accepts `connections`; at least one.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
@@ -56,12 +57,12 @@
     }
 }
 
-/// The share that an instance may use now: it shrinks at once and grows late.
+/// Number of connections that an instance may use now. It shrinks at once and grows after a delay.
 ///
-/// Guards against more connections than a member accepts: instances see a change of the fleet at
-/// different times, and one that grows while another has not yet shrunk makes the two exceed the
-/// member's limit together, which shows as refused connections. Growth therefore waits until the
-/// wanted share has stayed as large for longer than any two views differ.
+/// Prevents more connections than a member accepts: instances see membership changes at different
+/// times, and if one grows its share while another has not yet shrunk, the two exceed the limit of
+/// the member, and connections are refused. The share therefore grows only after the wanted share
+/// has stayed at least as large for longer than the views of any two instances differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionShare {
     growth_delay: Duration,
@@ -71,13 +72,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PendingGrowth {
-    /// The least that was wanted since.
+    /// Smallest share wanted since then.
     wanted: ConnectionCount,
     since: Duration,
 }
 
 impl ConnectionShare {
-    /// A share of `first` that grows only after a greater one was wanted for `growth_delay`.
+    /// Creates a share of `first`, which grows only after a greater share was wanted for
+    /// `growth_delay`.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
@@ -93,9 +95,9 @@
         Self { growth_delay, current: first, pending_growth: None }
     }
 
-    /// Takes in the share that the present view gives, and returns the one that may be used.
+    /// Sets the share that follows from the current view, and returns the share that may be used.
     ///
-    /// `now` is the time since any origin; it must not go back.
+    /// `now` is the time since any fixed origin and must be monotonic.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
@@ -121,7 +123,7 @@
         self.current
     }
 
-    /// The share that may be used.
+    /// Returns the share that may be used.
     ///
     /// ```
     /// use rudder_core::ConnectionCount;
--- a/crates/rudder-peers/src/keepers/tests.rs
+++ b/crates/rudder-peers/src/keepers/tests.rs
@@ -1,4 +1,4 @@
-//! Who keeps and who holds, as instances come and go.
+//! Tests of the assignment of keepers and holders as instances join and leave.
 
 use super::{ConnectionShare, DutyMap, HolderRule, forwarding_order, holders_of, keepers_of};
 use crate::member::{Incarnation, PeerEntry, PeerState};
@@ -38,8 +38,8 @@
 
 #[test]
 fn keepers_are_in_different_failure_domains() {
-    // A failure domain is lost with a primary and all keepers of its group: nobody is left to
-    // notice and to promote.
+    // If one failure domain contained a primary and all keepers of its group, its loss would leave
+    // no instance to detect the failure and promote a replica.
     let peers = fleet(60);
 
     for service in services(200) {
@@ -64,8 +64,8 @@
 
 #[test]
 fn removing_an_instance_reassigns_only_its_groups() {
-    // An instance is replaced every few minutes somewhere in a large fleet. If that moved the
-    // duties of others, groups would be without a settled keeper all day.
+    // In a large fleet, an instance is replaced every few minutes. If that moved the duties of
+    // others, groups would be without a stable keeper.
     let peers = fleet(60);
 
     for removed in [0, 17, 59] {
@@ -153,7 +153,7 @@
 
 #[test]
 fn keepers_are_the_first_holders() {
-    // A keeper that sees none of its group's statements must ask its members four times a second.
+    // A keeper that forwards no statements of its group must poll its members four times a second.
     let peers = fleet(60);
 
     for service in services(50) {
@@ -181,8 +181,9 @@
 
 #[test]
 fn share_shrinks_at_once_and_grows_only_after_the_growth_delay() {
-    // An instance sees another one go and takes over its part, while a third has seen a newcomer
-    // that the first has not. Together they open more connections than the member accepts.
+    // One instance takes over the share of a removed instance, while another has seen a new
+    // instance that the first has not. Together they would open more connections than the member
+    // accepts.
     let settle = Duration::from_secs(10);
     let second = Duration::from_secs;
     let mut share = ConnectionShare::new(ConnectionCount(4), settle);
--- a/crates/rudder-peers/src/lib.rs
+++ b/crates/rudder-peers/src/lib.rs
@@ -1,7 +1,9 @@
-//! Instances among themselves: who is there, who watches what, and what they tell each other.
+//! Communication between instances: membership, hints about database groups, the assignment of
+//! groups to instances, and requests between peers.
 //!
-//! Everything a peer says is a hint: it only chooses what to try first. The state machines under
-//! `membership`, `hints`, `keepers` and `node` are pure; `mesh` drives them over UDP and TCP.
+//! Information from peers is only a hint: it decides what to try first and is never taken as proof.
+//! The modules `membership`, `hints`, `keepers` and `node` are state machines without I/O; `mesh`
+//! drives them over UDP and TCP.
 
 mod budget;
 mod handler;
--- a/crates/rudder-peers/src/member.rs
+++ b/crates/rudder-peers/src/member.rs
@@ -1,4 +1,4 @@
-//! Instances as their peers know them.
+//! Description of an instance as its peers know it.
 
 use displaydoc::Display;
 use rudder_core::{DomainName, InstanceName, ParseError, plain_data};
@@ -6,15 +6,16 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// The number of one life of an instance; the greater one supersedes what was said of the lesser.
+/// Number that identifies one run of an instance. Information about a greater incarnation
+/// supersedes information about a smaller one.
 ///
-/// It starts as the time of the instance's start in milliseconds since 1970 and grows by one with
-/// each refutation.
+/// The initial value is the start time of the instance in milliseconds since 1970; each refutation
+/// increases it by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation that supersedes this one.
+    /// Returns the next incarnation, which supersedes this one.
     ///
     /// ```
     /// use rudder_peers::Incarnation;
@@ -42,7 +43,7 @@
     }
 }
 
-/// What is held of an instance. Of one incarnation, the later state in this order wins.
+/// State of an instance. Within one incarnation, the later state in this order wins.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PeerState {
     /// live
@@ -56,23 +57,23 @@
 }
 
 plain_data! {
-    /// One instance as its peers know it.
+    /// An instance as its peers know it.
     pub struct PeerEntry {
-        /// The instance's name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Where it listens for peers, over UDP and TCP alike.
+        /// Address at which it listens for peers, over both UDP and TCP.
         pub address: SocketAddr,
-        /// The failure domain that it stands in.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// The life of the instance that this entry speaks of.
+        /// Incarnation of the instance that this entry describes.
         pub incarnation: Incarnation,
-        /// Its state. Entries handed out by the mesh are never `Removed`.
+        /// State of the instance. Entries returned by the mesh are never `Removed`.
         pub state: PeerState,
     }
 }
 
 impl PeerEntry {
-    /// Whether this entry supersedes `other`, which speaks of the same instance.
+    /// Whether this entry supersedes `other`, which describes the same instance.
     ///
     /// ```
     /// use rudder_peers::{Incarnation, PeerEntry, PeerState};
@@ -95,9 +96,9 @@
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
-    /// Whether the instance may be given new duties: it is neither leaving nor gone.
+    /// Whether the instance may be assigned duties, that is, it is neither leaving nor removed.
     ///
-    /// A suspect instance counts, so that one lost heartbeat moves no duties.
+    /// Suspect instances are included, so that one lost heartbeat reassigns no duties.
     #[must_use]
     pub(crate) fn takes_duties(&self) -> bool {
         self.state <= PeerState::Suspect
--- a/crates/rudder-peers/src/membership/action.rs
+++ b/crates/rudder-peers/src/membership/action.rs
@@ -1,4 +1,4 @@
-//! What the membership asks its driver to do.
+//! Output of the membership state machine.
 
 use crate::member::PeerEntry;
 use crate::wire::DatagramBody;
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 
 plain_data! {
-    /// A datagram to send.
+    /// Datagram to send.
     pub(crate) struct PeerAction {
         pub(crate) to: SocketAddr,
         pub(crate) body: DatagramBody,
-        /// What must be the first of its news.
+        /// Entry that must be the first update of the datagram.
         pub(crate) first_update: Option<PeerEntry>,
     }
 }
--- a/crates/rudder-peers/src/membership/merging.rs
+++ b/crates/rudder-peers/src/membership/merging.rs
@@ -1,4 +1,4 @@
-//! What a membership does with what it hears about instances.
+//! Merging of received entries into the membership.
 
 use super::probe::ProbeStyle;
 use super::state::Membership;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Takes in what somebody says about an instance.
+    /// Processes a received entry of an instance.
     pub(super) fn apply_entry(&mut self, received: PeerEntry, now: Duration) {
         if received.name == self.local_entry.name {
             self.refute(&received);
@@ -30,9 +30,10 @@
         }
     }
 
-    /// A peer found the instance gone. Guards against removing a live instance on hearsay, which
-    /// would happen to every instance of a region when two regions meet again: this instance asks
-    /// it once itself, and its answer brings a greater incarnation if it is live.
+    /// Handles a report that an instance was removed by a peer. The instance is probed once before
+    /// it is removed here; if it is live, its acknowledgement carries a greater incarnation.
+    /// Otherwise live instances would be removed on the report of a peer alone, which would happen
+    /// to every instance of a region when a partition between two regions ends.
     fn verify_removal(
         &mut self,
         known: PeerEntry,
@@ -60,7 +61,7 @@
         };
         self.urgent |= received.state == PeerState::Leaving;
         for name in self.table.others_at(received.address, &received.name) {
-            // The address has been taken over: whoever was there is asked at once.
+            // Another instance now uses the address; the one known there before is probed at once.
             self.table.plan_check(&name, Some(CheckPlan { at: now, style: ProbeStyle::Single }));
         }
         self.replace(received, check, now);
@@ -72,8 +73,8 @@
         self.changed = true;
     }
 
-    /// Guards against being removed while live: a claim against this instance is superseded by a
-    /// greater incarnation, which nobody else may choose.
+    /// Refutes an entry that would have this instance removed while it is live: a greater
+    /// incarnation, which no other instance may choose, supersedes that entry.
     fn refute(&mut self, received: &PeerEntry) {
         if received.supersedes(&self.local_entry) {
             self.local_entry.incarnation = received.incarnation.next();
@@ -92,7 +93,8 @@
         self.replace(PeerEntry { state: PeerState::Removed, ..entry }, None, now);
     }
 
-    /// The sender listens at its address, so whoever was known there is gone.
+    /// Removes other instances known at the address of the sender: the sender listens there, so
+    /// they no longer run.
     pub(super) fn remove_predecessors(&mut self, sender: &PeerEntry, now: Duration) {
         for name in self.table.others_at(sender.address, &sender.name) {
             if let Some(record) = self.table.get(&name) {
--- a/crates/rudder-peers/src/membership/mod.rs
+++ b/crates/rudder-peers/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Which instances there are: probing, suspicion, refutation and the spread of news.
+//! Membership of instances: probing, suspicion, refutation and dissemination of updates.
 //!
-//! The rule that keeps this calm: hearsay only decides whom to probe next. An instance is held to
-//! be gone only after it did not answer this instance itself, and is live again only with a greater
-//! incarnation, which it alone can choose.
+//! Information from peers only decides which instance to probe next. An instance is removed only
+//! after it failed to acknowledge a probe of this instance, and it becomes live again only with a
+//! greater incarnation, which only that instance can choose.
 
 mod action;
 mod merging;
--- a/crates/rudder-peers/src/membership/probe.rs
+++ b/crates/rudder-peers/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes on their way, and the order in which instances are probed.
+//! Pending probes, and the order in which instances are probed.
 
 use crate::member::Incarnation;
 use rand::RngExt;
@@ -8,44 +8,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Probes made for others at a time at most.
+/// Maximum number of pending probes relayed for other instances.
 const RELAYS_MAX: usize = 64;
 
-/// Who is probed.
+/// Target of a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeTarget {
-    /// A known instance in one of its lives.
+    /// A known instance in one incarnation.
     Peer { name: InstanceName, incarnation: Incarnation },
-    /// Whoever listens at a seed's address.
+    /// Any instance that listens at the address of a seed.
     Seed,
 }
 
-/// How thoroughly an instance is probed.
+/// Number and kind of attempts that a probe makes.
 ///
-/// Guards against the cost of a lost failure domain: each instance checks each lost one, and with
-/// helpers that is five datagrams for each. Whoever told of the suspicion has asked helpers already.
+/// Limits the cost of the loss of a failure domain: each instance checks each lost one, and
+/// indirect probes take five datagrams per instance. The instance that reported the suspicion has
+/// already sent indirect probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStyle {
-    /// If there is no answer, helpers are asked: nobody else suspects the target yet.
+    /// Without an acknowledgement, indirect probes are requested; used while no other instance
+    /// suspects the target.
     Indirect,
-    /// If there is no answer, it is asked once more: a peer suspects it.
+    /// Without an acknowledgement, the probe is sent once more; used if a peer suspects the target.
     Repeated,
-    /// It is asked once: a peer found it gone.
+    /// The probe is sent once; used if a peer has removed the target.
     Single,
 }
 
-/// A probe on its way.
+/// A pending probe.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeRecord {
     pub(crate) sequence: u32,
     pub(crate) target: ProbeTarget,
     pub(crate) sent_at: Duration,
     pub(crate) style: ProbeStyle,
-    /// Whether helpers have been asked, or the probe was sent again.
+    /// Whether indirect probes were requested or the probe was sent again.
     pub(crate) retried: bool,
 }
 
-/// A probe made for another instance.
+/// A pending probe relayed for another instance.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayRecord {
     pub(crate) sequence: u32,
@@ -54,7 +56,7 @@
     pub(crate) sent_at: Duration,
 }
 
-/// Probes on their way, own ones and those made for others.
+/// Pending probes of this instance and those relayed for others.
 #[derive(Debug, Default)]
 pub(crate) struct ProbeList {
     probes: Vec<ProbeRecord>,
@@ -66,7 +68,7 @@
         self.probes.push(probe);
     }
 
-    /// Adds a probe made for another instance; false if there are too many already.
+    /// Adds a probe relayed for another instance; returns false if there are too many already.
     pub(crate) fn add_relay(&mut self, relay: RelayRecord) -> bool {
         let fits = self.relays.len() < RELAYS_MAX;
         if fits {
@@ -90,39 +92,39 @@
         self.probes.iter().any(|probe| aims(&probe.target))
     }
 
-    /// Takes out the probe that an answer with this number belongs to.
+    /// Removes and returns the probe with this sequence number.
     pub(crate) fn take(&mut self, sequence: u32) -> Option<ProbeRecord> {
         let index = self.probes.iter().position(|probe| probe.sequence == sequence)?;
         Some(self.probes.swap_remove(index))
     }
 
-    /// Takes out the probe made for another that an answer with this number belongs to.
+    /// Removes and returns the relayed probe with this sequence number.
     pub(crate) fn take_relay(&mut self, sequence: u32) -> Option<RelayRecord> {
         let index = self.relays.iter().position(|relay| relay.sequence == sequence)?;
         Some(self.relays.swap_remove(index))
     }
 
-    /// Forgets all own probes without a verdict.
+    /// Discards all probes of this instance without a result.
     pub(crate) fn clear_probes(&mut self) {
         self.probes.clear();
     }
 
-    /// Forgets probes made for others that were sent before `since`.
+    /// Discards relayed probes that were sent before `since`.
     pub(crate) fn expire_relays(&mut self, since: Duration) {
         self.relays.retain(|relay| relay.sent_at >= since);
     }
 }
 
-/// The order of probing: each instance once, in random order, then again in another.
+/// Order of probing: each instance once in random order, then again in another random order.
 ///
-/// Against picking at random each time: the time until an instance is probed has a bound.
+/// Unlike a random choice at each probe, this bounds the time until an instance is probed.
 #[derive(Debug, Default)]
 pub(crate) struct ProbeOrder {
     waiting: Vec<InstanceName>,
 }
 
 impl ProbeOrder {
-    /// The next instance; `refill` gives all of them when a round is over.
+    /// Returns the next instance; `refill` returns all instances when a round has ended.
     pub(crate) fn next(
         &mut self,
         rng: &mut StdRng,
@@ -135,7 +137,7 @@
         self.waiting.pop()
     }
 
-    /// Puts a new instance at a random place of the current round.
+    /// Inserts a new instance at a random position of the current round.
     pub(crate) fn insert(&mut self, name: InstanceName, rng: &mut StdRng) {
         let index = rng.random_range(0..=self.waiting.len());
         self.waiting.insert(index, name);
--- a/crates/rudder-peers/src/membership/probing.rs
+++ b/crates/rudder-peers/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Whom a membership probes, and what it concludes from answers and silence.
+//! Selection of probe targets, and handling of acknowledgements and timeouts.
 
 use super::action::PeerAction;
 use super::probe::{ProbeRecord, ProbeStyle, ProbeTarget, RelayRecord};
@@ -13,8 +13,9 @@
 use std::time::Duration;
 
 impl Membership {
-    /// Guards against a frozen instance that wakes and takes its own silence for that of others:
-    /// probes sent before the freeze give no verdict, and all checks start anew.
+    /// Detects that this instance was paused. After a pause it would take its own missed
+    /// acknowledgements for failures of its peers; pending probes are therefore discarded, and all
+    /// checks are restarted.
     pub(super) fn detect_pause(&mut self, now: Duration) {
         let paused =
             self.ticked_at.is_some_and(|ticked| now.saturating_sub(ticked) > self.settings.period);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Tries once more to get an answer.
+    /// Retries a probe in the way that its style prescribes.
     fn retry(&mut self, probe: &ProbeRecord, actions: &mut Vec<PeerAction>) {
         self.probes.mark_retried(probe.sequence);
         let ProbeTarget::Peer { name, .. } = &probe.target else { return };
@@ -83,8 +84,9 @@
         }
     }
 
-    /// Asks others to probe. They stand in different failure domains, so that one cut link, or one
-    /// domain cut off from the target's, does not look like the target's failure.
+    /// Requests indirect probes from instances in different failure domains, so that one broken
+    /// link, or a partition between one domain and the domain of the target, does not look like a
+    /// failure of the target.
     fn request_indirect_probes(
         &mut self,
         sequence: u32,
@@ -120,8 +122,8 @@
         far
     }
 
-    /// Probes one instance whose check is due. One at a time, so that the loss of a whole failure
-    /// domain is worked off at a constant rate.
+    /// Probes one instance whose check is due. Only one is probed at a time, so that the checks
+    /// after the loss of a whole failure domain run at a constant rate.
     pub(super) fn check_one(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
         let due = self.table.records().iter().find(|record| {
             record.check.is_some_and(|plan| plan.at <= now)
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Probes one instance that is gone, or a seed nobody is known at. Guards against two parted
-    /// regions that never find each other again, since each has removed the other.
+    /// Probes one removed instance, or a seed at whose address no instance is known. Without this,
+    /// two partitioned regions would never rejoin, since each has removed the other.
     pub(super) fn probe_removed(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
         let in_use = |address: &SocketAddr| {
             *address == self.local_entry.address
@@ -169,11 +171,12 @@
         }
     }
 
-    /// Whether this instance probes one of `targets` addresses this time.
+    /// Whether this instance probes one of `targets` addresses in this interval.
     ///
-    /// Guards against a fleet that falls upon one address: 570 instances that remember the same one
-    /// would probe it over a hundred times a second, and whoever listens there by then would use
-    /// its budget up on answers. All together probe each address about once a period.
+    /// Bounds the load on each address: if 570 instances that remember the same address all probed
+    /// it, it would receive over a hundred probes a second, and any instance that listens there by
+    /// then would use up its budget on responses. All instances together probe each address about
+    /// once a period.
     fn chooses_rejoin_probe(&mut self, targets: usize) -> bool {
         let periods =
             self.settings.rejoin_interval.as_secs_f64() / self.settings.period.as_secs_f64();
@@ -238,7 +241,7 @@
         Some(now.saturating_sub(probe.sent_at))
     }
 
-    /// The target of a probe has answered.
+    /// Handles the acknowledgement of a probe by its target.
     pub(super) fn confirm_alive(
         &mut self,
         probe: &ProbeRecord,
@@ -250,15 +253,16 @@
             return;
         }
         let Some(record) = self.table.get(name) else { return };
-        // A suspect instance answers with a greater incarnation once it has heard of the
-        // suspicion; until then it stays suspect, but it is not removed.
+        // A suspect instance acknowledges with a greater incarnation once it has received the
+        // suspicion; until then it stays suspect but is not removed.
         let plan = CheckPlan { at: now + self.settings.suspicion, style: ProbeStyle::Indirect };
         let check = (record.entry.state == PeerState::Suspect).then_some(plan);
         self.table.plan_check(name, check);
     }
 }
 
-/// The datagram that probes an instance; a doubted one hears of the doubt with it.
+/// Returns the datagram that probes an instance. An instance that is not live receives its own
+/// entry with the probe, so that it can refute.
 fn probe_action(sequence: u32, target: &PeerEntry) -> PeerAction {
     let body = DatagramBody::Probe { sequence, target: Some(target.name.clone()) };
     let first_update = (target.state != PeerState::Live).then(|| target.clone());
--- a/crates/rudder-peers/src/membership/settings.rs
+++ b/crates/rudder-peers/src/membership/settings.rs
@@ -1,25 +1,27 @@
-//! The intervals and counts of the membership.
+//! Intervals and counts of the membership protocol.
 
 use std::time::Duration;
 
-/// The intervals and counts of the membership.
+/// Intervals and counts of the membership protocol.
 #[derive(Clone, Debug)]
 pub(crate) struct MembershipSettings {
-    /// One random peer is probed each period, however many there are.
+    /// Interval at which one random peer is probed, independent of the number of peers.
     pub(crate) period: Duration,
-    /// After this time without an answer, others are asked to probe.
+    /// Time without an acknowledgement after which a probe is retried or indirect probes are
+    /// requested.
     pub(crate) direct_timeout: Duration,
-    /// After this time without any answer, the probe has failed.
+    /// Time without any acknowledgement after which a probe has failed.
     pub(crate) probe_timeout: Duration,
-    /// How long a suspect instance has to refute before it is checked a last time.
+    /// Time for which a suspect instance may refute before it is checked a last time.
     pub(crate) suspicion: Duration,
-    /// The least time between two checks of suspect instances.
+    /// Minimum time between two checks of suspect instances.
     pub(crate) check_interval: Duration,
-    /// How many others are asked to probe.
+    /// Number of other instances that are asked to send an indirect probe.
     pub(crate) relay_count: usize,
-    /// How often one instance that is gone, or a seed that has not answered, is probed.
+    /// Interval at which one removed instance, or a seed that has not responded, is probed.
     pub(crate) rejoin_interval: Duration,
-    /// How long an instance that is gone is remembered; longer than regions are parted.
+    /// Time for which a removed instance is remembered; longer than a partition between regions
+    /// lasts.
     pub(crate) tombstone_ttl: Duration,
 }
 
--- a/crates/rudder-peers/src/membership/state.rs
+++ b/crates/rudder-peers/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! The membership of one instance: a state machine without sockets or a clock.
+//! Membership of one instance: a state machine without sockets or a clock.
 
 use super::action::PeerAction;
 use super::probe::{ProbeList, ProbeOrder};
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The membership as one instance sees it. Time is counted from an origin of the driver's choice.
+/// Membership as one instance sees it. Time is counted from an origin that the driver chooses.
 #[derive(Debug)]
 pub(crate) struct Membership {
     pub(super) settings: MembershipSettings,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// This instance about itself.
+    /// Returns the entry of this instance.
     pub(crate) fn local_entry(&self) -> &PeerEntry {
         &self.local_entry
     }
 
-    /// The instances that are not gone, this one included, sorted by name.
+    /// Returns the instances that are not removed, including this one, sorted by name.
     pub(crate) fn snapshot(&self) -> Vec<PeerEntry> {
         let mut entries: Vec<PeerEntry> = self.table.present().cloned().collect();
         let index = entries.partition_point(|entry| entry.name < self.local_entry.name);
@@ -73,12 +73,12 @@
         entries
     }
 
-    /// Everything that is known of the other instances, gone ones included.
+    /// Returns the known entries of the other instances, including removed ones.
     pub(crate) fn known(&self) -> Vec<PeerEntry> {
         self.table.records().iter().map(|record| record.entry.clone()).collect()
     }
 
-    /// What is held of an instance.
+    /// Returns the known entry of an instance.
     pub(crate) fn entry(&self, name: &InstanceName) -> Option<&PeerEntry> {
         if *name == self.local_entry.name {
             return Some(&self.local_entry);
@@ -86,43 +86,43 @@
         self.table.get(name).map(|record| &record.entry)
     }
 
-    /// Whether no other instance is known to be there.
+    /// Whether no other instance is present.
     pub(crate) fn is_alone(&self) -> bool {
         self.table.present().next().is_none()
     }
 
-    /// The digest of the table, this instance included.
+    /// Returns the digest of the table, including this instance.
     pub(crate) fn digest(&self) -> u32 {
         self.table.digest().wrapping_add(entry_digest(&self.local_entry))
     }
 
-    /// How often a piece of news must be told to reach the whole fleet.
+    /// Returns the number of times an update must be sent to reach all instances.
     pub(crate) fn sends(&self) -> u32 {
         sends_for(self.table.records().len())
     }
 
-    /// Whether the snapshot has changed since this was last asked.
+    /// Whether the snapshot has changed since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether there is news since this was last asked that must not wait for heartbeats.
+    /// Whether there are updates since the last call that must not wait for heartbeats.
     pub(crate) fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
-    /// The news that should ride on the next datagram.
+    /// Returns the updates to piggyback on the next datagram.
     pub(crate) fn next_updates(&self, count_max: usize) -> Vec<PeerEntry> {
         let names = self.updates.next(count_max);
         names.iter().filter_map(|name| self.entry(name).cloned()).collect()
     }
 
-    /// Counts the news of an instance as told once more.
+    /// Records that the update of an instance has been sent once more.
     pub(crate) fn record_sent(&mut self, name: &InstanceName) {
         self.updates.record_sent(name);
     }
 
-    /// Some random instances that take part, at most `count`.
+    /// Returns the addresses of at most `count` random instances that are not leaving or removed.
     pub(crate) fn sample(&mut self, count: usize) -> Vec<SocketAddr> {
         let live: Vec<SocketAddr> = self
             .table
@@ -133,7 +133,7 @@
         live.sample(&mut self.rng, count).copied().collect()
     }
 
-    /// Says that this instance is leaving. Of one incarnation, that is final.
+    /// Marks this instance as leaving. Within one incarnation, this is final.
     pub(crate) fn leave(&mut self) {
         if self.local_entry.state != PeerState::Leaving {
             self.local_entry.state = PeerState::Leaving;
@@ -141,21 +141,23 @@
         }
     }
 
-    /// Takes somebody else's word that an instance is leaving. If it is not, it refutes this.
+    /// Marks another instance as leaving on the report of a third party. If it is not leaving, it
+    /// refutes this.
     pub(crate) fn mark_leaving(&mut self, name: &InstanceName, now: Duration) {
         if let Some(entry) = self.table.get(name).map(|record| record.entry.clone()) {
             self.apply_entry(PeerEntry { state: PeerState::Leaving, ..entry }, now);
         }
     }
 
-    /// A probe, or the request to a helper, was not sent: it gives no verdict.
+    /// Discards a probe without a result, because the probe or the request for an indirect probe
+    /// was not sent.
     pub(crate) fn abandon_probe(&mut self, sequence: Option<u32>) {
         if let Some(sequence) = sequence {
             self.probes.take(sequence);
         }
     }
 
-    /// Lets time pass. To be called several times per probe timeout.
+    /// Advances the state machine to `now`. Must be called several times per probe timeout.
     pub(crate) fn tick(&mut self, now: Duration) -> Vec<PeerAction> {
         let mut actions = Vec::new();
         self.detect_pause(now);
@@ -177,8 +179,9 @@
         actions
     }
 
-    /// Takes in a datagram. The second value is the round trip, if it answers a probe of this
-    /// instance directly: no information in it can be older than that by the network's fault.
+    /// Processes a datagram. The second returned value is the round-trip time if the datagram
+    /// directly acknowledges a probe of this instance. It bounds the time that information in the
+    /// datagram has spent on the network.
     pub(crate) fn receive(
         &mut self,
         datagram: &PeerDatagram,
@@ -216,7 +219,7 @@
         (actions, round_trip)
     }
 
-    /// Takes in a peer's table. Returns what this instance knows better.
+    /// Merges the table of a peer. Returns the entries that are newer here.
     pub(crate) fn merge(
         &mut self,
         sender: &PeerEntry,
@@ -245,7 +248,8 @@
             .collect()
     }
 
-    /// What the sender should hear about itself: that somebody doubts it.
+    /// Returns the entry of the sender known here if it supersedes the one that the sender sent, so
+    /// that the sender can refute it.
     fn correction_for(&self, sender: &PeerEntry) -> Option<PeerEntry> {
         self.entry(&sender.name).filter(|held| held.supersedes(sender)).cloned()
     }
--- a/crates/rudder-peers/src/membership/table.rs
+++ b/crates/rudder-peers/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of the other instances.
+//! Table of the other instances.
 
 use super::probe::ProbeStyle;
 use crate::member::{PeerEntry, PeerState};
@@ -7,28 +7,28 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances that are gone and remembered at most.
+/// Maximum number of removed instances that are remembered.
 const TOMBSTONES_MAX: usize = 2048;
 
-/// When an instance is to be checked, and what speaks against it.
+/// Scheduled check of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CheckPlan {
-    /// From when on a failed probe removes it.
+    /// Time from which a failed probe removes the instance.
     pub(crate) at: Duration,
-    /// How thoroughly it is probed then.
+    /// Style of the probe then used.
     pub(crate) style: ProbeStyle,
 }
 
-/// One other instance.
+/// Record of another instance.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerRecord {
     pub(crate) entry: PeerEntry,
     pub(crate) check: Option<CheckPlan>,
-    /// When it was found to be gone; meaningful in that state only.
+    /// Time of removal; meaningful only in that state.
     pub(crate) removed_at: Duration,
 }
 
-/// The other instances, sorted by name, with a digest of those not gone.
+/// Other instances, sorted by name, with a digest of those that are present.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTable {
     records: Vec<PeerRecord>,
@@ -45,22 +45,22 @@
         Some(&self.records[index])
     }
 
-    /// The digest of the other instances that are not gone.
+    /// Returns the digest of the other instances that are present.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The instances that are not gone.
+    /// Returns the instances that are not removed.
     pub(crate) fn present(&self) -> impl Iterator<Item = &PeerEntry> {
         self.records.iter().map(|record| &record.entry).filter(|entry| is_present(entry))
     }
 
-    /// The instances that are gone and remembered.
+    /// Returns the removed instances that are remembered.
     pub(crate) fn removed(&self) -> impl Iterator<Item = &PeerEntry> {
         self.records.iter().map(|record| &record.entry).filter(|entry| !is_present(entry))
     }
 
-    /// Replaces what is held of an instance.
+    /// Inserts or replaces the record of an instance.
     pub(crate) fn put(&mut self, record: PeerRecord) {
         self.digest = self.digest.wrapping_add(entry_digest(&record.entry));
         match self.index(&record.entry.name) {
@@ -72,21 +72,22 @@
         }
     }
 
-    /// Changes when an instance is checked.
+    /// Sets or clears the scheduled check of an instance.
     pub(crate) fn plan_check(&mut self, name: &InstanceName, check: Option<CheckPlan>) {
         if let Ok(index) = self.index(name) {
             self.records[index].check = check;
         }
     }
 
-    /// Puts all checks off until `at`, and forgets what peers said against anyone.
+    /// Defers all scheduled checks until `at`, and discards what peers reported about these
+    /// instances.
     pub(crate) fn defer_checks(&mut self, at: Duration) {
         for record in &mut self.records {
             record.check = record.check.map(|_| CheckPlan { at, style: ProbeStyle::Indirect });
         }
     }
 
-    /// The names of other instances that are present at this address.
+    /// Returns the names of other instances that are present at this address.
     pub(crate) fn others_at(&self, address: SocketAddr, name: &InstanceName) -> Vec<InstanceName> {
         self.present()
             .filter(|entry| entry.address == address && entry.name != *name)
@@ -94,7 +95,8 @@
             .collect()
     }
 
-    /// Forgets instances that have been gone for longer than `ttl`, and the oldest beyond a bound.
+    /// Drops records of instances that were removed longer than `ttl` ago, and the oldest ones
+    /// above the maximum number.
     pub(crate) fn expire(&mut self, now: Duration, ttl: Duration) {
         let expired = |record: &PeerRecord| {
             !is_present(&record.entry) && now.saturating_sub(record.removed_at) >= ttl
@@ -119,8 +121,8 @@
     }
 }
 
-/// The digest of one entry; entries that are gone do not count, since they are forgotten at
-/// different times, and suspicion does not, since it passes.
+/// Returns the digest of one entry. Removed entries do not count, since they are dropped at
+/// different times; nor does suspicion, since it is temporary.
 pub(crate) fn entry_digest(entry: &PeerEntry) -> u32 {
     if !is_present(entry) {
         return 0;
--- a/crates/rudder-peers/src/mesh/client.rs
+++ b/crates/rudder-peers/src/mesh/client.rs
@@ -1,4 +1,4 @@
-//! Asking a peer over TCP.
+//! Client side of requests over TCP.
 
 use super::error::PeerError;
 use super::frame::{read_frame, write_frame};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Numbers requests, so that an answer to another one is recognised.
+/// Counter that numbers requests, so that a response to another request is recognised.
 #[derive(Debug, Default)]
 pub(super) struct RequestCounter(AtomicU64);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// One connection to a peer, for a few requests one after the other.
+/// Connection to a peer, for a few sequential requests.
 pub(super) struct PeerConnection<'a> {
     stream: TcpStream,
     counter: &'a RequestCounter,
@@ -34,10 +34,11 @@
         Ok(Self { stream, counter })
     }
 
-    /// Asks and waits for the answer. After an error the connection must not be used again.
+    /// Sends a request and waits for the response. After an error the connection must not be used
+    /// again.
     ///
-    /// Guards against an answer that reaches another request: each has its number, and a
-    /// connection on which an answer was given up is closed with it.
+    /// Each request has its own number, and a connection is closed when a request on it was
+    /// abandoned, so that a response cannot reach another request.
     pub(super) async fn request(&mut self, body: RequestBody) -> Result<ResponseFrame, PeerError> {
         let number = self.counter.next();
         let bytes = encode_request(&RequestFrame { number, body })?;
@@ -47,7 +48,7 @@
     }
 }
 
-/// Runs a conversation with a peer within a timeout.
+/// Runs an exchange with a peer, bounded by a timeout.
 pub(super) async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = Result<T, PeerError>>,
--- a/crates/rudder-peers/src/mesh/command.rs
+++ b/crates/rudder-peers/src/mesh/command.rs
@@ -1,4 +1,4 @@
-//! What other tasks ask the driver to do.
+//! Command from another task to the driver.
 
 use crate::hints::PeerHint;
 use crate::member::PeerEntry;
@@ -7,25 +7,25 @@
 use rudder_core::InstanceName;
 use tokio::sync::oneshot;
 
-/// What other tasks ask the driver to do.
+/// Command from another task to the driver.
 #[derive(Debug)]
 pub(super) enum MeshCommand {
-    /// Spread a hint.
+    /// Publishes a hint to all instances.
     Publish(PeerHint),
-    /// Send a hint to these instances only.
+    /// Sends a hint to these instances only.
     SendHint(Vec<InstanceName>, PeerHint),
-    /// Say that this instance is leaving.
+    /// Marks this instance as leaving.
     Leave,
-    /// Answer once everything commanded before has been sent.
+    /// Replies once the output of all earlier commands has been sent.
     Flush { reply: oneshot::Sender<()> },
-    /// Encode the answer to a request for the table, or a refusal.
+    /// Encodes the response to a request for the table, or a `Busy` response.
     EncodeTable { number: u64, reply: oneshot::Sender<Vec<u8>> },
-    /// Encode the answer to a request for the primaries of groups, or a refusal.
+    /// Encodes the response to a request for the primaries of groups, or a `Busy` response.
     EncodeGroups { number: u64, reply: oneshot::Sender<Vec<u8>> },
-    /// Take in the primaries that a peer knows of.
+    /// Merges the primaries that a peer knows.
     MergeGroups { from: InstanceName, groups: Vec<PeerHint> },
-    /// A transfer from a peer brought nothing.
+    /// Records that a transfer from a peer failed.
     FetchFailed(FetchKind),
-    /// Take in a peer's table; answer with the differences that the peer should hear.
+    /// Merges the table of a peer; replies with the differences to send back to the peer.
     Merge { table: PeerTableFrame, reply: oneshot::Sender<Vec<PeerEntry>> },
 }
--- a/crates/rudder-peers/src/mesh/driver.rs
+++ b/crates/rudder-peers/src/mesh/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the UDP socket and the state machine.
+//! Task that owns the UDP socket and the state machine.
 
 use super::client::RequestCounter;
 use super::command::MeshCommand;
@@ -15,7 +15,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// Well below the timeout of a probe, so that silence is judged in time.
+/// Interval of the timer; well below the timeout of a probe, so that timeouts are detected
+/// promptly.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) struct MeshDriver {
@@ -23,7 +24,7 @@
     pub(super) socket: UdpSocket,
     pub(super) started: Instant,
     pub(super) commands: mpsc::Receiver<MeshCommand>,
-    /// For the fetching tasks; weak, so that the driver ends when nobody else can command it.
+    /// Sender for fetch tasks; weak, so that the driver ends when no other sender exists.
     pub(super) command_sender: mpsc::WeakSender<MeshCommand>,
     pub(super) hints: mpsc::Sender<HintMessage>,
     pub(super) view: watch::Sender<Arc<[PeerEntry]>>,
@@ -32,15 +33,15 @@
 }
 
 impl MeshDriver {
-    /// Runs until nobody can command it any more; what it started ends with it.
+    /// Runs until all command senders are dropped; tasks that it spawned end with it.
     pub(super) async fn run(mut self) {
         let mut ticker = tokio::time::interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut fetches = JoinSet::new();
         let mut buffer = [0; DATAGRAM_BYTES_MAX + 1];
         loop {
-            // Datagrams first: after a pause, answers that already wait must be read before
-            // silence is judged.
+            // Datagrams are read first: after a pause, acknowledgements that are already in the
+            // socket buffer must be read before timeouts are evaluated.
             let output = tokio::select! {
                 biased;
                 received = self.socket.recv_from(&mut buffer) => self.handle_datagram(&buffer, received),
@@ -111,7 +112,7 @@
         NodeOutput::default()
     }
 
-    /// Encodes an answer, or a refusal if the budget for transfers is used up.
+    /// Encodes a response, or a `Busy` response if the budget for transfers is used up.
     fn encode(&mut self, response: &ResponseFrame, now: Duration) -> Vec<u8> {
         let busy = ResponseFrame::Busy { number: response.number() };
         match encode_response(response) {
@@ -122,7 +123,7 @@
 
     fn perform(&mut self, output: NodeOutput, fetches: &mut JoinSet<()>) {
         for (to, bytes) in output.datagrams {
-            // A full send buffer loses the datagram, as the network might.
+            // A full send buffer drops the datagram, as the network might.
             let _ = self.socket.try_send_to(&bytes, to);
         }
         for message in output.hints {
--- a/crates/rudder-peers/src/mesh/error.rs
+++ b/crates/rudder-peers/src/mesh/error.rs
@@ -1,18 +1,18 @@
-//! The errors of the mesh.
+//! Errors of the mesh.
 
 use crate::wire::WireError;
 use displaydoc::Display;
 use std::net::SocketAddr;
 
-/// Why the mesh could not be started.
+/// Reason for which the mesh could not be started.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum MeshError {
     /// cannot listen for peers on {address}: {source}
     Listen {
-        /// The address that was asked for.
+        /// Requested address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// the budget of {0} bytes per second is below the 800 that heartbeats need
@@ -21,7 +21,8 @@
 
 impl std::error::Error for MeshError {}
 
-/// Why a request to a peer brought no reply. The peer may have acted on it nevertheless.
+/// Reason for which a request to a peer returned no reply. The peer may have processed the request
+/// nevertheless.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum PeerError {
--- a/crates/rudder-peers/src/mesh/fetch.rs
+++ b/crates/rudder-peers/src/mesh/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching from a peer what datagrams did not bring.
+//! Fetching of state from a peer that datagrams did not deliver.
 
 use super::client::{PeerConnection, RequestCounter, with_timeout};
 use super::command::MeshCommand;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// How long a transfer may take.
+/// Maximum duration of a transfer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One transfer from a peer.
+/// A transfer from a peer.
 pub(super) struct PeerFetch {
     pub(super) from: SocketAddr,
     pub(super) kind: FetchKind,
     pub(super) commands: mpsc::Sender<MeshCommand>,
     pub(super) counter: Arc<RequestCounter>,
-    /// This instance about itself.
+    /// Entry of this instance.
     pub(super) local_entry: PeerEntry,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes the peer's table in, and tells the peer what it did not know.
+    /// Merges the table of the peer, and sends the peer the entries that are newer here.
     async fn fetch_peers(&self) -> Result<(), PeerError> {
         let mut connection = PeerConnection::open(self.from, &self.counter).await?;
         let ResponseFrame::Table { table, .. } = connection.request(RequestBody::Table).await?
--- a/crates/rudder-peers/src/mesh/frame.rs
+++ b/crates/rudder-peers/src/mesh/frame.rs
@@ -1,12 +1,12 @@
-//! Frames over TCP: the length in four bytes, then the message.
+//! Framing over TCP: the length in four bytes, followed by the message.
 
 use super::error::PeerError;
 use crate::wire::{FRAME_BYTES_MAX, WireError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Read at first for a frame; more is allocated only as bytes arrive, so that a peer that claims a
-/// great length costs nothing.
+/// Maximum size of one read. More memory is allocated only as bytes arrive, so that a peer that
+/// announces a large length does not cause a large allocation.
 const CHUNK_BYTES: u64 = 64 * 1024;
 
 pub(super) async fn write_frame(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), PeerError> {
--- a/crates/rudder-peers/src/mesh/handle.rs
+++ b/crates/rudder-peers/src/mesh/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the proxy uses the mesh.
+//! Handle through which the rest of the proxy uses the mesh.
 
 use super::client::{PeerConnection, RequestCounter, with_timeout};
 use super::command::MeshCommand;
@@ -21,19 +21,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Less than this does not carry heartbeats and their answers.
+/// Minimum budget. A smaller one does not suffice for heartbeats and their responses.
 const BYTES_PER_SECOND_MIN: u64 = 800;
 
-/// Commands that wait for the driver.
+/// Capacity of the command queue of the driver.
 const COMMAND_QUEUE_MAX: usize = 256;
 
-/// Hints that wait for the handler; more are lost, which hints may be.
+/// Capacity of the hint queue of the handler; further hints are dropped, which the protocol
+/// tolerates.
 const HINT_QUEUE_MAX: usize = 4096;
 
-/// How often a free port is looked for that serves UDP and TCP alike.
+/// Maximum number of attempts to find a port that is free for both UDP and TCP.
 const PORT_ATTEMPTS_MAX: usize = 16;
 
-/// This instance's part in the mesh. It ends when it is dropped.
+/// Participation of this instance in the mesh. It ends when this value is dropped.
 #[derive(Debug)]
 pub struct PeerMesh {
     address: SocketAddr,
@@ -45,7 +46,7 @@
 }
 
 impl PeerMesh {
-    /// Listens for peers and begins to look for them. Must be called inside a tokio runtime.
+    /// Starts to listen for peers and to contact the seeds. Must be called inside a tokio runtime.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -93,7 +94,7 @@
         Ok(Self { address, commands: command_sender, view, traffic, counter, tasks })
     }
 
-    /// Where this instance listens.
+    /// Returns the address at which this instance listens.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -111,7 +112,7 @@
         self.address
     }
 
-    /// The instances that are not gone, this one included, sorted by name.
+    /// Returns the instances that are not removed, including this one, sorted by name.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -147,7 +148,7 @@
         self.view.clone()
     }
 
-    /// What this instance has sent to its peers so far.
+    /// Returns the traffic that this instance has sent to its peers so far.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -165,8 +166,9 @@
         *self.traffic.borrow()
     }
 
-    /// Spreads a hint to all instances, as far as the budget allows: a new term, a vote, a notice
-    /// or a new revision at once; refreshes and samples in answers to heartbeats.
+    /// Publishes a hint to all instances, as far as the budget allows. A new term, a vote, a notice
+    /// or a new revision is pushed at once; refreshes and samples are sent in responses to
+    /// heartbeats.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -184,7 +186,7 @@
         let _ = self.commands.send(MeshCommand::Publish(hint)).await;
     }
 
-    /// Sends a hint once to these instances only, for instance a vote to a group's keepers.
+    /// Sends a hint once to these instances only, for instance a vote to the keepers of a group.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -202,8 +204,8 @@
         let _ = self.commands.send(MeshCommand::SendHint(instances.to_vec(), hint)).await;
     }
 
-    /// Says that this instance is leaving, and returns once that has been sent to some peers. It
-    /// still answers, until it is stopped.
+    /// Announces that this instance is leaving, and returns once that has been sent to some peers.
+    /// The instance still responds to peers until it is stopped.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -224,7 +226,7 @@
         let _ = flushed.await;
     }
 
-    /// Asks an instance, and waits for its reply no longer than `within`.
+    /// Sends a request to an instance and waits for its reply, at most for `timeout`.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -252,7 +254,7 @@
         self.request_at(live[index].address, request, timeout).await
     }
 
-    /// Asks whoever listens at an address.
+    /// Sends a request to the instance that listens at an address.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -287,7 +289,8 @@
         with_timeout(timeout, work).await
     }
 
-    /// Ends all tasks and closes the sockets. `leave` first, unless the instance is to look failed.
+    /// Stops all tasks and closes the sockets. Call `leave` first; otherwise peers treat the
+    /// instance as failed.
     ///
     /// ```
     /// # use rudder_peers::{MeshSettings, PeerMesh, NoopHandler};
@@ -318,7 +321,7 @@
     }
 }
 
-/// Binds one port for UDP and TCP.
+/// Binds the same port for UDP and TCP.
 async fn listen(wanted: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), MeshError> {
     let failure = |source| MeshError::Listen { address: wanted, source };
     let mut attempts_left = PORT_ATTEMPTS_MAX;
@@ -328,7 +331,7 @@
         attempts_left -= 1;
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok((socket, listener, address)),
-            // The port that was free for UDP was taken for TCP; another one may be free for both.
+            // The port is free for UDP but in use for TCP; another one may be free for both.
             Err(_) if wanted.port() == 0 && attempts_left > 0 => {}
             Err(source) => return Err(failure(source)),
         }
--- a/crates/rudder-peers/src/mesh/mod.rs
+++ b/crates/rudder-peers/src/mesh/mod.rs
@@ -1,4 +1,4 @@
-//! The driver: one UDP socket and one TCP listener around the state machines.
+//! Driver of the state machines: one UDP socket and one TCP listener.
 
 mod client;
 mod command;
--- a/crates/rudder-peers/src/mesh/server.rs
+++ b/crates/rudder-peers/src/mesh/server.rs
@@ -1,4 +1,4 @@
-//! Answering peers over TCP.
+//! Server side of requests over TCP.
 
 use super::command::MeshCommand;
 use super::error::PeerError;
@@ -13,13 +13,13 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::task::JoinSet;
 
-/// Peers served at a time over TCP.
+/// Maximum number of concurrent TCP connections of peers.
 const CONNECTIONS_MAX: usize = 128;
 
-/// A peer that says nothing for so long is cut off.
+/// Time after which a silent connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long to wait after a failed accept, for instance without free file descriptors.
+/// Delay after a failed accept, for instance when no file descriptors are free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Clone)]
@@ -29,7 +29,7 @@
 }
 
 impl PeerServer {
-    /// Accepts connections until it is cancelled; what it started ends with it.
+    /// Accepts connections until it is cancelled; tasks that it spawned end with it.
     pub(super) async fn serve(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
         let mut tasks = JoinSet::new();
--- a/crates/rudder-peers/src/mesh/settings.rs
+++ b/crates/rudder-peers/src/mesh/settings.rs
@@ -1,34 +1,36 @@
-//! What the mesh is started with.
+//! Settings of the mesh.
 
 use crate::member::Incarnation;
 use rudder_core::{DomainName, InstanceName, plain_data};
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Below the 2 KB a second that an instance may spend on control, with room for requests.
+/// Default budget. Below the 2 KB a second that an instance may use for control traffic, with room
+/// for requests.
 const BYTES_PER_SECOND: u64 = 1600;
 
 plain_data! {
-    /// What the mesh is started with.
+    /// Settings of the mesh.
     pub struct MeshSettings {
-        /// This instance's name.
+        /// Name of this instance.
         pub instance: InstanceName,
-        /// The failure domain that it stands in.
+        /// Failure domain of this instance.
         pub domain: DomainName,
-        /// Where it listens for peers, over UDP and TCP alike. It must be an address that peers can
-        /// reach; port zero takes any free one.
+        /// Address at which it listens for peers, over both UDP and TCP. Peers must be able to
+        /// reach it; port zero selects any free port.
         pub address: SocketAddr,
-        /// Addresses at which peers may be found. One live one is enough.
+        /// Addresses at which peers may be found. One reachable address is sufficient.
         pub seeds: Vec<SocketAddr>,
-        /// Bytes per second for heartbeats, news, hints and tables, headers of UDP included.
+        /// Budget in bytes per second for heartbeats, updates, hints and tables, including UDP
+        /// headers.
         pub bytes_per_second: u64,
-        /// The number of this life of the instance; greater than that of any earlier one.
+        /// Incarnation of this run of the instance; greater than that of any earlier run.
         pub incarnation: Incarnation,
     }
 }
 
 impl MeshSettings {
-    /// Settings with defaults, and the time of the start as incarnation.
+    /// Returns the default settings, with the current time as incarnation.
     ///
     /// ```
     /// use rudder_peers::MeshSettings;
--- a/crates/rudder-peers/src/node/compose.rs
+++ b/crates/rudder-peers/src/node/compose.rs
@@ -1,4 +1,4 @@
-//! Filling a datagram up to what its class may take from the budget.
+//! Composition of datagrams from a body, updates and hints within the budget of their class.
 
 use super::state::PeerNode;
 use crate::budget::{DATAGRAM_OVERHEAD_BYTES, SendClass};
@@ -11,18 +11,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News of members that one datagram carries at most.
+/// Maximum number of membership updates per datagram.
 const UPDATES_PER_DATAGRAM: usize = 10;
-/// Urgent hints that one datagram carries at most.
+/// Maximum number of urgent hints per datagram.
 const URGENT_PER_DATAGRAM: usize = 20;
-/// Routine hints that one answer carries at most.
+/// Maximum number of routine hints per acknowledgement.
 const ROUTINE_PER_DATAGRAM: usize = 8;
-/// Bytes that the counts before the lists may grow by.
+/// Bytes by which the encoded lengths of the lists may grow.
 const COUNT_SLACK_BYTES: usize = 4;
 
 impl PeerNode {
-    /// The bytes of a datagram with this body and as much as fits besides; none if the budget is
-    /// used up.
+    /// Encodes a datagram with this body and as many updates and hints as fit; returns none if the
+    /// budget is used up or a push would be empty.
     pub(super) fn compose(
         &mut self,
         to: SocketAddr,
@@ -63,7 +63,8 @@
     fn add_updates(&mut self, datagram: &mut PeerDatagram, base: usize, now: Duration) -> usize {
         let mut size = base;
         for entry in self.membership.next_updates(UPDATES_PER_DATAGRAM) {
-            // The sender's own entry is in every datagram, and the first news is there already.
+            // Every datagram contains the entry of the sender, and the first update is already
+            // included.
             if datagram.updates.first() == Some(&entry) || entry.name == datagram.sender.name {
                 self.membership.record_sent(&entry.name);
                 continue;
@@ -118,13 +119,13 @@
     }
 }
 
-/// What a datagram of this size is charged, headers included.
+/// Returns the bytes charged for a datagram of this size, including headers.
 fn charged_bytes(size: usize) -> u64 {
     u64::try_from(size).unwrap_or(u64::MAX).saturating_add(DATAGRAM_OVERHEAD_BYTES)
 }
 
-/// Whether a hint may carry its age on: only in an answer can the receiver bound the time that the
-/// hint was under way.
+/// Adjusts the age of a received hint. Only for an acknowledgement is the time that the hint spent
+/// on the network bounded; otherwise the age has no bound.
 pub(super) fn received_hint(hint: PeerHint, round_trip: Option<Duration>) -> PeerHint {
     match round_trip {
         Some(round_trip) => hint.aged(round_trip),
--- a/crates/rudder-peers/src/node/digest.rs
+++ b/crates/rudder-peers/src/node/digest.rs
@@ -1,21 +1,21 @@
-//! When a difference between two digests is worth a transfer.
+//! Decision when a difference between two digests requires a transfer.
 
 use std::time::Duration;
 
-/// How long digests must differ before a transfer; news usually arrives sooner.
+/// Time for which digests must differ before a transfer; updates usually arrive sooner.
 const DIFFERENCE_MIN: Duration = Duration::from_secs(8);
 
-/// The least time between two transfers.
+/// Minimum time between two transfers.
 const FETCH_INTERVAL_MIN: Duration = Duration::from_secs(20);
 
-/// The least time between a transfer that failed and another.
+/// Minimum time between a failed transfer and the next.
 const FETCH_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Watches the digests that peers send.
+/// Comparison of the digests sent by peers with the local digest.
 ///
-/// Guards against what datagrams cannot: news that reached everyone but one instance has used up
-/// its transmissions, and that instance would never hear of it. A digest in each datagram shows the
-/// difference, at a cost that does not grow with the fleet.
+/// Covers a case that updates in datagrams cannot: an update that reached every instance but one
+/// has used up its transmissions, and the remaining instance would never receive it. The digest in
+/// each datagram shows the difference, at a cost that does not grow with the fleet.
 #[derive(Debug, Default)]
 pub(crate) struct DigestWatch {
     differs_since: Option<Duration>,
@@ -24,7 +24,8 @@
 }
 
 impl DigestWatch {
-    /// Whether to fetch now from the peer whose digest was compared. `urgent` skips the patience.
+    /// Whether to fetch now from the peer whose digest was compared. If `urgent`, the difference
+    /// need not have lasted.
     pub(crate) fn compare(&mut self, mine: u32, theirs: u32, urgent: bool, now: Duration) -> bool {
         if mine == theirs {
             self.differs_since = None;
@@ -44,10 +45,12 @@
         fetch
     }
 
-    /// The transfer failed, perhaps because the peer had no budget: another peer is tried soon.
+    /// Records that the transfer failed, for instance because the peer had no budget left: another
+    /// peer is tried soon.
     pub(crate) fn record_failure(&mut self) {
         self.fetch_interval = FETCH_RETRY_DELAY;
-        // The digests still differ, for as long as before.
+        // The digests have differed for at least the minimum time, so the next attempt is not
+        // delayed by it.
         self.differs_since = self.fetched_at.map(|fetched| fetched.saturating_sub(DIFFERENCE_MIN));
     }
 }
--- a/crates/rudder-peers/src/node/mod.rs
+++ b/crates/rudder-peers/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One instance's whole conversation with its peers, without sockets or a clock: membership, hints
-//! and budget put together.
+//! Communication of one instance with its peers, without sockets or a clock: combines membership,
+//! hints and budget.
 
 mod budget;
 mod compose;
--- a/crates/rudder-peers/src/node/state.rs
+++ b/crates/rudder-peers/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of an instance's conversation with its peers.
+//! State machine of the communication of an instance with its peers.
 
 use super::budget::{BudgetSettings, TrafficCount};
 use super::compose::received_hint;
@@ -16,37 +16,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Peers to whom urgent hints are pushed in one round.
+/// Number of peers to which urgent hints are pushed in one round.
 const PUSH_FANOUT: usize = 4;
 
-/// Rounds of pushing for each urgent hint. One round of four reaches all but about a fiftieth of a
-/// large fleet; two leave to heartbeats only what was lost on the way.
+/// Number of push rounds for each urgent hint. One round with a fanout of four reaches all but
+/// about a fiftieth of a large fleet; after two, heartbeats only have to deliver what was lost on
+/// the network.
 const PUSH_ROUNDS: u32 = 2;
 
-/// Urgent hints that arrive within this time are pushed together.
+/// Minimum time between two push rounds. Urgent hints that arrive within this time are pushed
+/// together.
 const PUSH_SPACING: Duration = Duration::from_millis(50);
 
-/// What the driver has to do.
+/// Output for the driver.
 #[derive(Debug, Default)]
 pub(crate) struct NodeOutput {
     /// Datagrams to send.
     pub(crate) datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// Hints that are news, to hand to the handler.
+    /// Hints that are newer than those known, to pass to the handler.
     pub(crate) hints: Vec<HintMessage>,
-    /// Peers from whom something is to be fetched.
+    /// Peers from which state is to be fetched.
     pub(crate) fetches: Vec<(SocketAddr, FetchKind)>,
 }
 
-/// What is fetched from a peer.
+/// Kind of state that is fetched from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchKind {
-    /// Its table of instances.
+    /// Table of instances.
     Peers,
-    /// The primaries of groups that it knows of.
+    /// Primaries of groups.
     Groups,
 }
 
-/// The conversation of one instance with its peers.
+/// State of the communication of one instance with its peers.
 #[derive(Debug)]
 pub(crate) struct PeerNode {
     pub(super) membership: Membership,
@@ -79,12 +81,12 @@
         self.traffic
     }
 
-    /// This instance about itself.
+    /// Returns the entry of this instance.
     pub(crate) fn local_entry(&self) -> &PeerEntry {
         self.membership.local_entry()
     }
 
-    /// The instances that are not gone, this one included, sorted by name.
+    /// Returns the instances that are not removed, including this one, sorted by name.
     pub(crate) fn snapshot(&self) -> Vec<PeerEntry> {
         self.membership.snapshot()
     }
@@ -93,12 +95,12 @@
         self.membership.take_changed()
     }
 
-    /// Where an instance listens.
+    /// Returns the address at which an instance listens.
     pub(crate) fn address_of(&self, name: &InstanceName) -> Option<SocketAddr> {
         self.membership.entry(name).map(|entry| entry.address)
     }
 
-    /// Lets time pass.
+    /// Advances the state machine to `now`.
     pub(crate) fn tick(&mut self, now: Duration) -> NodeOutput {
         let mut output = NodeOutput::default();
         let actions = self.membership.tick(now);
@@ -108,7 +110,7 @@
         output
     }
 
-    /// Takes in a datagram.
+    /// Processes a datagram.
     pub(crate) fn receive(&mut self, bytes: &[u8], now: Duration) -> Result<NodeOutput, WireError> {
         let datagram = decode_datagram(bytes)?;
         let mut output = NodeOutput::default();
@@ -121,7 +123,7 @@
         Ok(output)
     }
 
-    /// Spreads a hint of this instance's own.
+    /// Publishes a hint of this instance to all instances.
     pub(crate) fn publish(&mut self, hint: PeerHint, now: Duration) -> NodeOutput {
         let mut output = NodeOutput::default();
         if !self.apply_instance_leaving(&hint, now) {
@@ -168,7 +170,7 @@
         output
     }
 
-    /// Says that this instance is leaving.
+    /// Marks this instance as leaving and pushes that to peers.
     pub(crate) fn leave(&mut self, now: Duration) -> NodeOutput {
         let mut output = NodeOutput::default();
         self.membership.leave();
@@ -176,7 +178,7 @@
         output
     }
 
-    /// A transfer that was asked for brought nothing.
+    /// Records that a transfer failed.
     pub(crate) fn fetch_failed(&mut self, kind: FetchKind) {
         match kind {
             FetchKind::Peers => self.peers_watch.record_failure(),
@@ -184,7 +186,7 @@
         }
     }
 
-    /// This instance's table, for a peer.
+    /// Returns the table of this instance, for a peer.
     pub(crate) fn table(&self) -> PeerTableFrame {
         PeerTableFrame {
             sender: self.membership.local_entry().clone(),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Whether a table of so many bytes may be sent now; if so, they are charged.
+    /// Whether a table of this size may be sent now; if so, it is charged to the budget.
     pub(crate) fn charge_table(&mut self, bytes: u64, now: Duration) -> bool {
         let allowed = self.table_bucket.take_with_debt(bytes, now);
         if allowed {
@@ -203,12 +205,13 @@
         allowed
     }
 
-    /// The primaries of groups that this instance knows of, for a peer; their ages have no bound.
+    /// Returns the primaries of groups that this instance knows, for a peer; their ages have no
+    /// bound.
     pub(crate) fn groups(&self) -> Vec<PeerHint> {
         self.cache.groups()
     }
 
-    /// Takes in the primaries that a peer knows of.
+    /// Merges the primaries that a peer knows.
     pub(crate) fn merge_groups(
         &mut self,
         from: &InstanceName,
@@ -216,7 +219,7 @@
         now: Duration,
     ) -> NodeOutput {
         let mut output = NodeOutput::default();
-        // The others know these: what is fetched is not spread again.
+        // Other instances already know these hints, so fetched hints are not relayed.
         self.accept_hints(
             from,
             groups.into_iter().map(PeerHint::without_age_bound),
@@ -227,7 +230,7 @@
         output
     }
 
-    /// Takes in a peer's table, and returns the differences that the peer should hear.
+    /// Merges the table of a peer, and returns the differences to send to the peer.
     pub(crate) fn merge(&mut self, table: &PeerTableFrame, now: Duration) -> Vec<PeerEntry> {
         self.membership.merge(&table.sender, &table.entries, now)
     }
@@ -237,15 +240,16 @@
             let sequence = action.body.probe_sequence();
             match self.compose(action.to, action.body, action.first_update, now) {
                 Some(datagram) => output.datagrams.push(datagram),
-                // Guards against taking the silence after an unsent probe for the target's: with
-                // the budget used up, live instances would be suspected and removed.
+                // Discards probes that the budget did not allow to send. Otherwise the missing
+                // acknowledgement would count as a failure of the target, and with the budget used
+                // up, live instances would be suspected and removed.
                 None => self.membership.abandon_probe(sequence),
             }
         }
     }
 
-    /// Asks for what the sender knows, if the digests have differed for long or nothing is known
-    /// here yet.
+    /// Requests a transfer from the sender if the digests have differed for a while, or if nothing
+    /// is known here yet.
     fn compare_digests(
         &mut self,
         datagram: &PeerDatagram,
@@ -271,8 +275,9 @@
         output: &mut NodeOutput,
         now: Duration,
     ) {
-        // Guards against hints for a few that reach all: the votes on one lasting doubt, passed on by
-        // each receiver, used up what peers may send, and the answers to it were withheld.
+        // Direct hints are not relayed: when each receiver relayed the votes on a lasting
+        // suspicion, they used up the budgets of the peers, and the responses to these votes were
+        // withheld.
         let is_direct = datagram.body == DatagramBody::Direct;
         let mut hints = datagram.hints;
         if datagram.revision > self.cache.revision() {
@@ -283,7 +288,8 @@
         self.accept_hints(&datagram.sender.name, received, sends, output, now);
     }
 
-    /// Whether the hint says that an instance is leaving: that is the membership's to spread.
+    /// Applies a hint that an instance is leaving and returns true; returns false for all other
+    /// hints. The membership distributes this state, so the hint is not cached.
     fn apply_instance_leaving(&mut self, hint: &PeerHint, now: Duration) -> bool {
         let PeerHint::Leaving(LeavingNotice { subject: LeavingSubject::Instance(name) }) = hint
         else {
@@ -293,7 +299,8 @@
         true
     }
 
-    /// How often an urgent hint is told: the pushes, and then as often as news of members.
+    /// Returns the number of times an urgent hint is sent: the push rounds, and then as often as
+    /// membership updates.
     fn hint_sends(&self) -> u32 {
         PUSH_ROUNDS * u32::try_from(PUSH_FANOUT).unwrap_or_default() + self.membership.sends()
     }
@@ -319,7 +326,7 @@
         }
     }
 
-    /// Pushes urgent hints and news to a few random peers.
+    /// Pushes urgent hints and updates to a few random peers.
     fn push(&mut self, output: &mut NodeOutput, now: Duration) {
         if self.membership.take_urgent() {
             self.push_rounds = PUSH_ROUNDS;
--- a/crates/rudder-peers/src/node/tests.rs
+++ b/crates/rudder-peers/src/node/tests.rs
@@ -1,4 +1,4 @@
-//! Failures brought about in a fleet of nodes.
+//! Tests of failures in a simulated fleet of nodes.
 
 mod fleet;
 mod schedule;
@@ -11,10 +11,10 @@
 use rudder_core::{LogStamp, LogTerm};
 use std::time::Duration;
 
-/// Loss of a probe is noticed after one round of probing at worst; the rest is timeouts.
+/// Time within which a failed instance is removed: one round of probing at worst, plus timeouts.
 const REMOVAL_BOUND: Duration = Duration::from_secs(15);
 
-/// Groups whose primary stands in one of seven failure domains.
+/// Number of groups whose primary is in one of seven failure domains.
 const GROUPS_LOST: usize = 111;
 
 fn seconds(count: u64) -> Duration {
@@ -42,8 +42,8 @@
 
 #[test]
 fn failed_instance_is_removed_by_all_in_bounded_time() {
-    // Callers' forwarded statements keep going to an instance that died without a word. Each of
-    // the others must stop counting on it by its own probes or the news of them.
+    // Forwarded statements of callers would continue to go to an instance that failed without
+    // notice. Each of the others must remove it through its own probes or the updates of peers.
     let mut fleet = Fleet::joined(30, 2);
     fleet.kill(17);
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn broken_link_between_two_instances_removes_neither() {
-    // Two instances cannot reach each other, while everybody else reaches both. If the two removed
-    // each other, duties would be computed differently on both sides.
+    // Two instances cannot reach each other while all others reach both. If the two removed each
+    // other, duties would be computed differently on both sides.
     let mut fleet = Fleet::joined(12, 3);
     fleet.cut_link(4, 8);
 
@@ -71,8 +71,8 @@
 
 #[test]
 fn instance_that_reaches_only_one_peer_cannot_remove_others() {
-    // An instance has lost its links to all but one peer. It finds everybody else gone and says so
-    // to that peer; if that were believed, one broken machine would empty the fleet.
+    // An instance has lost its links to all but one peer, finds all others failed and reports this
+    // to that peer. If the report were trusted, one faulty machine would empty the instance list.
     let mut fleet = Fleet::joined(10, 13);
     for other in 2..10 {
         fleet.cut_link(0, other);
@@ -91,8 +91,8 @@
 
 #[test]
 fn paused_instance_rejoins_and_removes_no_others() {
-    // An instance stands still for a minute and is removed. On waking it finds its own probes
-    // unanswered; if it believed them, it would tell everyone that the others are gone.
+    // An instance is paused for a minute and is removed. When it resumes, its own probes have timed
+    // out; if it trusted them, it would report all others as failed.
     let mut fleet = Fleet::joined(12, 4);
     fleet.freeze(5, seconds(60));
     fleet.run(seconds(59));
@@ -111,8 +111,8 @@
 
 #[test]
 fn short_pause_causes_no_suspicion_of_others() {
-    // An instance stands still for two seconds while its probe is under way, and the answer is lost
-    // in its full socket. Its timers then say that the other did not answer in time.
+    // An instance is paused for two seconds during a probe, and the acknowledgement is lost because
+    // its socket buffer is full. Its timers then indicate a timeout of the target.
     let mut fleet = Fleet::joined(8, 14);
     fleet.drop_while_frozen = true;
 
@@ -129,8 +129,8 @@
 
 #[test]
 fn an_instance_replaced_at_its_address_is_known_by_its_new_name() {
-    // A machine is replaced and the new one gets the same address. The old name answers no more,
-    // but whoever only looks at the address takes the new instance for the old one.
+    // A machine is replaced and the new one gets the same address. The old name no longer responds,
+    // but a check by address alone would take the new instance for the old one.
     let mut fleet = Fleet::joined(12, 5);
     let old = fleet.name_of(6);
 
@@ -143,9 +143,9 @@
 
 #[test]
 fn partitioned_regions_rejoin_within_the_budget() {
-    // Two regions lose each other for an hour, and each removes the other's instances. When they
-    // meet, all instances must refute, and all must hear of it; sent at once, that is a storm. The
-    // seeds that they were started with are long gone.
+    // Two regions are partitioned for an hour, and each removes the instances of the other; their
+    // seeds have failed long ago. Afterwards all instances must refute and all must learn of it,
+    // which exceeds the budget if sent at once.
     let (size, half) = (fleet_size(), fleet_size() / 2);
     let mut fleet = Fleet::joined(size, 6);
     fleet.kill(0);
@@ -165,7 +165,7 @@
             fleet.all_bytes_sent().into_iter().zip(before).map(|(after, before)| after - before);
         busiest_second = busiest_second.max(sent.max().unwrap());
 
-        // Nobody is removed on the word of the region that had removed it.
+        // No instance is removed because of reports from the region that had removed it.
         for site in [2, half - 1, half, size - 1] {
             let own_side = if site < half { 2..half } else { half..size };
             for peer in own_side {
@@ -185,7 +185,8 @@
     }
 }
 
-/// Instances in the larger fleets unless the variable `RUDDER_FLEET` says otherwise.
+/// Returns the number of instances in the larger fleets; the variable `RUDDER_FLEET` overrides the
+/// default.
 fn fleet_size() -> usize {
     let wanted = std::env::var("RUDDER_FLEET").ok();
     wanted.and_then(|text| text.parse().ok()).unwrap_or(24)
@@ -193,8 +194,8 @@
 
 #[test]
 fn leaving_reaches_all_and_is_not_reverted_by_older_updates() {
-    // An instance shuts down, and balancing still sends it work because an older heartbeat says
-    // that it is live.
+    // An instance shuts down, and load balancing would still send it work if an older heartbeat
+    // could mark it live again.
     let mut fleet = Fleet::joined(12, 7);
     fleet.leave(3);
 
@@ -210,7 +211,8 @@
 
 #[test]
 fn instance_wrongly_marked_leaving_refutes() {
-    // The platform's list lags: it still calls an instance leaving that has been started anew.
+    // The instance list of the platform lags: it still lists an instance as leaving that has been
+    // restarted.
     let mut fleet = Fleet::joined(8, 8);
     let subject = LeavingSubject::Instance(fleet.name_of(3));
 
@@ -224,8 +226,8 @@
 
 #[test]
 fn leaving_member_is_known_to_all_within_seconds() {
-    // An operator takes a database member away. The platform's list says so half a minute later,
-    // and until then proxies give it new statements, which fail when it goes.
+    // An operator removes a database member. The member list of the platform shows this half a
+    // minute later; until then proxies would send it new statements, which fail when it stops.
     let mut fleet = Fleet::joined(30, 18);
     fleet.loss_percent = 5;
     let subject = LeavingSubject::Member("scores-db".parse().unwrap(), "m1".parse().unwrap());
@@ -242,8 +244,8 @@
 
 #[test]
 fn many_hints_leave_budget_for_heartbeats() {
-    // A failure domain is lost and hundreds of groups change their primary at once. If their news
-    // took the whole budget, heartbeats would stay away and live instances be suspected.
+    // A failure domain is lost and hundreds of groups change their primary at once. If their hints
+    // used the whole budget, heartbeats would not be sent and live instances would be suspected.
     let mut fleet = Fleet::joined(8, 9);
     let before: Vec<u64> = (0..8).map(|site| fleet.bytes_sent(site)).collect();
 
@@ -268,8 +270,8 @@
 
 #[test]
 fn an_instance_without_budget_suspects_nobody() {
-    // An instance has used its budget up and cannot send its probes. If it judged them all the
-    // same, it would find everybody gone and say so as soon as it may send again.
+    // An instance has used up its budget and cannot send its probes. If it evaluated them
+    // nevertheless, it would find all others failed and report this as soon as it may send again.
     let mut fleet = Fleet::joined(8, 12);
     fleet.exhaust_budget(3);
 
@@ -294,8 +296,9 @@
 
 #[test]
 fn new_instance_learns_terms_and_instances_no_longer_gossiped() {
-    // An instance is replaced in a quiet fleet. It takes a superseded primary for the present one,
-    // and works out duties from the few instances that happened to speak to it.
+    // An instance is replaced in a fleet without other changes. Without a transfer it would take a
+    // superseded primary for the current one, and compute duties from the few instances that
+    // happened to contact it.
     let mut fleet = Fleet::joined(60, 15);
     fleet.publish(0, new_term(1, 9));
     fleet.kill(31);
@@ -310,8 +313,8 @@
 
 #[test]
 fn removed_address_is_probed_at_a_bounded_rate() {
-    // A machine has died and its address is not in use. All others remember it for hours; if each
-    // kept asking, a larger fleet would bury whoever gets that address next.
+    // A machine has failed and its address is not in use. All others remember it for hours; if each
+    // kept probing, a larger fleet would overload the next instance that gets this address.
     let mut fleet = Fleet::joined(60, 16);
     fleet.kill(20);
     fleet.run(seconds(60));
@@ -325,8 +328,8 @@
 
 #[test]
 fn terms_of_a_lost_failure_domain_reach_all_within_the_budget() {
-    // A failure domain goes, and with it the primaries of a seventh of 780 groups. The new terms
-    // are published within a moment by as many instances, and nobody speaks of anything else.
+    // A failure domain fails, and with it the primaries of a seventh of 780 groups. As many
+    // instances publish the new terms at the same time, and there is no other traffic.
     let mut fleet = Fleet::joined(fleet_size(), 17);
     let (started_at, sent_before) = (fleet.now, fleet.all_bytes_sent());
 
--- a/crates/rudder-peers/src/node/tests/fleet.rs
+++ b/crates/rudder-peers/src/node/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of nodes with a deterministic network between them.
+//! Simulated fleet of nodes with a deterministic network between them.
 
 use crate::budget::TokenBucket;
 use crate::hints::PeerHint;
@@ -39,7 +39,7 @@
     cut_links: Vec<(usize, usize)>,
     pub(super) now: Duration,
     pub(super) loss_percent: u32,
-    /// Whether what reaches a frozen instance is lost, because its socket's buffer is full.
+    /// Whether datagrams that reach a frozen instance are lost, because its socket buffer is full.
     pub(super) drop_while_frozen: bool,
     rng: StdRng,
 }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A fleet whose instances all know each other.
+    /// Returns a fleet whose instances all know each other.
     pub(super) fn joined(size: usize, seed: u64) -> Self {
         let mut fleet = Self::new(size, seed);
         fleet.run_until(Duration::from_secs(600), Self::settled);
@@ -102,7 +102,7 @@
         self.sites[site].running = false;
     }
 
-    /// Takes an instance's budget away.
+    /// Sets the budget of an instance to zero.
     pub(super) fn exhaust_budget(&mut self, site: usize) {
         self.sites[site].node.datagram_bucket = TokenBucket::new(0, 0, self.now);
     }
@@ -111,7 +111,7 @@
         self.sites[site].frozen_until = self.now + time;
     }
 
-    /// Starts a new instance, with a new name, at the address of the one that was there.
+    /// Starts a new instance, with a new name, at the address of the previous one.
     pub(super) fn replace(&mut self, site: usize) {
         let generation = self.sites[site].generation + 1;
         let seed = self.rng.random();
@@ -138,14 +138,14 @@
         self.perform(site, output);
     }
 
-    /// Sends a hint to these sites only.
+    /// Sends a hint to these instances only.
     pub(super) fn send_hint(&mut self, site: usize, receivers: &[usize], hint: &PeerHint) {
         let names: Vec<_> = receivers.iter().map(|site| self.name_of(*site)).collect();
         let output = self.sites[site].node.send_hint(&names, hint, self.now);
         self.perform(site, output);
     }
 
-    /// Parts the sites from `first` on from those before it.
+    /// Partitions the instances from `first` on from those before it.
     pub(super) fn partition_from(&mut self, first: usize) {
         for (number, site) in self.sites.iter_mut().enumerate() {
             site.side = usize::from(number >= first);
@@ -170,7 +170,7 @@
         self.sites[site].node.traffic().datagram_bytes
     }
 
-    /// How many datagrams have been sent to a site so far.
+    /// Returns the number of datagrams sent to an instance so far.
     pub(super) fn sent_to(&self, site: usize) -> usize {
         self.sites[site].sent_to
     }
@@ -187,7 +187,7 @@
         name(site, self.sites[site].generation)
     }
 
-    /// What `site` holds of `of`.
+    /// Returns the state of `of` as known to the instance `site`.
     pub(super) fn state(&self, site: usize, of: &InstanceName) -> Option<PeerState> {
         let snapshot = self.sites[site].node.snapshot();
         snapshot.into_iter().find(|entry| entry.name == *of).map(|entry| entry.state)
@@ -211,7 +211,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs until the condition holds, at most for `bound`; returns how long it took.
+    /// Runs until the condition holds, at most for `bound`; returns the time that it took.
     pub(super) fn run_until(
         &mut self,
         bound: Duration,
--- a/crates/rudder-peers/src/node/tests/schedule.rs
+++ b/crates/rudder-peers/src/node/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Generated schedules of failures.
+//! Property tests with generated schedules of failures.
 
 use super::fleet::Fleet;
 use super::seconds;
@@ -6,7 +6,7 @@
 use proptest::test_runner::{Config, RngSeed};
 
 const SIZE: usize = 9;
-/// Schedules generated unless the variable `RUDDER_CASES` says otherwise.
+/// Number of generated schedules; the variable `RUDDER_CASES` overrides it.
 const CASES: u32 = 24;
 
 fn cases() -> u32 {
@@ -42,7 +42,7 @@
 
 fn inject(fleet: &mut Fleet, failure: &Failure) {
     match *failure {
-        // Two instances always stay, so that there is a fleet to come back to.
+        // At least two instances keep running, so that there is a fleet to rejoin.
         Failure::Kill(site) if fleet.running().len() > 2 => fleet.kill(site),
         Failure::Kill(_) => {}
         Failure::Freeze(site, time) => fleet.freeze(site, seconds(time)),
@@ -64,9 +64,8 @@
         ..Config::default()
     })]
 
-    // Whatever fails in whatever order: once the failures are over, each running instance sees
-    // exactly the running ones again, whether or not it removed them meanwhile, and those that
-    // left stay leaving.
+    // After any sequence of failures has ended, each running instance sees exactly the running ones
+    // again, whether or not it removed them in between, and instances that left stay leaving.
     #[test]
     fn all_views_agree_after_any_failures(
         seed in any::<u32>(),
--- a/crates/rudder-peers/src/node/tests/votes.rs
+++ b/crates/rudder-peers/src/node/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on primaries: to all, and to a few.
+//! Tests of votes on primaries, published to all instances or sent to some.
 
 use super::fleet::Fleet;
 use super::seconds;
@@ -24,8 +24,9 @@
 
 #[test]
 fn older_vote_of_an_observer_does_not_replace_its_newer_one() {
-    // A member is suspected and at once no longer. The two votes travel on different ways; if the
-    // one heard last won, they would replace each other round the fleet without end.
+    // An observer suspects a member and withdraws the suspicion at once. The two votes take
+    // different paths; if the last received one won, they would replace each other throughout the
+    // fleet without end.
     let mut fleet = Fleet::joined(10, 11);
 
     fleet.publish(0, vote(1, true));
@@ -41,10 +42,9 @@
 
 #[test]
 fn direct_votes_reach_their_receivers_and_are_not_relayed() {
-    // A healthy primary is replaced. One keeper of its group has lost its link to it and doubts it
-    // again and again; the two others answer that all is well. Each receiver passed on what was
-    // told to the group's keepers only, which used up what peers may send, and answers were
-    // withheld: the doubting keeper heard no objection any more.
+    // A healthy primary was replaced: one keeper lost its link to it and repeatedly voted to
+    // suspect it, and the objections of the other two were withheld, because receivers relayed the
+    // direct votes and used up their budgets.
     const VOTES: u64 = 60;
     let mut fleet = Fleet::joined(6, 12);
 
--- a/crates/rudder-peers/src/wire/codec.rs
+++ b/crates/rudder-peers/src/wire/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding, with bounds on what is taken in.
+//! Encoding and decoding of messages, with bounds on the size of received ones.
 
 use super::datagram::{PeerDatagram, WireDatagram};
 use super::entry::WireEntry;
@@ -10,14 +10,15 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The version that this program speaks, the first byte of each message.
+/// Protocol version, sent as the first byte of each message.
 const WIRE_VERSION: u8 = 1;
 
-/// A datagram stays below the smallest MTU on the way (1280 in IPv6), so that the loss of one
-/// fragment never loses the rest.
+/// Maximum size of a datagram. It stays below the smallest MTU on the path (1280 in IPv6), so that
+/// datagrams are not fragmented and the loss of one fragment never loses a whole datagram.
 pub(crate) const DATAGRAM_BYTES_MAX: usize = 1200;
 
-/// A settings revision of up to a megabyte, with room for its list of files.
+/// Maximum size of a frame: a settings revision of up to one megabyte, with room for its list of
+/// files.
 pub(crate) const FRAME_BYTES_MAX: usize = 4 * 1024 * 1024;
 
 pub(crate) fn encode_datagram(datagram: &PeerDatagram) -> Result<Vec<u8>, WireError> {
@@ -44,12 +45,12 @@
     decode::<WireResponse>(bytes, FRAME_BYTES_MAX)?.try_into()
 }
 
-/// The bytes that an entry adds to a datagram.
+/// Returns the bytes that an entry adds to a datagram.
 pub(crate) fn encoded_entry_size(entry: &PeerEntry) -> usize {
     encoded_size(&WireEntry::from(entry))
 }
 
-/// The bytes that a hint adds to a datagram.
+/// Returns the bytes that a hint adds to a datagram.
 pub(crate) fn encoded_hint_size(hint: &PeerHint) -> usize {
     encoded_size(&WireHint::from(hint))
 }
@@ -66,8 +67,8 @@
     Ok(bytes)
 }
 
-/// Guards against hostile and damaged messages: the length is bounded before anything is
-/// allocated, lengths inside the message cannot exceed it, and each value is checked.
+/// Decodes a message. Protects against malicious and corrupted input: the length is bounded before
+/// anything is allocated, lengths inside the message cannot exceed it, and each value is validated.
 fn decode<T: DeserializeOwned>(bytes: &[u8], bytes_max: usize) -> Result<T, WireError> {
     if bytes.len() > bytes_max {
         return Err(WireError::TooLong(bytes.len()));
--- a/crates/rudder-peers/src/wire/datagram.rs
+++ b/crates/rudder-peers/src/wire/datagram.rs
@@ -1,4 +1,4 @@
-//! The messages that travel over UDP.
+//! Messages sent over UDP.
 
 use super::entry::WireEntry;
 use super::error::WireError;
@@ -9,42 +9,43 @@
 use serde::{Deserialize, Serialize};
 
 plain_data! {
-    /// A datagram: who sends it, what it asks or answers, and what rides along.
+    /// A datagram: its sender, a request or response, and piggybacked updates and hints.
     pub(crate) struct PeerDatagram {
-        /// The sender about itself.
+        /// Entry of the sender.
         pub(crate) sender: PeerEntry,
         /// Digest of the sender's table of instances; equal tables have equal digests.
         pub(crate) digest: u32,
-        /// Digest of the terms that the sender knows of.
+        /// Digest of the group terms that the sender knows.
         pub(crate) groups: u32,
-        /// The greatest settings revision that the sender knows of; zero if none.
+        /// Greatest settings revision that the sender knows; zero if none.
         pub(crate) revision: u64,
         pub(crate) body: DatagramBody,
-        /// News of members.
+        /// Piggybacked membership updates.
         pub(crate) updates: Vec<PeerEntry>,
         pub(crate) hints: Vec<PeerHint>,
     }
 }
 
-/// What a datagram asks or answers.
+/// Request or response that a datagram carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DatagramBody {
-    /// Asks for an acknowledgement. `target` is who is believed to listen there.
+    /// Requests an acknowledgement. `target` is the instance expected at the address, if known.
     Probe { sequence: u32, target: Option<InstanceName> },
-    /// Asks the receiver to probe `target`, whose entry is the first news of this datagram.
+    /// Requests that the receiver probe `target`, whose entry is the first update of this datagram.
     IndirectProbe { sequence: u32, target: InstanceName },
-    /// Answers a probe.
+    /// Acknowledges a probe.
     Ack { sequence: u32 },
-    /// Answers an indirect probe: the first news is what the target said about itself.
+    /// Acknowledges an indirect probe; the first update is the entry that the target sent of
+    /// itself.
     RelayedAck { sequence: u32 },
-    /// Asks nothing; it only carries news and hints.
+    /// Carries only updates and hints; expects no response.
     Push,
-    /// Asks nothing; its hints are for the receiver alone and are not passed on.
+    /// Carries hints for the receiver only, which are not relayed; expects no response.
     Direct,
 }
 
 impl DatagramBody {
-    /// The number of the sender's own probe that this body asks about, if it asks.
+    /// Returns the sequence number of the sender's own probe if this body requests one.
     pub(crate) fn probe_sequence(&self) -> Option<u32> {
         match self {
             Self::Probe { sequence, .. } | Self::IndirectProbe { sequence, .. } => Some(*sequence),
--- a/crates/rudder-peers/src/wire/entry.rs
+++ b/crates/rudder-peers/src/wire/entry.rs
@@ -1,4 +1,4 @@
-//! Instances on the wire.
+//! Wire encoding of instance entries.
 
 use super::error::WireError;
 use crate::member::{Incarnation, PeerEntry, PeerState};
--- a/crates/rudder-peers/src/wire/error.rs
+++ b/crates/rudder-peers/src/wire/error.rs
@@ -1,9 +1,9 @@
-//! Why a message from a peer was not taken.
+//! Reason for which a message from a peer was rejected.
 
 use displaydoc::Display;
 use rudder_core::ParseError;
 
-/// Why a message from a peer was not taken.
+/// Reason for which a message from a peer was rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum WireError {
--- a/crates/rudder-peers/src/wire/hint.rs
+++ b/crates/rudder-peers/src/wire/hint.rs
@@ -1,4 +1,4 @@
-//! Hints on the wire.
+//! Wire encoding of hints.
 
 use super::error::WireError;
 use crate::hints::{
@@ -167,7 +167,7 @@
     }
 }
 
-/// Rounds up, because an age is an upper bound.
+/// Converts an age to milliseconds, rounded up because an age is an upper bound.
 fn to_millis(age: Duration) -> u64 {
     u64::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
--- a/crates/rudder-peers/src/wire/mod.rs
+++ b/crates/rudder-peers/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The messages between instances as they are encoded: a version byte, then `postcard`.
+//! Encoding of the messages between instances: a version byte, followed by `postcard`.
 //!
-//! The types here mirror the domain types and hold plain text and numbers, so that a change of a
-//! domain type does not silently change what travels. Everything received is checked on its way
-//! into a domain type.
+//! The wire types mirror the domain types but hold plain strings and numbers, so that a change of a
+//! domain type does not silently change the encoding. Every received value is validated when it is
+//! converted into a domain type.
 
 mod codec;
 mod datagram;
--- a/crates/rudder-peers/src/wire/request.rs
+++ b/crates/rudder-peers/src/wire/request.rs
@@ -1,4 +1,4 @@
-//! The requests that travel over TCP, and their answers.
+//! Requests and responses sent over TCP.
 
 use super::entry::WireEntry;
 use super::error::WireError;
@@ -8,82 +8,82 @@
 use rudder_core::{InstanceName, LogStamp, SessionId, SessionToken, plain_data};
 use serde::{Deserialize, Serialize};
 
-/// A question to a peer.
+/// Request to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
-    /// What must this session see?
+    /// Requests the floors of this session, that is, the positions that its reads must include.
     SessionLookup(SessionId),
-    /// Sessions that the asking instance hands over because it is leaving.
+    /// Sessions that the requesting instance hands over because it is leaving.
     SessionHandover(Vec<SessionToken>),
-    /// The settings revision, if it is newer than this number.
+    /// Requests the settings revision if it is newer than this number.
     RevisionFetch {
-        /// The number of the newest revision that the asking instance has.
+        /// Number of the newest revision that the requesting instance has.
         newer_than: u64,
     },
-    /// A question between the succession code of two instances, in that code's own encoding.
+    /// Request between the succession code of two instances, in the encoding of that code.
     Succession(Vec<u8>),
 }
 
-/// The answer to a question.
+/// Reply to a `PeerRequest`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerReply {
-    /// The answering instance does not know. It never means that there is nothing.
+    /// The responding instance has no information. This does not mean that none exists.
     Unknown,
-    /// What the session must see, as far as the answering instance knows.
+    /// Floors of the session, as far as the responding instance knows them.
     Session(SessionToken),
-    /// What was handed over has been taken.
+    /// The sessions handed over were accepted.
     Accepted,
-    /// The revision that was asked for, in the settings code's own encoding.
+    /// The requested revision, in the encoding of the settings code.
     Revision(Vec<u8>),
-    /// An answer of the succession code, in that code's own encoding.
+    /// Reply of the succession code, in the encoding of that code.
     Succession(Vec<u8>),
 }
 
 plain_data! {
-    /// Instances as the sender knows them, exchanged when two digests differ.
+    /// Instances known to the sender, exchanged when two digests differ.
     pub(crate) struct PeerTableFrame {
-        /// The sending instance, as it knows itself.
+        /// Entry of the sender.
         pub(crate) sender: PeerEntry,
-        /// Others: the whole table in an answer, the differences in an update.
+        /// Other instances: the whole table in a response, the differences in an update.
         pub(crate) entries: Vec<PeerEntry>,
     }
 }
 
-/// What is asked over TCP.
+/// Body of a request sent over TCP.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RequestBody {
-    /// Send me your table.
+    /// Requests the table of instances.
     Table,
-    /// Send me the primaries that you know of.
+    /// Requests the known primaries of groups.
     Groups,
-    /// These entries are newer than yours.
+    /// Sends entries that are newer than those of the receiver.
     Update(PeerTableFrame),
     Handler(PeerRequest),
 }
 
 plain_data! {
-    /// A question with the number that its answer must repeat.
+    /// Request with the number that its response must repeat.
     pub(crate) struct RequestFrame {
         pub(crate) number: u64,
         pub(crate) body: RequestBody,
     }
 }
 
-/// What is answered over TCP.
+/// Response sent over TCP.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseFrame {
-    /// The answering instance's own table.
+    /// Table of the responding instance.
     Table {
         number: u64,
         table: PeerTableFrame,
     },
-    /// The primaries of groups.
+    /// Known primaries of groups.
     Groups {
         number: u64,
         sender: InstanceName,
         hints: Vec<PeerHint>,
     },
-    /// The answering instance has used up its budget for tables.
+    /// The responding instance has used up its budget for table transfers.
     Busy {
         number: u64,
     },
@@ -145,7 +145,7 @@
     entries: Vec<WireEntry>,
 }
 
-/// A session token: its id, and per service the term and position of its floor.
+/// Session token: its id, and the term and position of its floor for each service.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireSession {
     id: String,
--- a/crates/rudder-peers/src/wire/size.rs
+++ b/crates/rudder-peers/src/wire/size.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages as they are encoded, for planning capacity.
+//! Encoded sizes of messages, for capacity planning.
 
 use super::codec::{encode_datagram, encode_response};
 use super::datagram::{DatagramBody, PeerDatagram};
@@ -7,8 +7,8 @@
 use crate::hints::PeerHint;
 use crate::member::PeerEntry;
 
-/// Bytes of a heartbeat from `sender` that carries this news and these hints, headers of IP and UDP
-/// included; zero if they do not fit one datagram.
+/// Returns the size in bytes of a heartbeat from `sender` that carries these updates and hints,
+/// including IP and UDP headers; zero if it does not fit into one datagram.
 ///
 /// ```
 /// use rudder_peers::{Incarnation, PeerEntry, PeerState, heartbeat_bytes};
@@ -36,7 +36,8 @@
     encode_datagram(&datagram).map_or(0, |bytes| length_of(&bytes) + DATAGRAM_OVERHEAD_BYTES)
 }
 
-/// Bytes of a table of instances, as it is fetched over TCP; zero if it does not fit one frame.
+/// Returns the size in bytes of a table of instances as transferred over TCP; zero if it does not
+/// fit into one frame.
 ///
 /// ```
 /// # use rudder_peers::{Incarnation, PeerEntry, PeerState, table_bytes};
@@ -57,7 +58,8 @@
     response_bytes(&ResponseFrame::Table { number: 1, table })
 }
 
-/// Bytes of the primaries of groups, as they are fetched over TCP; zero if they do not fit.
+/// Returns the size in bytes of a list of group primaries as transferred over TCP; zero if it does
+/// not fit into one frame.
 ///
 /// ```
 /// # use rudder_peers::groups_bytes;
--- a/crates/rudder-peers/src/wire/tests.rs
+++ b/crates/rudder-peers/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes: what is written is read back, and nothing hostile gets through.
+//! Tests of the message encoding: round trips, and rejection of malformed and malicious input.
 
 use super::*;
 use crate::hints::{
@@ -173,7 +173,7 @@
         let _ = decode_response(&bytes);
     }
 
-    // A peer with a damaged memory or cable: one byte of a good message is wrong.
+    // A valid message may be corrupted in the memory of a peer or in transit: one byte is wrong.
     #[test]
     fn corrupted_byte_never_panics(place in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut bytes = encode_datagram(&datagram()).unwrap();
--- a/crates/rudder-peers/tests/mesh.rs
+++ b/crates/rudder-peers/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! Real meshes on loopback.
+//! Tests of meshes with real sockets on loopback.
 
 #![allow(clippy::unwrap_used, reason = "a test may end at an unexpected value")]
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Far longer than anything here takes; only a broken mesh waits so long.
+/// Timeout for each condition; far longer than any takes, so that only a faulty mesh reaches it.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Default)]
@@ -54,7 +54,7 @@
     MeshFixture { mesh, handler }
 }
 
-/// Starts meshes that each know the first only, and waits until each knows all.
+/// Starts meshes that each know only the first, and waits until each knows all.
 async fn start_fleet(size: usize) -> Vec<MeshFixture> {
     let mut fleet = vec![start(0, Vec::new()).await];
     for number in 1..size {
@@ -102,8 +102,8 @@
 
 #[tokio::test]
 async fn pushed_hint_has_no_age_bound() {
-    // A user would be shown a read as fresh that is not: the datagram that says when the primary
-    // was confirmed waits on its way, and its receiver cannot tell for how long.
+    // The datagram with the confirmation of the primary is delayed by an unknown time. If its age
+    // were taken as a bound, a stale read would be treated as fresh.
     let fleet = start_fleet(2).await;
 
     fleet[0].mesh.tell(&[name(1)], new_term(9)).await;
@@ -143,8 +143,8 @@
 
 #[tokio::test]
 async fn response_to_another_request_is_rejected() {
-    // A caller would get another session's floor: a peer, or something between, hands back the
-    // late answer to an earlier request.
+    // A peer, or an intermediary, returns the late response to an earlier request. If it were
+    // accepted, a caller would get the floors of another session.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let fixture = start(0, Vec::new()).await;
@@ -164,8 +164,8 @@
 
 #[tokio::test]
 async fn malformed_input_is_ignored() {
-    // Something else on the network sends to the peers' port: noise over UDP, and over TCP a frame
-    // that claims four gigabytes.
+    // Another program sends to the port of the peers: random data over UDP, and over TCP a frame
+    // that announces four gigabytes.
     let fleet = start_fleet(2).await;
     let address = fleet[0].mesh.address();
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -186,7 +186,7 @@
 
 #[tokio::test]
 async fn stopped_instance_is_removed_and_leaving_one_is_announced() {
-    // Callers are sent to an instance that is no longer there, or that is about to go.
+    // Callers must not be sent to an instance that has stopped or is about to stop.
     let mut fleet = start_fleet(4).await;
 
     fleet[1].mesh.leave().await;
