--- a/crates/rudder-peers/examples/slopes/fleet.rs
+++ b/crates/rudder-peers/examples/slopes/fleet.rs
@@ -35,12 +35,12 @@
 }
 
 /// An instance of the fleet.
-pub(crate) struct FleetMember {
+pub(crate) struct FleetInstance {
     pub(crate) mesh: PeerMesh,
     latest: Arc<LatestHint>,
 }
 
-impl FleetMember {
+impl FleetInstance {
     pub(crate) async fn start(number: usize, seeds: Vec<SocketAddr>) -> Result<Self, MeshError> {
         let name = format!("rudder-{number:04}").parse().expect("a name of allowed characters");
         let domain = format!("domain-{}", number % DOMAINS);
@@ -77,8 +77,8 @@
     pub(crate) withheld: u64,
 }
 
-pub(crate) fn traffic(fleet: &[FleetMember]) -> Vec<TrafficCount> {
-    fleet.iter().map(|member| member.mesh.traffic()).collect()
+pub(crate) fn traffic(fleet: &[FleetInstance]) -> Vec<TrafficCount> {
+    fleet.iter().map(|instance| instance.mesh.traffic()).collect()
 }
 
 /// Returns the sum over all instances of the traffic sent between two counts.
--- a/crates/rudder-peers/examples/slopes/main.rs
+++ b/crates/rudder-peers/examples/slopes/main.rs
@@ -44,9 +44,9 @@
     for line in planned::lines() {
         println!("{line}");
     }
-    let quiet = Duration::from_secs(options.seconds);
+    let idle_duration = Duration::from_secs(options.seconds);
     for size in options.sizes.0 {
-        println!("{}", SizeRun { size, quiet }.run().await?);
+        println!("{}", SizeRun { size, idle_duration }.run().await?);
     }
     Ok(())
 }
--- a/crates/rudder-peers/examples/slopes/run.rs
+++ b/crates/rudder-peers/examples/slopes/run.rs
@@ -1,7 +1,7 @@
 //! Measurements at one fleet size: joining, idle traffic, distribution of hints, and loss of
 //! instances.
 
-use crate::fleet::{FleetMember, busiest, total, traffic};
+use crate::fleet::{FleetInstance, busiest, total, traffic};
 use crate::process::{processor_time, resident_bytes};
 use displaydoc::Display;
 use rudder_core::{LogStamp, LogTerm};
@@ -14,7 +14,7 @@
 const STATE_TIMEOUT: Duration = Duration::from_secs(180);
 /// Timeout for the updates of a joining fleet to be sent. The updates of 570 instances that join at
 /// once take minutes, at ten per heartbeat.
-const CALM_TIMEOUT: Duration = Duration::from_secs(1200);
+const UPDATES_TIMEOUT: Duration = Duration::from_secs(1200);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of hints published sequentially at each size.
 const HINTS: u64 = 9;
@@ -23,7 +23,7 @@
 /// Maximum size of a datagram of this fleet without updates; one with updates is larger.
 const BARE_BYTES_MAX: u64 = 92;
 /// Period over which the fleet is checked for datagrams with updates.
-const CALM_WINDOW: Duration = Duration::from_secs(5);
+const UPDATES_WINDOW: Duration = Duration::from_secs(5);
 /// Number of failure domains; the loss of one stops this fraction of the instances.
 const DOMAINS: usize = 7;
 
@@ -48,41 +48,41 @@
 /// Run at one fleet size.
 pub(crate) struct SizeRun {
     pub(crate) size: usize,
-    pub(crate) quiet: Duration,
+    pub(crate) idle_duration: Duration,
 }
 
 impl SizeRun {
     pub(crate) async fn run(&self) -> Result<Value, RunError> {
         let memory = resident_bytes();
         let timer = Instant::now();
-        let mut fleet = vec![FleetMember::start(0, Vec::new()).await?];
+        let mut fleet = vec![FleetInstance::start(0, Vec::new()).await?];
         for number in 1..self.size {
             let seed = fleet[0].mesh.address();
-            fleet.push(FleetMember::start(number, vec![seed]).await?);
+            fleet.push(FleetInstance::start(number, vec![seed]).await?);
         }
-        wait_for("joined", || fleet.iter().all(|member| member.sees(self.size))).await?;
+        wait_for("joined", || fleet.iter().all(|instance| instance.sees(self.size))).await?;
         let joined = timer.elapsed();
 
-        let calm = wait_for_calm(&fleet).await?;
-        let quiet = self.measure_quiet(&fleet).await;
+        let updates_sent = wait_for_updates(&fleet).await?;
+        let quiet = self.measure_idle(&fleet).await;
         let memory = resident_bytes().saturating_sub(memory);
-        let terms = spread_terms(&fleet).await?;
-        let revisions = spread_revisions(&fleet).await?;
+        let terms = publish_terms(&fleet).await?;
+        let revisions = publish_revisions(&fleet).await?;
         let newcomer = join_one(&mut fleet, self.size).await?;
-        let one = lose(&mut fleet, 1).await?;
+        let one = stop_instances(&mut fleet, 1).await?;
         let domain = if self.size > DOMAINS {
-            lose(&mut fleet, self.size / DOMAINS).await?
+            stop_instances(&mut fleet, self.size / DOMAINS).await?
         } else {
             Value::Null
         };
-        for member in fleet {
-            member.mesh.stop().await;
+        for instance in fleet {
+            instance.mesh.stop().await;
         }
         Ok(json!({
             "measure": "fleet",
             "instances": self.size,
             "all joined at once, seconds": seconds(joined),
-            "news of joining told, seconds": seconds(calm),
+            "news of joining told, seconds": seconds(updates_sent),
             "quiet, per instance": quiet,
             "resident kilobytes per instance": memory / 1024 / self.size as u64,
             "new term to reach all, seconds": terms,
@@ -93,15 +93,16 @@
         }))
     }
 
-    async fn measure_quiet(&self, fleet: &[FleetMember]) -> Value {
+    async fn measure_idle(&self, fleet: &[FleetInstance]) -> Value {
         let (before, used) = (traffic(fleet), processor_time());
-        tokio::time::sleep(self.quiet).await;
+        tokio::time::sleep(self.idle_duration).await;
         let (after, used) = (traffic(fleet), processor_time().saturating_sub(used));
         let sum = total(&before, &after);
-        let share = self.size as f64 * self.quiet.as_secs_f64();
+        let share = self.size as f64 * self.idle_duration.as_secs_f64();
         json!({
             "bytes per second": (sum.bytes as f64 / share).round(),
-            "busiest, bytes per second": busiest(&before, &after) as f64 / self.quiet.as_secs_f64(),
+            "busiest, bytes per second":
+                busiest(&before, &after) as f64 / self.idle_duration.as_secs_f64(),
             "datagrams per second": (sum.datagrams as f64 / share * 100.0).round() / 100.0,
             "withheld": sum.withheld,
             "percent of a core": (used.as_secs_f64() / share * 100_000.0).round() / 1000.0,
@@ -110,11 +111,11 @@
 }
 
 /// Waits until the updates of all instances that joined at once have been sent.
-async fn wait_for_calm(fleet: &[FleetMember]) -> Result<Duration, RunError> {
+async fn wait_for_updates(fleet: &[FleetInstance]) -> Result<Duration, RunError> {
     let timer = Instant::now();
-    while timer.elapsed() < CALM_TIMEOUT {
+    while timer.elapsed() < UPDATES_TIMEOUT {
         let before = traffic(fleet);
-        tokio::time::sleep(CALM_WINDOW).await;
+        tokio::time::sleep(UPDATES_WINDOW).await;
         let sent = total(&before, &traffic(fleet));
         if sent.bytes <= sent.datagrams * BARE_BYTES_MAX {
             return Ok(timer.elapsed());
@@ -123,7 +124,7 @@
     Err(RunError::Patience("news of joining told"))
 }
 
-async fn spread_terms(fleet: &[FleetMember]) -> Result<Value, RunError> {
+async fn publish_terms(fleet: &[FleetInstance]) -> Result<Value, RunError> {
     let mut times = Vec::new();
     for term in 1..=HINTS {
         tokio::time::sleep(HINT_INTERVAL).await;
@@ -137,37 +138,38 @@
         let timer = Instant::now();
         fleet[0].mesh.publish(hint).await;
         let has_received =
-            || fleet[1..].iter().all(|member| member.has_received_term(LogTerm(term)));
+            || fleet[1..].iter().all(|instance| instance.has_received_term(LogTerm(term)));
         wait_for("new term heard", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
 }
 
-async fn spread_revisions(fleet: &[FleetMember]) -> Result<Value, RunError> {
+async fn publish_revisions(fleet: &[FleetInstance]) -> Result<Value, RunError> {
     let mut times = Vec::new();
     for number in 1..=HINTS {
         tokio::time::sleep(HINT_INTERVAL).await;
         let timer = Instant::now();
         fleet[0].mesh.publish(PeerHint::Revision(RevisionHint { number })).await;
-        let has_received = || fleet[1..].iter().all(|member| member.has_received_revision(number));
+        let has_received =
+            || fleet[1..].iter().all(|instance| instance.has_received_revision(number));
         wait_for("new revision heard", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
 }
 
-async fn join_one(fleet: &mut Vec<FleetMember>, number: usize) -> Result<f64, RunError> {
+async fn join_one(fleet: &mut Vec<FleetInstance>, number: usize) -> Result<f64, RunError> {
     let timer = Instant::now();
     let seed = fleet[number / 2].mesh.address();
-    fleet.push(FleetMember::start(number, vec![seed]).await?);
+    fleet.push(FleetInstance::start(number, vec![seed]).await?);
     let size = fleet.len();
-    wait_for("newcomer joined", || fleet.iter().all(|member| member.sees(size))).await?;
+    wait_for("newcomer joined", || fleet.iter().all(|instance| instance.sees(size))).await?;
     Ok(seconds(timer.elapsed()))
 }
 
 /// Stops some instances without notice, and waits until all others have removed them.
-async fn lose(fleet: &mut Vec<FleetMember>, count: usize) -> Result<Value, RunError> {
+async fn stop_instances(fleet: &mut Vec<FleetInstance>, count: usize) -> Result<Value, RunError> {
     for lost in fleet.split_off(fleet.len() - count) {
         lost.mesh.stop().await;
     }
@@ -175,7 +177,7 @@
     let timer = Instant::now();
     let start = traffic(fleet);
     let (mut before, mut peak) = (start.clone(), 0);
-    while !fleet.iter().all(|member| member.sees(size)) {
+    while !fleet.iter().all(|instance| instance.sees(size)) {
         if timer.elapsed() > STATE_TIMEOUT {
             return Err(RunError::Patience("lost instances removed"));
         }
@@ -196,13 +198,13 @@
     }))
 }
 
-async fn wait_for(what: &'static str, condition: impl Fn() -> bool) -> Result<(), RunError> {
+async fn wait_for(state: &'static str, condition: impl Fn() -> bool) -> Result<(), RunError> {
     let wait = async {
         while !condition() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(STATE_TIMEOUT, wait).await.map_err(|_| RunError::Patience(what))
+    tokio::time::timeout(STATE_TIMEOUT, wait).await.map_err(|_| RunError::Patience(state))
 }
 
 fn summary(mut times: Vec<Duration>) -> Value {
--- a/crates/rudder-peers/src/node/compose.rs
+++ b/crates/rudder-peers/src/node/compose.rs
@@ -30,8 +30,8 @@
         first_update: Option<PeerEntry>,
         now: Duration,
     ) -> Option<(SocketAddr, Vec<u8>)> {
-        let push = body == DatagramBody::Push;
-        let response = matches!(body, DatagramBody::Ack { .. });
+        let is_push = body == DatagramBody::Push;
+        let is_ack = matches!(body, DatagramBody::Ack { .. });
         let mut datagram = PeerDatagram {
             sender: self.membership.local_entry().clone(),
             digest: self.membership.digest(),
@@ -42,17 +42,17 @@
             hints: Vec::new(),
         };
         let base = encode_datagram(&datagram).ok()?.len() + COUNT_SLACK_BYTES;
-        let class = if push { SendClass::Updates } else { SendClass::Heartbeat };
+        let class = if is_push { SendClass::Updates } else { SendClass::Heartbeat };
         if !self.is_within_budget(base, class, now) {
             self.traffic.withheld += 1;
             return None;
         }
         let mut size = self.add_updates(&mut datagram, base, now);
         size = self.add_hints(&mut datagram, size, HintUrgency::Urgent, URGENT_PER_DATAGRAM, now);
-        if response {
+        if is_ack {
             self.add_hints(&mut datagram, size, HintUrgency::Routine, ROUTINE_PER_DATAGRAM, now);
         }
-        if push && datagram.updates.is_empty() && datagram.hints.is_empty() {
+        if is_push && datagram.updates.is_empty() && datagram.hints.is_empty() {
             return None;
         }
         let bytes = encode_datagram(&datagram).ok()?;
--- a/crates/rudder-peers/src/node/tests.rs
+++ b/crates/rudder-peers/src/node/tests.rs
@@ -62,9 +62,9 @@
     for _ in 0..120 {
         fleet.run(seconds(1));
 
-        for site in 0..fleet.size() {
-            assert!(fleet.state(site, &fleet.name_of(4)).is_some());
-            assert!(fleet.state(site, &fleet.name_of(8)).is_some());
+        for instance in 0..fleet.size() {
+            assert!(fleet.state(instance, &fleet.name_of(4)).is_some());
+            assert!(fleet.state(instance, &fleet.name_of(8)).is_some());
         }
     }
 }
@@ -81,9 +81,9 @@
     for _ in 0..120 {
         fleet.run(seconds(1));
 
-        for site in 1..10 {
+        for instance in 1..10 {
             for peer in 1..10 {
-                assert!(fleet.state(site, &fleet.name_of(peer)).is_some());
+                assert!(fleet.state(instance, &fleet.name_of(peer)).is_some());
             }
         }
     }
@@ -101,7 +101,7 @@
     for _ in 0..60 {
         fleet.run(seconds(1));
 
-        for other in (0..12).filter(|site| *site != 5) {
+        for other in (0..12).filter(|instance| *instance != 5) {
             assert_eq!(fleet.state(5, &fleet.name_of(other)), Some(PeerState::Live));
         }
     }
@@ -121,7 +121,7 @@
         fleet.freeze(3, seconds(2));
         fleet.run(Duration::from_millis(2200));
 
-        for other in (0..8).filter(|site| *site != 3) {
+        for other in (0..8).filter(|instance| *instance != 3) {
             assert_eq!(fleet.state(3, &fleet.name_of(other)), Some(PeerState::Live));
         }
     }
@@ -166,10 +166,10 @@
         busiest_second = busiest_second.max(sent.max().unwrap());
 
         // No instance is removed because of reports from the region that had removed it.
-        for site in [2, half - 1, half, size - 1] {
-            let own_side = if site < half { 2..half } else { half..size };
+        for instance in [2, half - 1, half, size - 1] {
+            let own_side = if instance < half { 2..half } else { half..size };
             for peer in own_side {
-                assert!(fleet.state(site, &fleet.name_of(peer)).is_some());
+                assert!(fleet.state(instance, &fleet.name_of(peer)).is_some());
             }
         }
     }
@@ -203,8 +203,8 @@
     for _ in 0..20 {
         fleet.run(seconds(1));
 
-        for site in 0..12 {
-            assert_eq!(fleet.state(site, &fleet.name_of(3)), Some(PeerState::Leaving));
+        for instance in 0..12 {
+            assert_eq!(fleet.state(instance, &fleet.name_of(3)), Some(PeerState::Leaving));
         }
     }
 }
@@ -235,7 +235,9 @@
 
     fleet.publish(4, notice.clone());
     let informed = |fleet: &Fleet| {
-        (0..30).filter(|site| *site != 4).all(|site| fleet.received(site).contains(&notice))
+        (0..30)
+            .filter(|instance| *instance != 4)
+            .all(|instance| fleet.received(instance).contains(&notice))
     };
     let took = fleet.run_until(seconds(3), informed);
 
@@ -247,7 +249,7 @@
     // A failure domain is lost and hundreds of groups change their primary at once. If their hints
     // used the whole budget, heartbeats would not be sent and live instances would be suspected.
     let mut fleet = Fleet::joined(8, 9);
-    let before: Vec<u64> = (0..8).map(|site| fleet.bytes_sent(site)).collect();
+    let before: Vec<u64> = (0..8).map(|instance| fleet.bytes_sent(instance)).collect();
 
     for service in 0..800 {
         fleet.publish(service % 8, new_term(service, 2));
@@ -255,16 +257,16 @@
     for _ in 0..60 {
         fleet.run(seconds(1));
 
-        for site in 0..8 {
-            let snapshot = fleet.node(site).snapshot();
+        for instance in 0..8 {
+            let snapshot = fleet.node(instance).snapshot();
             assert!(snapshot.iter().all(|entry| entry.state == PeerState::Live));
             assert_eq!(snapshot.len(), 8);
         }
     }
 
     let allowed = BudgetSettings::split(BYTES_PER_SECOND).datagram_rate * (60 + 1);
-    for (site, before) in before.iter().enumerate() {
-        assert!(fleet.bytes_sent(site) - before <= allowed);
+    for (instance, before) in before.iter().enumerate() {
+        assert!(fleet.bytes_sent(instance) - before <= allowed);
     }
 }
 
@@ -288,7 +290,7 @@
     fleet.loss_percent = 20;
 
     fleet.publish(0, new_term(1, 9));
-    let heard_by_all = |fleet: &Fleet| (1..30).all(|site| !fleet.received(site).is_empty());
+    let heard_by_all = |fleet: &Fleet| (1..30).all(|instance| !fleet.received(instance).is_empty());
     let took = fleet.run_until(seconds(20), heard_by_all);
 
     assert!(took.is_some());
@@ -336,9 +338,11 @@
     for group in 0..GROUPS_LOST {
         fleet.publish(group % fleet.size(), new_term(group, 2));
     }
-    let published_by = |site: usize| (0..GROUPS_LOST).filter(|g| g % fleet_size() == site).count();
+    let published_by =
+        |instance: usize| (0..GROUPS_LOST).filter(|g| g % fleet_size() == instance).count();
     let informed = |fleet: &Fleet| {
-        (0..fleet.size()).all(|site| fleet.received(site).len() + published_by(site) >= GROUPS_LOST)
+        (0..fleet.size())
+            .all(|instance| fleet.received(instance).len() + published_by(instance) >= GROUPS_LOST)
     };
     let took = fleet.run_until(seconds(300), informed);
 
--- a/crates/rudder-peers/src/node/tests/schedule.rs
+++ b/crates/rudder-peers/src/node/tests/schedule.rs
@@ -27,14 +27,14 @@
 }
 
 fn any_failure() -> impl Strategy<Value = Failure> {
-    let site = 0..SIZE;
+    let instance = 0..SIZE;
     prop_oneof![
-        site.clone().prop_map(Failure::Kill),
-        (site.clone(), 1..90_u64).prop_map(|(site, time)| Failure::Freeze(site, time)),
-        site.clone().prop_map(Failure::Replace),
-        site.clone().prop_map(Failure::Leave),
+        instance.clone().prop_map(Failure::Kill),
+        (instance.clone(), 1..90_u64).prop_map(|(instance, time)| Failure::Freeze(instance, time)),
+        instance.clone().prop_map(Failure::Replace),
+        instance.clone().prop_map(Failure::Leave),
         (1..SIZE).prop_map(Failure::Partition),
-        (site.clone(), site).prop_map(|(a, b)| Failure::CutLink(a, b)),
+        (instance.clone(), instance).prop_map(|(a, b)| Failure::CutLink(a, b)),
         (1..40_u32).prop_map(Failure::LossPercent),
         Just(Failure::Heal),
     ]
@@ -43,11 +43,11 @@
 fn inject(fleet: &mut Fleet, failure: &Failure) {
     match *failure {
         // At least two instances keep running, so that there is a fleet to rejoin.
-        Failure::Kill(site) if fleet.running().len() > 2 => fleet.kill(site),
+        Failure::Kill(instance) if fleet.running().len() > 2 => fleet.kill(instance),
         Failure::Kill(_) => {}
-        Failure::Freeze(site, time) => fleet.freeze(site, seconds(time)),
-        Failure::Replace(site) => fleet.replace(site),
-        Failure::Leave(site) if fleet.running().contains(&site) => fleet.leave(site),
+        Failure::Freeze(instance, time) => fleet.freeze(instance, seconds(time)),
+        Failure::Replace(instance) => fleet.replace(instance),
+        Failure::Leave(instance) if fleet.running().contains(&instance) => fleet.leave(instance),
         Failure::Leave(_) => {}
         Failure::Partition(first) => fleet.partition_from(first),
         Failure::CutLink(a, b) => fleet.cut_link(a, b),
--- a/crates/rudder-peers/src/node/tests/votes.rs
+++ b/crates/rudder-peers/src/node/tests/votes.rs
@@ -33,8 +33,8 @@
     fleet.publish(0, vote(2, false));
     fleet.run(seconds(20));
 
-    for site in 1..10 {
-        let received = fleet.received(site);
+    for instance in 1..10 {
+        let received = fleet.received(instance);
         assert_eq!(received.last(), Some(&vote(2, false)));
         assert!(received.len() <= 2);
     }
