--- a/crates/rudder-peers/examples/slopes/run.rs
+++ b/crates/rudder-peers/examples/slopes/run.rs
@@ -33,7 +33,7 @@
 pub(crate) enum RunError {
     /// an instance could not be started: {0}
     Start(MeshError),
-    /// the fleet did not come to the state "{0}" in time
+    /// the fleet did not reach the state "{0}" in time
     Patience(&'static str),
 }
 
@@ -121,7 +121,7 @@
             return Ok(timer.elapsed());
         }
     }
-    Err(RunError::Patience("news of joining told"))
+    Err(RunError::Patience("updates of joining sent"))
 }
 
 async fn publish_terms(fleet: &[FleetInstance]) -> Result<Value, RunError> {
@@ -139,7 +139,7 @@
         fleet[0].mesh.publish(hint).await;
         let has_received =
             || fleet[1..].iter().all(|instance| instance.has_received_term(LogTerm(term)));
-        wait_for("new term heard", has_received).await?;
+        wait_for("new term received", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
@@ -153,7 +153,7 @@
         fleet[0].mesh.publish(PeerHint::Revision(RevisionHint { number })).await;
         let has_received =
             || fleet[1..].iter().all(|instance| instance.has_received_revision(number));
-        wait_for("new revision heard", has_received).await?;
+        wait_for("new revision received", has_received).await?;
         times.push(timer.elapsed());
     }
     Ok(summary(times))
@@ -164,7 +164,7 @@
     let seed = fleet[number / 2].mesh.address();
     fleet.push(FleetInstance::start(number, vec![seed]).await?);
     let size = fleet.len();
-    wait_for("newcomer joined", || fleet.iter().all(|instance| instance.sees(size))).await?;
+    wait_for("new instance joined", || fleet.iter().all(|instance| instance.sees(size))).await?;
     Ok(seconds(timer.elapsed()))
 }
 
--- a/crates/rudder-peers/src/keepers/tests.rs
+++ b/crates/rudder-peers/src/keepers/tests.rs
@@ -195,6 +195,10 @@
     let later = share.update(ConnectionCount(5), second(12));
 
     assert_eq!([shrunk.0, waiting.0, reduced.0], [3, 3, 3]);
-    assert_eq!(grown, ConnectionCount(4), "only what was wanted all the time");
-    assert_eq!(later, ConnectionCount(4), "the rest waits anew");
+    assert_eq!(
+        grown,
+        ConnectionCount(4),
+        "grows to the smallest share wanted throughout the delay"
+    );
+    assert_eq!(later, ConnectionCount(4), "further growth starts a new delay");
 }
--- a/crates/rudder-peers/src/membership/probing.rs
+++ b/crates/rudder-peers/src/membership/probing.rs
@@ -23,7 +23,7 @@
         if paused {
             self.probes.clear_probes();
             self.table.defer_checks(now + self.settings.suspicion);
-            log::info!(target: "rudder::membership", instance:% = self.local_entry.name; "woke after a freeze");
+            log::info!(target: "rudder::membership", instance:% = self.local_entry.name; "resumed after a pause; pending probes discarded");
         }
     }
 
--- a/crates/rudder-peers/src/mesh/driver.rs
+++ b/crates/rudder-peers/src/mesh/driver.rs
@@ -72,13 +72,13 @@
         let result = match received {
             Ok((length, _)) => self.node.receive(&buffer[..length], now),
             Err(error) => {
-                log::debug!(target: "rudder::peers", reason:% = error; "cannot receive");
+                log::debug!(target: "rudder::peers", reason:% = error; "UDP receive failed");
                 return NodeOutput::default();
             }
         };
         result.unwrap_or_else(|error| {
             metrics::counter!("rudder_peer_malformed_total").increment(1);
-            log::debug!(target: "rudder::peers", reason:% = error; "datagram not taken");
+            log::debug!(target: "rudder::peers", reason:% = error; "invalid datagram dropped");
             NodeOutput::default()
         })
     }
--- a/crates/rudder-peers/src/mesh/error.rs
+++ b/crates/rudder-peers/src/mesh/error.rs
@@ -30,13 +30,13 @@
     NotKnown,
     /// the peer cannot be reached: {0}
     Unreachable(std::io::Error),
-    /// the peer did not answer in time
+    /// the peer did not respond in time
     TimedOut,
-    /// the peer's answer was not understood: {0}
+    /// the response of the peer could not be decoded: {0}
     Malformed(WireError),
-    /// the peer answered another request
+    /// the response belongs to another request
     Mismatched,
-    /// the peer has no budget for this at present
+    /// the peer has no transfer budget left
     Busy,
 }
 
--- a/crates/rudder-peers/src/mesh/fetch.rs
+++ b/crates/rudder-peers/src/mesh/fetch.rs
@@ -32,7 +32,7 @@
             FetchKind::Groups => with_timeout(FETCH_TIMEOUT, self.fetch_groups()).await,
         };
         if let Err(error) = result {
-            log::debug!(target: "rudder::peers", peer:% = self.from, reason:% = error; "fetch failed");
+            log::debug!(target: "rudder::peers", peer:% = self.from, reason:% = error; "fetching state from a peer failed");
             let _ = self.send_command(MeshCommand::FetchFailed(self.kind)).await;
         }
     }
--- a/crates/rudder-peers/src/mesh/server.rs
+++ b/crates/rudder-peers/src/mesh/server.rs
@@ -43,12 +43,12 @@
                         let result = server.serve_connection(stream).await;
                         drop(permit);
                         if let Err(error) = result {
-                            log::debug!(target: "rudder::peers", reason:% = error; "peer connection ended");
+                            log::debug!(target: "rudder::peers", reason:% = error; "peer connection closed after an error");
                         }
                     });
                 }
                 Err(error) => {
-                    log::warn!(target: "rudder::peers", reason:% = error; "cannot accept a peer");
+                    log::warn!(target: "rudder::peers", reason:% = error; "accepting a peer connection failed");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/crates/rudder-peers/src/node/tests.rs
+++ b/crates/rudder-peers/src/node/tests.rs
@@ -324,8 +324,11 @@
     let before = fleet.sent_to(20);
     fleet.run(seconds(100));
 
-    assert!(fleet.sent_to(20) > before, "it is not forgotten");
-    assert!(fleet.sent_to(20) - before < 200, "about once a second by all together");
+    assert!(fleet.sent_to(20) > before, "the removed address is still probed");
+    assert!(
+        fleet.sent_to(20) - before < 200,
+        "all instances together probe it about once a second"
+    );
 }
 
 #[test]
--- a/crates/rudder-peers/tests/mesh.rs
+++ b/crates/rudder-peers/tests/mesh.rs
@@ -70,7 +70,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(TIMEOUT, wait).await.expect("the condition should come true");
+    tokio::time::timeout(TIMEOUT, wait)
+        .await
+        .expect("the condition should hold within the timeout");
 }
 
 fn new_term(term: u64) -> PeerHint {
