--- a/crates/rudder-peers/src/membership/probe.rs
+++ b/crates/rudder-peers/src/membership/probe.rs
@@ -87,9 +87,9 @@
         }
     }
 
-    pub(crate) fn probes_peer(&self, wanted: &InstanceName) -> bool {
-        let aims = |target: &ProbeTarget| matches!(target, ProbeTarget::Peer { name, .. } if name == wanted);
-        self.probes.iter().any(|probe| aims(&probe.target))
+    pub(crate) fn is_probing(&self, wanted: &InstanceName) -> bool {
+        let targets_peer = |target: &ProbeTarget| matches!(target, ProbeTarget::Peer { name, .. } if name == wanted);
+        self.probes.iter().any(|probe| targets_peer(&probe.target))
     }
 
     /// Removes and returns the probe with this sequence number.
--- a/crates/rudder-peers/src/membership/probing.rs
+++ b/crates/rudder-peers/src/membership/probing.rs
@@ -32,11 +32,11 @@
         let (mut failed, mut slow) = (Vec::new(), Vec::new());
         for probe in self.probes.probes() {
             let waited = now.saturating_sub(probe.sent_at);
-            let bound = match probe.style {
+            let timeout = match probe.style {
                 ProbeStyle::Single => settings.direct_timeout,
                 ProbeStyle::Indirect | ProbeStyle::Repeated => settings.probe_timeout,
             };
-            if waited >= bound {
+            if waited >= timeout {
                 failed.push(probe.sequence);
             } else if waited >= settings.direct_timeout && !probe.retried {
                 slow.push(probe.clone());
@@ -127,7 +127,7 @@
     pub(super) fn check_one(&mut self, now: Duration, actions: &mut Vec<PeerAction>) {
         let due = self.table.records().iter().find(|record| {
             record.check.is_some_and(|plan| plan.at <= now)
-                && !self.probes.probes_peer(&record.entry.name)
+                && !self.probes.is_probing(&record.entry.name)
         });
         if let Some((entry, plan)) = due.map(|record| (record.entry.clone(), record.check)) {
             let style = plan.map_or(ProbeStyle::Indirect, |plan| plan.style);
@@ -140,7 +140,7 @@
         let all = || table.present().map(|entry| entry.name.clone()).collect();
         let Some(name) = self.order.next(&mut self.rng, all) else { return };
         let Some(record) = self.table.get(&name) else { return };
-        if record.entry.state != PeerState::Removed && !self.probes.probes_peer(&name) {
+        if record.entry.state != PeerState::Removed && !self.probes.is_probing(&name) {
             let entry = record.entry.clone();
             self.probe(&entry, ProbeStyle::Indirect, now, actions);
         }
@@ -181,8 +181,8 @@
         let periods =
             self.settings.rejoin_interval.as_secs_f64() / self.settings.period.as_secs_f64();
         let peers = self.table.present().count() + 1;
-        let turns = targets as f64 * periods / peers as f64;
-        self.rng.random_bool(turns.min(1.0))
+        let probability = targets as f64 * periods / peers as f64;
+        self.rng.random_bool(probability.min(1.0))
     }
 
     fn probe(
@@ -245,11 +245,11 @@
     pub(super) fn confirm_alive(
         &mut self,
         probe: &ProbeRecord,
-        answerer: &PeerEntry,
+        responder: &PeerEntry,
         now: Duration,
     ) {
         let ProbeTarget::Peer { name, .. } = &probe.target else { return };
-        if *name != answerer.name {
+        if *name != responder.name {
             return;
         }
         let Some(record) = self.table.get(name) else { return };
--- a/crates/rudder-peers/src/membership/state.rs
+++ b/crates/rudder-peers/src/membership/state.rs
@@ -232,7 +232,7 @@
         }
         let mut received: Vec<&PeerEntry> = entries.iter().chain([sender]).collect();
         received.sort_by(|a, b| a.name.cmp(&b.name));
-        let known_there = |name: &InstanceName| {
+        let sent_by_peer = |name: &InstanceName| {
             received
                 .binary_search_by(|entry| entry.name.cmp(name))
                 .ok()
@@ -241,7 +241,7 @@
         self.known()
             .into_iter()
             .chain([self.local_entry.clone()])
-            .filter(|mine| match known_there(&mine.name) {
+            .filter(|mine| match sent_by_peer(&mine.name) {
                 Some(theirs) => mine.supersedes(theirs),
                 None => mine.state != PeerState::Removed,
             })
@@ -251,6 +251,6 @@
     /// Returns the entry of the sender known here if it supersedes the one that the sender sent, so
     /// that the sender can refute it.
     fn correction_for(&self, sender: &PeerEntry) -> Option<PeerEntry> {
-        self.entry(&sender.name).filter(|held| held.supersedes(sender)).cloned()
+        self.entry(&sender.name).filter(|known| known.supersedes(sender)).cloned()
     }
 }
--- a/crates/rudder-peers/src/node/digest.rs
+++ b/crates/rudder-peers/src/node/digest.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Time for which digests must differ before a transfer; updates usually arrive sooner.
-const DIFFERENCE_MIN: Duration = Duration::from_secs(8);
+const DIFFERENCE_DURATION_MIN: Duration = Duration::from_secs(8);
 
 /// Minimum time between two transfers.
 const FETCH_INTERVAL_MIN: Duration = Duration::from_secs(20);
@@ -32,7 +32,7 @@
             return false;
         }
         let since = *self.differs_since.get_or_insert(now);
-        let persistent = now.saturating_sub(since) >= DIFFERENCE_MIN;
+        let persistent = now.saturating_sub(since) >= DIFFERENCE_DURATION_MIN;
         let interval_elapsed = self
             .fetched_at
             .is_none_or(|fetched| now.saturating_sub(fetched) >= self.fetch_interval);
@@ -49,8 +49,9 @@
     /// peer is tried soon.
     pub(crate) fn record_failure(&mut self) {
         self.fetch_interval = FETCH_RETRY_DELAY;
-        // The digests have differed for at least the minimum time, so the next attempt is not
-        // delayed by it.
-        self.differs_since = self.fetched_at.map(|fetched| fetched.saturating_sub(DIFFERENCE_MIN));
+        // The digests still differ; the difference counts as persistent, so that only the retry
+        // delay applies.
+        self.differs_since =
+            self.fetched_at.map(|fetched| fetched.saturating_sub(DIFFERENCE_DURATION_MIN));
     }
 }
