--- a/crates/arbutusrudder/src/admin/mod.rs
+++ b/crates/arbutusrudder/src/admin/mod.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 
 /// Upper bounds in seconds of the histograms' buckets.
-const BUCKETS: [f64; 12] =
+const HISTOGRAM_BUCKETS: [f64; 12] =
     [0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0];
 
 /// One recorder serves all instances of a process.
@@ -37,7 +37,7 @@
 /// Sets up the metrics of the process, once.
 pub(crate) fn set_up_metrics() {
     RECORDER.get_or_init(|| {
-        let builder = PrometheusBuilder::new().set_buckets(&BUCKETS).ok()?;
+        let builder = PrometheusBuilder::new().set_buckets(&HISTOGRAM_BUCKETS).ok()?;
         builder.install_recorder().ok()
     });
 }
--- a/crates/arbutusrudder/src/admin/status.rs
+++ b/crates/arbutusrudder/src/admin/status.rs
@@ -25,12 +25,12 @@
     term: Option<u64>,
     /// Age of what is known of the primary, in milliseconds.
     known_ms: Option<u128>,
-    members: Vec<MemberLine>,
+    members: Vec<MemberSummary>,
 }
 
 /// One member.
 #[derive(Debug, Serialize)]
-struct MemberLine {
+struct MemberSummary {
     name: String,
     role: Option<String>,
     accepted_term: Option<u64>,
@@ -80,22 +80,22 @@
 }
 
 fn group_status(group: &GroupState) -> GroupStatus {
-    let belief = group.primary();
+    let primary = group.primary();
     let newest = group.board.with_ledger(AgeLedger::newest);
     let known = newest.map(|sample| group.board.now().saturating_sub(sample.sent_at));
     GroupStatus {
         service: group.service.name.to_string(),
-        primary: belief.as_ref().map(|belief| group.members[belief.index].name().to_string()),
-        term: belief.map(|belief| belief.term.0),
+        primary: primary.as_ref().map(|primary| group.members[primary.index].name().to_string()),
+        term: primary.map(|primary| primary.term.0),
         known_ms: known.map(|known| known.as_millis()),
-        members: (0..group.members.len()).map(|index| member_line(group, index)).collect(),
+        members: (0..group.members.len()).map(|index| member_summary(group, index)).collect(),
     }
 }
 
-fn member_line(group: &GroupState, index: usize) -> MemberLine {
+fn member_summary(group: &GroupState, index: usize) -> MemberSummary {
     let member = &group.members[index];
     let status = group.board.status_of(member.name());
-    MemberLine {
+    MemberSummary {
         name: member.name().to_string(),
         role: status.map(|status| status.role.to_string()),
         accepted_term: status.map(|status| status.accepted.0),
--- a/crates/arbutusrudder/src/error.rs
+++ b/crates/arbutusrudder/src/error.rs
@@ -17,7 +17,7 @@
     /// {0}
     Process(ProcessError),
     /// {0}
-    Deployment(PlatformError),
+    Platform(PlatformError),
     /// cannot listen on {address}: {reason}
     Listen {
         /// The address.
@@ -28,7 +28,7 @@
     /// the TLS certificate or key cannot be used: {0}
     Tls(String),
     /// the platform's address cannot be used: {0}
-    Platform(StoreError),
+    Store(StoreError),
     /// the peers' socket cannot be opened: {0}
     Peers(MeshError),
     /// the log cannot be set up: {0}
@@ -47,7 +47,7 @@
 
 impl From<PlatformError> for ProxyError {
     fn from(error: PlatformError) -> Self {
-        Self::Deployment(error)
+        Self::Platform(error)
     }
 }
 
@@ -59,7 +59,7 @@
 
 impl From<StoreError> for ProxyError {
     fn from(error: StoreError) -> Self {
-        Self::Platform(error)
+        Self::Store(error)
     }
 }
 
--- a/crates/arbutusrudder/src/fleet/apply.rs
+++ b/crates/arbutusrudder/src/fleet/apply.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 /// Puts a checked folder in force.
-pub(crate) fn apply_folder(
+pub(crate) fn apply_settings(
     context: &Arc<InstanceContext>,
     revision: u64,
     settings: &FleetSettings,
 ) {
-    let before = context.fleet.load();
+    let previous = context.fleet.load();
     let tuning = GroupTuning {
         domain: context.domain().clone(),
         domains: settings.domains.clone(),
@@ -20,16 +20,16 @@
         routes: context.process.routes.clone(),
         limits: context.policies.limits,
     };
-    let same_frame =
-        before.settings.timing == settings.timing && before.settings.domains == settings.domains;
-    let group_of = |service: &ServiceSettings| {
-        let known = before.group(&service.name);
-        match known.filter(|known| same_frame && known.service == *service) {
+    let same_timing_and_domains = previous.settings.timing == settings.timing
+        && previous.settings.domains == settings.domains;
+    let reuse_or_create = |service: &ServiceSettings| {
+        let known = previous.group(&service.name);
+        match known.filter(|known| same_timing_and_domains && known.service == *service) {
             Some(known) => Arc::clone(known),
             None => Arc::new(GroupState::new(service.clone(), settings.timing.clone(), &tuning)),
         }
     };
-    let groups = settings.services.iter().map(group_of).collect();
+    let groups = settings.services.iter().map(reuse_or_create).collect();
     let fleet = FleetState { revision, settings: settings.clone(), groups };
     context.fleet.store(Arc::new(fleet));
     context.fleet_changes.send_modify(|count| *count += 1);
--- a/crates/arbutusrudder/src/fleet/follow.rs
+++ b/crates/arbutusrudder/src/fleet/follow.rs
@@ -1,6 +1,6 @@
 //! Polling the accepted revision, telling peers of a newer one, and asking them for it.
 
-use super::apply::apply_folder;
+use super::apply::apply_settings;
 use crate::context::InstanceContext;
 use rand::RngExt;
 use rudder_peers::{PeerHint, PeerMesh, PeerReply, PeerRequest, PeerState, RevisionHint};
@@ -9,21 +9,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How often the platform is asked for a newer revision, give or take [`POLL_SPREAD`]: at 570
+/// How often the platform is asked for a newer revision, give or take [`POLL_JITTER`]: at 570
 /// instances about 130 small reads a second, a fifteenth of what the platform takes.
 const POLL_INTERVAL: Duration = Duration::from_millis(4_000);
 
 /// Instances that were started together must not ask together for good.
-const POLL_SPREAD: Duration = Duration::from_millis(800);
+const POLL_JITTER: Duration = Duration::from_millis(800);
 
 /// How often an instance without any settings tries again.
-const FIRST_POLL_INTERVAL: Duration = Duration::from_millis(300);
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long one peer is waited for.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Peers asked in one round.
-const PEERS_ASKED: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 
 /// Follows the accepted settings for as long as the instance runs.
 pub(crate) async fn follow_settings(
@@ -33,23 +33,23 @@
 ) {
     let mut hints = context.revision_hint.subscribe();
     loop {
-        let from_platform = poll_platform(&context, store.as_ref(), &mesh).await;
+        let platform_reached = poll_platform(&context, store.as_ref(), &mesh).await;
         let hinted = *hints.borrow_and_update();
-        if !from_platform || hinted > context.revision_number() {
-            ask_peers(&context, &mesh).await;
+        if !platform_reached || hinted > context.revision_number() {
+            fetch_from_peers(&context, &mesh).await;
         }
-        let pause = pause_of(&context);
+        let interval = poll_interval(&context);
         // A peer's hint of a newer revision ends the pause.
-        let _ = timeout(pause, hints.changed()).await;
+        let _ = timeout(interval, hints.changed()).await;
     }
 }
 
-fn pause_of(context: &InstanceContext) -> Duration {
+fn poll_interval(context: &InstanceContext) -> Duration {
     if context.revision_number() == 0 {
-        return FIRST_POLL_INTERVAL;
+        return INITIAL_POLL_INTERVAL;
     }
-    let spread = rand::rng().random_range(0.0..1.0);
-    POLL_INTERVAL - POLL_SPREAD + (POLL_SPREAD * 2).mul_f64(spread)
+    let jitter = rand::rng().random_range(0.0..1.0);
+    POLL_INTERVAL - POLL_JITTER + (POLL_JITTER * 2).mul_f64(jitter)
 }
 
 /// Asks the platform; answers whether it could be reached.
@@ -62,7 +62,7 @@
     match poll_revision(store, known.as_deref()).await {
         Ok(Some(bundle)) => {
             let number = bundle.number.0;
-            if offer(context, bundle, "platform") {
+            if offer_bundle(context, bundle, "platform") {
                 mesh.publish(PeerHint::Revision(RevisionHint { number })).await;
             }
             true
@@ -75,23 +75,23 @@
     }
 }
 
-async fn ask_peers(context: &Arc<InstanceContext>, mesh: &PeerMesh) {
+async fn fetch_from_peers(context: &Arc<InstanceContext>, mesh: &PeerMesh) {
     let live = mesh.live();
     let own = context.name();
     let mut peers: Vec<_> =
         live.iter().filter(|peer| peer.state == PeerState::Live && peer.name != *own).collect();
-    let mut asked = 0;
-    while asked < PEERS_ASKED && !peers.is_empty() {
+    let mut requested = 0;
+    while requested < PEERS_PER_ROUND && !peers.is_empty() {
         let index = rand::rng().random_range(0..peers.len());
         let peer = peers.swap_remove(index);
-        asked += 1;
+        requested += 1;
         let newer_than = context.revision_number();
-        let question = PeerRequest::RevisionFetch { newer_than };
-        let reply = mesh.request(&peer.name, question, PEER_TIMEOUT).await;
+        let request = PeerRequest::RevisionFetch { newer_than };
+        let reply = mesh.request(&peer.name, request, PEER_TIMEOUT).await;
         let Ok(PeerReply::Revision(bytes)) = reply else { continue };
         match serde_json::from_slice::<RevisionBundle>(&bytes) {
             Ok(bundle) => {
-                offer(context, bundle, "peer");
+                offer_bundle(context, bundle, "peer");
             }
             Err(error) => {
                 log::warn!(target: "rudder::settings", peer:% = peer.name, reason:% = error; "peer's revision is damaged");
@@ -101,7 +101,11 @@
 }
 
 /// Offers a bundle to the follower, which takes only a greater number; answers whether it did.
-fn offer(context: &Arc<InstanceContext>, bundle: RevisionBundle, source: &'static str) -> bool {
+fn offer_bundle(
+    context: &Arc<InstanceContext>,
+    bundle: RevisionBundle,
+    source: &'static str,
+) -> bool {
     let number = bundle.number.0;
     let folder = {
         let mut follower = context.follower.lock().expect("no holder of this lock panics");
@@ -115,7 +119,7 @@
         }
     };
     let Some(folder) = folder else { return false };
-    apply_folder(context, number, &folder.fleet);
+    apply_settings(context, number, &folder.fleet);
     metrics::gauge!("rudder_revision").set(number as f64);
     log::info!(target: "rudder::settings", revision = number, source, reason = "greater_number"; "revision in force");
     true
--- a/crates/arbutusrudder/src/logs.rs
+++ b/crates/arbutusrudder/src/logs.rs
@@ -10,10 +10,10 @@
 
 /// Lines that may wait for the writer. A slow reader of the log must not slow requests, so lines
 /// beyond this are dropped and counted.
-const LINES_WAITING_MAX: usize = 16_384;
+const QUEUED_LINES_MAX: usize = 16_384;
 
 /// Prefix of the log lines of the platform's client library.
-const FOREIGN_TARGET: &str = "kube";
+const KUBE_CLIENT_TARGET: &str = "kube";
 
 /// Lines written at once before the output is flushed.
 const LINES_PER_FLUSH: usize = 256;
@@ -40,7 +40,7 @@
             "warn" => Ok(Self::Warn),
             "info" => Ok(Self::Info),
             "debug" => Ok(Self::Debug),
-            _ => Err(LogError::Level),
+            _ => Err(LogError::UnknownLevel),
         }
     }
 }
@@ -61,9 +61,9 @@
 #[ignore_extra_doc_attributes]
 pub enum LogError {
     /// a log level is error, warn, info or debug
-    Level,
+    UnknownLevel,
     /// a logger was set up before
-    Twice,
+    AlreadySet,
 }
 
 impl std::error::Error for LogError {}
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// [`LogError::Twice`] if a logger was set up before.
+/// [`LogError::AlreadySet`] if a logger was set up before.
 ///
 /// ```
 /// arbutusrudder::set_up_logs(arbutusrudder::LogLevel::Error)?;
@@ -80,12 +80,12 @@
 /// # Ok::<(), arbutusrudder::LogError>(())
 /// ```
 pub fn set_up_logs(level: LogLevel) -> Result<(), LogError> {
-    let (sender, receiver) = sync_channel(LINES_WAITING_MAX);
+    let (sender, receiver) = sync_channel(QUEUED_LINES_MAX);
     std::thread::spawn(move || write_lines(&receiver));
     let append = LineQueue { layout: JsonLayout::default(), sender };
     let starter = logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(LevelFilter::All).append(append));
-    starter.try_apply().map_err(|_| LogError::Twice)?;
+    starter.try_apply().map_err(|_| LogError::AlreadySet)?;
     log::set_max_level(level.filter());
     Ok(())
 }
@@ -103,7 +103,7 @@
         diagnostics: &[Box<dyn Diagnostic>],
     ) -> Result<(), Error> {
         // The platform's client repeats what this project says of a failed call itself.
-        if record.target().starts_with(FOREIGN_TARGET) {
+        if record.target().starts_with(KUBE_CLIENT_TARGET) {
             return Ok(());
         }
         let line = self.layout.format(record, diagnostics)?;
--- a/crates/arbutusrudder/src/peering.rs
+++ b/crates/arbutusrudder/src/peering.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, OnceLock, Weak};
 
 /// Answers peers on behalf of this instance.
-pub(crate) struct PeerDesk {
+pub(crate) struct PeerResponder {
     context: Weak<InstanceContext>,
     exchange: OnceLock<Arc<VoteExchange>>,
 }
 
-impl PeerDesk {
+impl PeerResponder {
     /// A desk that answers from `context` while it lives.
     pub(crate) fn new(context: &Arc<InstanceContext>) -> Self {
         Self { context: Arc::downgrade(context), exchange: OnceLock::new() }
@@ -26,11 +26,11 @@
 }
 
 #[async_trait]
-impl PeerHandler for PeerDesk {
+impl PeerHandler for PeerResponder {
     async fn on_hint(&self, message: HintMessage) {
         let Some(context) = self.context.upgrade() else { return };
         match &message.hint {
-            PeerHint::Revision(hint) => context.take_revision_hint(hint.number),
+            PeerHint::Revision(hint) => context.record_revision_hint(hint.number),
             PeerHint::Vote(vote) => {
                 if let Some(exchange) = self.exchange.get() {
                     exchange.take(vote);
@@ -53,7 +53,7 @@
 
 impl InstanceContext {
     /// Takes the number of a revision that a peer spoke of. It only says what to ask for.
-    fn take_revision_hint(&self, number: u64) {
+    fn record_revision_hint(&self, number: u64) {
         self.revision_hint.send_if_modified(|known| {
             let newer = number > *known;
             *known = (*known).max(number);
--- a/crates/arbutusrudder/src/process.rs
+++ b/crates/arbutusrudder/src/process.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Largest message that a caller may send, unless set: rows and COPY data may be larger.
-const MESSAGE_SIZE_MAX: u64 = 16 * 1024 * 1024;
+const DEFAULT_MESSAGE_SIZE_MAX: u64 = 16 * 1024 * 1024;
 
 /// Callers served at the same time, unless set.
-const CALLERS_MAX: u32 = 10_000;
+const DEFAULT_CALLERS_MAX: u32 = 10_000;
 
 /// Seconds between two looks at the certificate, unless set: renewed ones come days ahead.
-const TLS_RELOAD_S: u32 = 60;
+const DEFAULT_TLS_RELOAD_S: u32 = 60;
 
 /// Why the process settings cannot be used.
 #[derive(Debug, Display)]
@@ -30,9 +30,9 @@
         reason: std::io::Error,
     },
     /// the process settings are wrong: {0}
-    Wrong(String),
+    Invalid(String),
     /// {key} must be {expected}
-    Value {
+    InvalidValue {
         /// The key.
         key: &'static str,
         /// What would be right.
@@ -119,7 +119,7 @@
 }
 
 /// One line of what the parser says, with the line that it means.
-fn sentence_of(text: &str, error: &toml::de::Error) -> String {
+fn parse_error_message(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
         Some(span) => {
@@ -135,15 +135,15 @@
 }
 
 fn default_message_size() -> u64 {
-    MESSAGE_SIZE_MAX
+    DEFAULT_MESSAGE_SIZE_MAX
 }
 
 fn default_tls_reload() -> u32 {
-    TLS_RELOAD_S
+    DEFAULT_TLS_RELOAD_S
 }
 
 fn default_callers() -> u32 {
-    CALLERS_MAX
+    DEFAULT_CALLERS_MAX
 }
 
 /// What a user's login needs.
@@ -178,28 +178,28 @@
     /// # Ok::<(), arbutusrudder::ProcessError>(())
     /// ```
     pub fn parse(text: &str) -> Result<Self, ProcessError> {
-        let settings: Self =
-            toml::from_str(text).map_err(|error| ProcessError::Wrong(sentence_of(text, &error)))?;
+        let settings: Self = toml::from_str(text)
+            .map_err(|error| ProcessError::Invalid(parse_error_message(text, &error)))?;
         settings.check()?;
         Ok(settings)
     }
 
     fn check(&self) -> Result<(), ProcessError> {
-        let wrong = |key, expected| Err(ProcessError::Value { key, expected });
+        let invalid = |key, expected| Err(ProcessError::InvalidValue { key, expected });
         if !self.platform.starts_with("http://") && !self.platform.starts_with("https://") {
-            return wrong("platform", "an address that begins with http:// or https://");
+            return invalid("platform", "an address that begins with http:// or https://");
         }
         if self.tls_certificate.is_some() != self.tls_key.is_some() {
-            return wrong("tls_certificate", "given together with tls_key");
+            return invalid("tls_certificate", "given together with tls_key");
         }
         if self.message_size_max < 1024 {
-            return wrong("message_size_max", "at least 1024 bytes");
+            return invalid("message_size_max", "at least 1024 bytes");
         }
         if self.tls_reload_s == 0 {
-            return wrong("tls_reload_s", "at least 1");
+            return invalid("tls_reload_s", "at least 1");
         }
         if self.callers_max == 0 {
-            return wrong("callers_max", "at least 1");
+            return invalid("callers_max", "at least 1");
         }
         Ok(())
     }
--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -9,7 +9,7 @@
 use crate::fleet::follow_settings;
 use crate::logs::set_up_logs;
 use crate::options::{ProxyOptions, StartMode};
-use crate::peering::PeerDesk;
+use crate::peering::PeerResponder;
 use crate::policy::ProxyPolicies;
 use crate::process::ProcessSettings;
 use crate::tls;
@@ -35,13 +35,13 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// SQLSTATE for a caller beyond the bound.
-const TOO_MANY_CALLERS: &str = "53300";
+const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// How long a starting instance waits for the platform's list of instances.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a leaving instance keeps its socket after it said so, for callers on their way.
-const FAREWELL: Duration = Duration::from_millis(200);
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(200);
 
 /// A running instance. Dropping it ends it at once; [`ProxyInstance::leave`] lets requests in
 /// flight finish first.
@@ -102,25 +102,25 @@
         let store: Arc<dyn PlatformStore> =
             Arc::new(KubeStore::connect(platform_options(&process))?);
         let listener = listen(process.listen).await?;
-        let pages = listen(process.admin).await?;
-        let (listen, admin) = (local_address(&listener)?, local_address(&pages)?);
-        let context = Arc::new(context_of(process, policies)?);
-        let desk = Arc::new(PeerDesk::new(&context));
+        let admin_listener = listen(process.admin).await?;
+        let (listen, admin) = (local_address(&listener)?, local_address(&admin_listener)?);
+        let context = Arc::new(new_context(process, policies)?);
+        let responder = Arc::new(PeerResponder::new(&context));
         let seeds = find_seeds(&context, store.as_ref()).await;
         let mesh_settings = mesh_settings(&context, seeds);
-        let mesh = Arc::new(PeerMesh::start(mesh_settings, Arc::clone(&desk) as _).await?);
+        let mesh = Arc::new(PeerMesh::start(mesh_settings, Arc::clone(&responder) as _).await?);
         let (name, domain) = (context.name().clone(), context.domain().clone());
         let exchange = Arc::new(VoteExchange::new(Arc::clone(&mesh), name, domain));
-        desk.set_exchange(Arc::clone(&exchange));
+        responder.set_exchange(Arc::clone(&exchange));
         let callers = TaskTracker::new();
         let mut tasks = JoinSet::new();
-        tasks.spawn(serve_pages(pages, Arc::clone(&context)));
+        tasks.spawn(serve_pages(admin_listener, Arc::clone(&context)));
         let (shared, peers) = (Arc::clone(&store), Arc::clone(&mesh));
         tasks.spawn(follow_settings(Arc::clone(&context), shared, peers));
         tasks.spawn(run_duties(Arc::clone(&context), store, Arc::clone(&mesh), exchange));
         let stop = CancellationToken::new();
-        let accepted = AcceptedCallers { callers: callers.clone(), stop: stop.clone() };
-        tasks.spawn(accept_callers(listener, Arc::clone(&context), accepted));
+        let caller_tasks = CallerTasks { callers: callers.clone(), stop: stop.clone() };
+        tasks.spawn(accept_callers(listener, Arc::clone(&context), caller_tasks));
         log::info!(
             target: "rudder::instance", instance:% = context.name(), domain:% = context.domain(),
             listen:% = listen, admin:% = admin, peer:% = mesh.address(); "instance started"
@@ -159,7 +159,7 @@
         self.mesh.leave().await;
         self.context.leaving.send_replace(true);
         // The balancer may send a few more callers until it notices; they are told to go elsewhere.
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(LISTENER_CLOSE_DELAY).await;
         self.callers.close();
         self.callers.wait().await;
         self.tasks.shutdown().await;
@@ -219,11 +219,11 @@
     Ok(())
 }
 
-fn context_of(
+fn new_context(
     process: ProcessSettings,
     policies: ProxyPolicies,
 ) -> Result<InstanceContext, ProxyError> {
-    let tls = tls::acceptor_of(&process)?;
+    let tls = tls::build_acceptor(&process)?;
     Ok(InstanceContext {
         process,
         policies,
@@ -256,8 +256,8 @@
     let listed = timeout(LIST_TIMEOUT, store.instances()).await;
     for entry in listed.ok().and_then(Result::ok).unwrap_or_default() {
         let address = SocketAddr::new(entry.address, process.peer.port());
-        let live = entry.readiness == InstanceReadiness::Ready;
-        if live && address != process.peer && !seeds.contains(&address) {
+        let ready = entry.readiness == InstanceReadiness::Ready;
+        if ready && address != process.peer && !seeds.contains(&address) {
             seeds.push(address);
         }
     }
@@ -281,45 +281,41 @@
 }
 
 /// The tasks of callers, and what ends them at once.
-struct AcceptedCallers {
+struct CallerTasks {
     callers: TaskTracker,
     stop: CancellationToken,
 }
 
-async fn accept_callers(
-    listener: TcpListener,
-    context: Arc<InstanceContext>,
-    accepted: AcceptedCallers,
-) {
-    let places = Arc::new(Semaphore::new(context.process.callers_max as usize));
+async fn accept_callers(listener: TcpListener, context: Arc<InstanceContext>, tasks: CallerTasks) {
+    let permits = Arc::new(Semaphore::new(context.process.callers_max as usize));
     let mut leaving = context.leaving.subscribe();
     loop {
         let stream = tokio::select! {
             stream = accept(&listener) => stream,
             _ = leaving.wait_for(|leaving| *leaving) => break,
         };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             metrics::counter!("rudder_callers_refused_total").increment(1);
-            refuse_caller(&stream);
+            reject_caller(&stream);
             continue;
         };
         let context = Arc::clone(&context);
-        let stop = accepted.stop.clone();
-        accepted.callers.spawn(async move {
+        let stop = tasks.stop.clone();
+        tasks.callers.spawn(async move {
             tokio::select! {
                 () = serve_caller(context, stream) => {}
                 () = stop.cancelled() => {}
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
 /// Tells a caller that there is no place for it, as far as its socket takes that at once: a task
 /// for it would need the place that is missing.
-fn refuse_caller(stream: &TcpStream) {
+fn reject_caller(stream: &TcpStream) {
     let mut out = BytesMut::new();
-    put_fatal(&mut out, TOO_MANY_CALLERS, "this instance serves as many callers as it may");
+    put_fatal(&mut out, TOO_MANY_CONNECTIONS, "this instance serves as many callers as it may");
     let _ = stream.try_write(&out);
 }
 
