--- a/crates/arbutusrudder/tests/deployment/abuse.rs
+++ b/crates/arbutusrudder/tests/deployment/abuse.rs
@@ -9,25 +9,25 @@
 const IDLE_CALLERS: usize = 5_000;
 
 /// Logins made at the same time.
-const LOGINS_AT_ONCE: usize = 100;
+const CONCURRENT_LOGINS: usize = 100;
 
-fn hasty() -> DeploymentPlan {
+fn short_timeouts_plan() -> DeploymentPlan {
     let mut plan = plan(1);
     plan.extra.push_str("[timing]\nlogin_timeout = \"300ms\"\nidle_timeout = \"1s\"\n");
     plan
 }
 
 /// The replies up to the end of a connection.
-async fn rest_of(client: &mut RawClient) -> String {
+async fn read_to_close(client: &mut RawClient) -> String {
     let mut types = String::new();
-    while let Some(next) = client.answer().await {
+    while let Some(next) = client.next_reply().await {
         types.push_str(&next);
     }
     types
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_no_login_ends_the_connection() {
+async fn a_malformed_startup_closes_the_connection() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let starts: [&[u8]; 5] = [
         b"GET / HTTP/1.1\r\n\r\n",
@@ -41,7 +41,7 @@
         let mut client = RawClient::open(&deployment).await;
         client.out.extend_from_slice(start);
         client.send().await;
-        let types = rest_of(&mut client).await;
+        let types = read_to_close(&mut client).await;
         assert!(types.is_empty() || types == "E", "{start:?}: {types}");
     }
 
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn frames_that_are_none_end_the_connection_with_an_error() {
+async fn malformed_frames_close_the_connection_with_an_error() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let frames: [&[u8]; 7] = [
         b"?\0\0\0\x04",
@@ -67,28 +67,28 @@
         let mut client = RawClient::login(&deployment, &[]).await;
         client.out.extend_from_slice(frame);
         client.send().await;
-        let types = rest_of(&mut client).await;
+        let types = read_to_close(&mut client).await;
         assert_eq!((types.as_str(), client.errors.as_slice()), ("E", &["08P01".to_owned()][..]));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_half_open_login_and_an_idle_caller_are_ended() {
-    let deployment = Deployment::start(hasty()).await.expect("deployment starts");
-    let mut half = RawClient::open(&deployment).await;
-    half.out.extend_from_slice(&[0, 0, 0, 80, 0, 3, 0, 0]);
-    half.send().await;
+async fn an_unfinished_login_and_an_idle_caller_are_disconnected() {
+    let deployment = Deployment::start(short_timeouts_plan()).await.expect("deployment starts");
+    let mut unfinished = RawClient::open(&deployment).await;
+    unfinished.out.extend_from_slice(&[0, 0, 0, 80, 0, 3, 0, 0]);
+    unfinished.send().await;
     let mut idle = RawClient::login(&deployment, &[]).await;
 
-    let half = rest_of(&mut half).await;
-    let types = rest_of(&mut idle).await;
+    let unfinished = read_to_close(&mut unfinished).await;
+    let types = read_to_close(&mut idle).await;
 
-    assert_eq!((half.as_str(), types.as_str()), ("", "E"));
+    assert_eq!((unfinished.as_str(), types.as_str()), ("", "E"));
     assert_eq!(idle.errors, ["57P05"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_beyond_the_bound_are_told_so() {
+async fn callers_beyond_the_limit_get_an_error() {
     let process = "callers_max = 2\n".to_owned();
     let plan = DeploymentPlan { process, ..plan(1) };
     let deployment = Deployment::start(plan).await.expect("deployment starts");
@@ -96,24 +96,24 @@
     let _second = connect(&deployment, 0, "copyist").await;
 
     let mut third = RawClient::open(&deployment).await;
-    let types = rest_of(&mut third).await;
+    let types = read_to_close(&mut third).await;
 
     assert_eq!((types.as_str(), third.errors.as_slice()), ("E", &["53300".to_owned()][..]));
     assert_eq!(rows_of(&first, "SELECT 1").await, ["1"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn five_thousand_idle_callers_are_held_and_answered() {
+async fn five_thousand_idle_callers_stay_connected_and_are_served() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let logins = (0..IDLE_CALLERS).map(|_| RawClient::login(&deployment, &[]));
 
     let mut callers: Vec<RawClient> =
-        futures::stream::iter(logins).buffer_unordered(LOGINS_AT_ONCE).collect().await;
+        futures::stream::iter(logins).buffer_unordered(CONCURRENT_LOGINS).collect().await;
     let (client, _) = connect(&deployment, 0, "copyist").await;
     let served = rows_of(&client, "SELECT 1").await;
     let mut answered = 0;
     for caller in callers.iter_mut().step_by(500) {
-        answered += usize::from(caller.query("SELECT 1").answers(1).await == "TDCZI");
+        answered += usize::from(caller.query("SELECT 1").replies(1).await == "TDCZI");
     }
 
     assert_eq!((callers.len(), served.as_slice(), answered), (5_000, &["1".to_owned()][..], 10));
--- a/crates/arbutusrudder/tests/deployment/common.rs
+++ b/crates/arbutusrudder/tests/deployment/common.rs
@@ -25,9 +25,9 @@
     deployment: &Deployment,
     proxy: usize,
     user: &str,
-    words: &str,
+    options: &str,
 ) -> (Client, JoinHandle<()>) {
-    let text = format!("{} {words}", deployment.client_string(proxy, user));
+    let text = format!("{} {options}", deployment.client_string(proxy, user));
     let (client, connection) = tokio_postgres::connect(&text, NoTls).await.expect("login works");
     let task = tokio::spawn(async move {
         let _ = connection.await;
--- a/crates/arbutusrudder/tests/deployment/isolation.rs
+++ b/crates/arbutusrudder/tests/deployment/isolation.rs
@@ -7,7 +7,7 @@
 use tokio_postgres::error::SqlState;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_follow_their_session_and_a_rollback_takes_them_back() {
+async fn settings_follow_their_session_and_a_rollback_restores_them() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (first, _) = connect(&deployment, 0, "copyist").await;
     let (second, _) = connect(&deployment, 0, "copyist").await;
@@ -31,7 +31,7 @@
 /// Cause: the RESET before the refused setting is undone together with it, so the connection keeps
 /// the first caller's settings.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_setting_never_leaves_the_last_callers_in_force() {
+async fn a_refused_setting_does_not_expose_the_previous_callers_settings() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (first, _) = connect(&deployment, 0, "copyist").await;
     first.batch_execute("SET application_name = 'one'").await.unwrap();
@@ -49,34 +49,34 @@
 /// the connection.
 /// Cause: the transaction went on under the next caller and was committed by it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_vanishes_in_a_transaction_leaves_nothing() {
+async fn a_disconnect_within_a_transaction_rolls_it_back() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
-    let (maker, _) = connect(&deployment, 0, "copyist").await;
-    maker.batch_execute("CREATE TABLE parts (id int)").await.unwrap();
-    let (lost, task) = connect(&deployment, 0, "copyist").await;
-    lost.batch_execute("BEGIN; SET application_name = 'lost'").await.unwrap();
-    lost.batch_execute("INSERT INTO parts VALUES (1)").await.unwrap();
+    let (setup, _) = connect(&deployment, 0, "copyist").await;
+    setup.batch_execute("CREATE TABLE parts (id int)").await.unwrap();
+    let (disconnected, task) = connect(&deployment, 0, "copyist").await;
+    disconnected.batch_execute("BEGIN; SET application_name = 'lost'").await.unwrap();
+    disconnected.batch_execute("INSERT INTO parts VALUES (1)").await.unwrap();
 
     task.abort();
-    drop(lost);
+    drop(disconnected);
     for id in 2..6 {
-        maker.batch_execute(&format!("INSERT INTO parts VALUES ({id})")).await.unwrap();
+        setup.batch_execute(&format!("INSERT INTO parts VALUES ({id})")).await.unwrap();
     }
 
-    assert_eq!(rows_of(&maker, "SELECT count(*) FROM parts").await, ["4"]);
-    assert_eq!(rows_of(&maker, "SHOW application_name").await, ["arbutusrudder"]);
+    assert_eq!(rows_of(&setup, "SELECT count(*) FROM parts").await, ["4"]);
+    assert_eq!(rows_of(&setup, "SHOW application_name").await, ["arbutusrudder"]);
 }
 
 /// What a user sees: an answer that belongs to somebody else's query.
 /// Order: a caller sends a long statement and vanishes; others use the connections meanwhile.
 /// Cause: the connection went back before its statement's answer had come.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_answer_to_a_caller_that_vanished_reaches_nobody() {
+async fn replies_to_a_disconnected_caller_are_discarded() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (next, _) = connect(&deployment, 0, "copyist").await;
-    let mut lost = RawClient::login(&deployment, &[]).await;
-    lost.query("SELECT pg_sleep(0.2)").send().await;
-    drop(lost);
+    let mut disconnected = RawClient::login(&deployment, &[]).await;
+    disconnected.query("SELECT pg_sleep(0.2)").send().await;
+    drop(disconnected);
 
     let mut answers = Vec::new();
     for round in 0..40 {
@@ -93,7 +93,7 @@
 /// caller's library sends more cancel requests.
 /// Cause: the request names a connection of the member, which is another caller's by then.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancel_request_hits_its_own_statement_only() {
+async fn a_cancel_request_affects_only_its_own_session() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (first, _) = connect(&deployment, 0, "copyist").await;
     let (second, _) = connect(&deployment, 0, "copyist").await;
@@ -105,19 +105,19 @@
         token.cancel_query(tokio_postgres::NoTls).await.unwrap();
     };
     let (cancelled, ()) = tokio::join!(running, cancel);
-    let mut unharmed = 0;
+    let mut completed = 0;
     for _ in 0..20 {
         let late = token.cancel_query(tokio_postgres::NoTls);
         let (ran, _) = tokio::join!(second.batch_execute("SELECT pg_sleep(0.005)"), late);
-        unharmed += u32::from(ran.is_ok());
+        completed += u32::from(ran.is_ok());
     }
 
     let code = cancelled.unwrap_err().code().map(|code| code.code().to_owned());
-    assert_eq!((code.as_deref(), unharmed), (Some("57014"), 20));
+    assert_eq!((code.as_deref(), completed), (Some("57014"), 20));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_needs_a_connection_of_its_own_is_refused_and_the_session_goes_on() {
+async fn statements_that_need_a_dedicated_connection_are_refused() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (client, _) = connect(&deployment, 0, "copyist").await;
     let texts = [
@@ -137,10 +137,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn own_settings_are_answered_by_both_protocols() {
+async fn proxy_settings_work_with_simple_and_extended_queries() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
-    let words = "options='-c rudder.staleness_ms=1500'";
-    let (client, _) = connect_with(&deployment, 0, "copyist", words).await;
+    let options = "options='-c rudder.staleness_ms=1500'";
+    let (client, _) = connect_with(&deployment, 0, "copyist", options).await;
 
     let simple = rows_of(&client, "SHOW rudder.staleness_ms").await;
     client.execute("SET rudder.staleness_ms = 700", &[]).await.unwrap();
--- a/crates/arbutusrudder/tests/deployment/leaving.rs
+++ b/crates/arbutusrudder/tests/deployment/leaving.rs
@@ -9,13 +9,13 @@
                        queue_wait = \"5s\"\nin_flight_max = 100\n";
 
 /// Looks at most for a change to come into force, 50 ms apart.
-const LOOKS: u32 = 300;
+const POLLS_MAX: u32 = 300;
 
 fn plan(proxies: usize) -> DeploymentPlan {
     DeploymentPlan { extra: CALLERS.to_owned(), ..DeploymentPlan::small(proxies) }
 }
 
-fn leads(deployment: &Deployment, name: &MemberName) -> bool {
+fn is_primary(deployment: &Deployment, name: &MemberName) -> bool {
     deployment.groups[0].status(name).is_ok_and(|status| status.role == MemberRole::Primary)
 }
 
@@ -23,7 +23,7 @@
 /// Order: operators drain the member that happens to be the primary, wait, switch it off.
 /// Cause: draining kept reads away, while every write still went there.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_primary_hands_over_without_anyone_asked() {
+async fn a_draining_primary_is_replaced_automatically() {
     let deployment = Deployment::start(plan(3)).await.expect("deployment starts");
     let (client, _) = connect(&deployment, 0, "copyist").await;
     client.batch_execute("CREATE TABLE parts (id int PRIMARY KEY, title text)").await.unwrap();
@@ -31,23 +31,23 @@
 
     let drain = "[services.scores-orders.members.scores-orders-1]\ndraining = true\n";
     deployment.submit("90-drain.toml", drain).await.expect("the file is accepted");
-    let mut looks = 0;
-    while leads(&deployment, &first) {
-        looks += 1;
-        assert!(looks < LOOKS, "the draining member still leads");
+    let mut polls = 0;
+    while is_primary(&deployment, &first) {
+        polls += 1;
+        assert!(polls < POLLS_MAX, "the draining member still leads");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     client.batch_execute("INSERT INTO parts VALUES (1, 'Kyrie')").await.unwrap();
 
     assert_eq!(rows_of(&client, "SELECT title FROM parts").await, ["Kyrie"]);
-    assert!(!leads(&deployment, &first));
+    assert!(!is_primary(&deployment, &first));
 }
 
 /// What a user sees: a rehearsal list breaks off because a proxy was replaced.
 /// Order: a long statement runs, the proxy is asked to leave, the answer comes.
 /// Cause: the proxy ends before the requests that it has in flight.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_proxy_finishes_what_is_in_flight() {
+async fn a_leaving_proxy_finishes_requests_in_flight() {
     let mut deployment = Deployment::start(plan(2)).await.expect("deployment starts");
     let (busy, _) = connect(&deployment, 0, "copyist").await;
     let (idle, idle_task) = connect(&deployment, 0, "copyist").await;
--- a/crates/arbutusrudder/tests/deployment/login.rs
+++ b/crates/arbutusrudder/tests/deployment/login.rs
@@ -19,11 +19,11 @@
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-struct LineKeeper;
+struct LogCapture;
 
-struct LineText(String);
+struct LogLine(String);
 
-impl<'kvs> log::kv::VisitSource<'kvs> for LineText {
+impl<'kvs> log::kv::VisitSource<'kvs> for LogLine {
     fn visit_pair(
         &mut self,
         key: log::kv::Key<'kvs>,
@@ -34,13 +34,13 @@
     }
 }
 
-impl log::Log for LineKeeper {
+impl log::Log for LogCapture {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        let mut line = LineText(record.args().to_string());
+        let mut line = LogLine(record.args().to_string());
         let _ = record.key_values().visit(&mut line);
         LINES.lock().expect("no holder of this lock panics").push(line.0);
     }
@@ -48,17 +48,17 @@
     fn flush(&self) {}
 }
 
-fn keep_lines() {
+fn capture_log() {
     // Another test may have set it already.
-    let _ = log::set_logger(&LineKeeper);
+    let _ = log::set_logger(&LogCapture);
     log::set_max_level(log::LevelFilter::Debug);
 }
 
-fn file(name: &str) -> PathBuf {
+fn certificate_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/deployment/tls").join(name)
 }
 
-fn secured(folder: &Path) -> DeploymentPlan {
+fn tls_plan(folder: &Path) -> DeploymentPlan {
     let process = format!(
         "tls_certificate = {:?}\ntls_key = {:?}\ntls_reload_s = 1\n",
         folder.join("certificate.pem"),
@@ -67,16 +67,18 @@
     DeploymentPlan { process, ..plan(1) }
 }
 
-fn guarded() -> DeploymentPlan {
+fn password_plan() -> DeploymentPlan {
     let process = format!(
         "require_password = true\n[[passwords]]\nuser = \"copyist\"\nvariable = \"{PASSWORD_VARIABLE}\"\n"
     );
     DeploymentPlan { process, ..plan(1) }
 }
 
-fn install(folder: &Path, name: &str) {
-    std::fs::copy(file(&format!("{name}.key.pem")), folder.join("key.pem")).expect("copied");
-    std::fs::copy(file(&format!("{name}.pem")), folder.join("certificate.pem")).expect("copied");
+fn install_certificate(folder: &Path, name: &str) {
+    std::fs::copy(certificate_path(&format!("{name}.key.pem")), folder.join("key.pem"))
+        .expect("copied");
+    std::fs::copy(certificate_path(&format!("{name}.pem")), folder.join("certificate.pem"))
+        .expect("copied");
 }
 
 /// Connects by TLS, trusting one certificate only.
@@ -85,7 +87,7 @@
     certificate: &str,
 ) -> Result<Client, Box<dyn Error>> {
     let mut roots = RootCertStore::empty();
-    roots.add(CertificateDer::from_pem_file(file(certificate))?)?;
+    roots.add(CertificateDer::from_pem_file(certificate_path(certificate))?)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()?
@@ -106,12 +108,12 @@
 async fn a_renewed_certificate_is_used_without_a_restart() {
     let folder = std::env::temp_dir().join(format!("rudder-tls-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder for the certificate");
-    install(&folder, "first");
-    let deployment = Deployment::start(secured(&folder)).await.expect("deployment starts");
-    let early = connect_trusting(&deployment, "first.pem").await.expect("the first is trusted");
+    install_certificate(&folder, "first");
+    let deployment = Deployment::start(tls_plan(&folder)).await.expect("deployment starts");
+    let existing = connect_trusting(&deployment, "first.pem").await.expect("the first is trusted");
     let refused = connect_trusting(&deployment, "second.pem").await.is_err();
 
-    install(&folder, "second");
+    install_certificate(&folder, "second");
     let mut renewed = connect_trusting(&deployment, "second.pem").await;
     for _ in 0..100 {
         if renewed.is_ok() {
@@ -124,14 +126,14 @@
 
     assert!(refused);
     assert_eq!(rows_of(&renewed.expect("the second is trusted"), "SELECT 1").await, ["1"]);
-    assert_eq!(rows_of(&early, "SELECT 1").await, ["1"]);
+    assert_eq!(rows_of(&existing, "SELECT 1").await, ["1"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_password_lets_in_only_its_user_and_is_in_no_log_line() {
-    keep_lines();
+async fn a_password_admits_only_its_user_and_is_never_logged() {
+    capture_log();
     let password = std::env::var(PASSWORD_VARIABLE).expect("cargo sets it");
-    let deployment = Deployment::start(guarded()).await.expect("deployment starts");
+    let deployment = Deployment::start(password_plan()).await.expect("deployment starts");
     let connect = async |user: &str, password: &str| {
         let mut config: Config = deployment.client_string(0, user).parse().expect("words");
         let (client, connection) = config.password(password).connect(NoTls).await?;
--- a/crates/arbutusrudder/tests/deployment/path.rs
+++ b/crates/arbutusrudder/tests/deployment/path.rs
@@ -72,7 +72,7 @@
 /// reads at once.
 /// Cause: the second proxy has heard from replicas that lack the write, and not yet of a primary.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_first_read_waits_for_the_first_reports() {
+async fn a_first_read_waits_for_the_first_status_of_a_primary() {
     let deployment = Deployment::start(plan(2)).await.expect("deployment starts");
     for name in ["scores-orders-2", "scores-orders-3"] {
         let lag = MemberKnob::ApplyLag(Duration::from_secs(60));
@@ -112,9 +112,9 @@
     let kept = client.transaction().await.unwrap();
     kept.execute("INSERT INTO parts VALUES (1, 'Kyrie')", &[]).await.unwrap();
     kept.commit().await.unwrap();
-    let dropped = client.transaction().await.unwrap();
-    dropped.execute("INSERT INTO parts VALUES (2, 'Gloria')", &[]).await.unwrap();
-    dropped.rollback().await.unwrap();
+    let undone = client.transaction().await.unwrap();
+    undone.execute("INSERT INTO parts VALUES (2, 'Gloria')", &[]).await.unwrap();
+    undone.rollback().await.unwrap();
 
     assert_eq!(rows_of(&client, "SELECT title FROM parts").await, ["Kyrie"]);
 }
--- a/crates/arbutusrudder/tests/deployment/raw.rs
+++ b/crates/arbutusrudder/tests/deployment/raw.rs
@@ -34,7 +34,7 @@
         let names = [("user", "copyist"), ("database", service.as_str())];
         let all = names.iter().chain(parameters).copied();
         frontend::startup_message(all, &mut client.out).expect("the frame is well formed and sent");
-        client.answers(1).await;
+        client.replies(1).await;
         client
     }
 
@@ -91,17 +91,17 @@
 
     /// Sends, and answers the types of the replies up to the `count`th end of a request, each
     /// followed by its transaction status. Reports of settings are left out.
-    pub(crate) async fn answers(&mut self, count: usize) -> String {
+    pub(crate) async fn replies(&mut self, count: usize) -> String {
         self.send().await;
         let mut types = String::new();
         while types.matches('Z').count() < count {
-            types.push_str(&self.answer().await.expect("the connection stays open"));
+            types.push_str(&self.next_reply().await.expect("the connection stays open"));
         }
         types
     }
 
     /// The type of the next reply; none if the connection was closed.
-    pub(crate) async fn answer(&mut self) -> Option<String> {
+    pub(crate) async fn next_reply(&mut self) -> Option<String> {
         loop {
             while self.input.len() < 5 || self.input.len() < self.length() {
                 if self.stream.read_buf(&mut self.input).await.unwrap_or(0) == 0 {
--- a/crates/arbutusrudder/tests/deployment/statements.rs
+++ b/crates/arbutusrudder/tests/deployment/statements.rs
@@ -5,10 +5,10 @@
 use rudder_standins::Deployment;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_name_serves_reads_and_writes_on_any_connection() {
+async fn prepared_statements_work_on_any_member_connection() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
-    let (maker, _) = connect(&deployment, 0, "copyist").await;
-    maker.batch_execute("CREATE TABLE parts (id int PRIMARY KEY, title text)").await.unwrap();
+    let (setup, _) = connect(&deployment, 0, "copyist").await;
+    setup.batch_execute("CREATE TABLE parts (id int PRIMARY KEY, title text)").await.unwrap();
     let mut callers = Vec::new();
     for _ in 0..12 {
         let client = connect(&deployment, 0, "copyist").await.0;
@@ -27,19 +27,19 @@
     });
     futures::future::join_all(work).await;
 
-    assert_eq!(rows_of(&maker, "SELECT count(*) FROM parts").await, ["48"]);
+    assert_eq!(rows_of(&setup, "SELECT count(*) FROM parts").await, ["48"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn replies_to_made_up_messages_come_in_order() {
+async fn replies_generated_by_the_proxy_keep_their_order() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let mut client = RawClient::login(&deployment, &[]).await;
     client.parse("a", "SELECT 'one'").sync();
-    client.answers(1).await;
+    client.replies(1).await;
 
     client.parse("b", "SELECT 'one'").bind("", "b").describe(b'P', "").execute("", 0);
     client.close("a").parse("", "SELECT 'two'").describe(b'S', "").bind("", "").execute("", 0);
-    let types = client.sync().answers(1).await;
+    let types = client.sync().replies(1).await;
 
     assert_eq!(types, "12TDC31tT2DCZI");
     assert_eq!(client.rows, ["one", "two"]);
@@ -50,16 +50,16 @@
 /// Order: s is prepared; a pipeline fails, and then closes s and prepares it anew; s is run.
 /// Cause: the messages after the error are skipped, but their names had been taken over already.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_follows_an_error_in_a_pipeline_changes_no_name() {
+async fn messages_after_an_error_in_a_pipeline_change_no_statement() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let mut client = RawClient::login(&deployment, &[]).await;
-    client.parse("s", "SELECT 'old'").parse("t", "SELECT 'kept'").sync().answers(1).await;
+    client.parse("s", "SELECT 'old'").parse("t", "SELECT 'kept'").sync().replies(1).await;
     client.parse("", "SELECT nothing FROM nowhere").bind("", "").execute("", 0);
     client.close("t").parse("s", "SELECT 'new'").bind("", "s").execute("", 0);
 
-    let failed = client.sync().answers(1).await;
+    let failed = client.sync().replies(1).await;
     client.bind("", "s").execute("", 0).bind("", "t").execute("", 0).sync();
-    let after = client.answers(1).await;
+    let after = client.replies(1).await;
 
     assert!(failed.ends_with("EZI") && !failed.contains('3'), "{failed}");
     assert_eq!(after, "2DC2DCZI");
@@ -70,35 +70,35 @@
 /// Order: a statement fails before a Flush; more messages follow, and then the Sync.
 /// Cause: the member skips them, while replies were made up for those that are not passed on.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_answered_between_an_error_before_a_flush_and_its_sync() {
+async fn no_replies_are_generated_between_an_error_and_its_sync() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let mut client = RawClient::login(&deployment, &[]).await;
-    client.parse("s", "SELECT 'old'").sync().answers(1).await;
+    client.parse("s", "SELECT 'old'").sync().replies(1).await;
     client.parse("", "SELECT nothing FROM nowhere").bind("", "").execute("", 0).flush();
     client.send().await;
     let mut before = String::new();
     while !before.ends_with('E') {
-        before.push_str(&client.answer().await.unwrap());
+        before.push_str(&client.next_reply().await.unwrap());
     }
 
-    let after = client.parse("s", "SELECT 'old'").close("s").sync().answers(1).await;
-    let next = client.bind("", "s").execute("", 0).sync().answers(1).await;
+    let after = client.parse("s", "SELECT 'old'").close("s").sync().replies(1).await;
+    let next = client.bind("", "s").execute("", 0).sync().replies(1).await;
 
     assert_eq!((after.as_str(), next.as_str()), ("ZI", "2DCZI"), "{:?}", client.errors);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_portal_hands_out_its_rows_in_turns() {
+async fn a_portal_returns_its_rows_in_batches() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let mut client = RawClient::login(&deployment, &[]).await;
-    client.query("CREATE TABLE parts (id int)").answers(1).await;
-    client.query("BEGIN").answers(1).await;
+    client.query("CREATE TABLE parts (id int)").replies(1).await;
+    client.query("BEGIN").replies(1).await;
 
     client.parse("", "SELECT * FROM generate_series(1, 5)").bind("p", "").execute("p", 2);
-    let first = client.sync().answers(1).await;
-    let second = client.execute("p", 2).sync().answers(1).await;
-    let last = client.execute("p", 0).sync().answers(1).await;
-    let end = client.query("COMMIT").answers(1).await;
+    let first = client.sync().replies(1).await;
+    let second = client.execute("p", 2).sync().replies(1).await;
+    let last = client.execute("p", 0).sync().replies(1).await;
+    let end = client.query("COMMIT").replies(1).await;
 
     assert_eq!(
         [first, second, last, end].map(|types| types.replace('1', "")),
@@ -115,7 +115,7 @@
 /// Cause: the statements of a shared connection were dropped at the member and remembered here,
 /// or the other way round.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_one_caller_resets_leaves_others_their_statements() {
+async fn a_reset_by_one_caller_keeps_the_statements_of_others() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let (first, _) = connect(&deployment, 0, "copyist").await;
     let (second, _) = connect(&deployment, 0, "copyist").await;
@@ -135,28 +135,28 @@
 /// Order: a connection holds as many statements as it may; the batch that closes one fails first.
 /// Cause: the Close was skipped with the rest of the batch, and the statement counted as closed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_full_of_statements_survives_an_error() {
+async fn a_connection_at_its_statement_limit_recovers_from_an_error() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
     let mut client = RawClient::login(&deployment, &[]).await;
-    client.query("BEGIN").answers(1).await;
+    client.query("BEGIN").replies(1).await;
     for round in 0..210 {
         let text = format!("SELECT {round}");
         client.parse("", &text).bind("", "").execute("", 0);
-        client.sync().answers(1).await;
+        client.sync().replies(1).await;
     }
-    client.query("SAVEPOINT a").answers(1).await;
+    client.query("SAVEPOINT a").replies(1).await;
     client.parse("", "SELECT nothing FROM nowhere").bind("", "");
     for round in 300..340 {
         client.parse("", &format!("SELECT {round}"));
     }
-    client.sync().answers(1).await;
-    client.query("ROLLBACK TO SAVEPOINT a").answers(1).await;
+    client.sync().replies(1).await;
+    client.query("ROLLBACK TO SAVEPOINT a").replies(1).await;
     client.errors.clear();
 
     for round in 0..210 {
         client.parse("", &format!("SELECT {round}")).bind("", "").execute("", 0);
     }
-    client.sync().answers(1).await;
+    client.sync().replies(1).await;
 
     assert_eq!(client.errors, Vec::<String>::new());
 }
--- a/crates/arbutusrudder/tests/deployment/superseded.rs
+++ b/crates/arbutusrudder/tests/deployment/superseded.rs
@@ -12,17 +12,17 @@
                         [timing]\nack_timeout = \"200ms\"\n";
 
 /// Writes tried at most until a successor takes them.
-const TRIES: u32 = 60;
+const WRITE_ATTEMPTS_MAX: u32 = 60;
 
 fn plan() -> DeploymentPlan {
     DeploymentPlan { extra: SETTINGS.to_owned(), ..DeploymentPlan::small(3) }
 }
 
 /// Far more than the members' probes take, far less than the statement's own bound.
-const PATIENCE: Duration = Duration::from_secs(60);
+const SILENT_MEMBER_TIMEOUT: Duration = Duration::from_secs(60);
 
-async fn write_until_taken(client: &Client, text: &str) {
-    for _ in 0..TRIES {
+async fn write_until_accepted(client: &Client, text: &str) {
+    for _ in 0..WRITE_ATTEMPTS_MAX {
         if client.batch_execute(text).await.is_ok() {
             return;
         }
@@ -59,7 +59,7 @@
     let before = rows_of(&auditor, "SELECT road FROM sheets").await;
 
     isolate(&deployment);
-    write_until_taken(&crew, "INSERT INTO sheets VALUES (1, 'A55')").await;
+    write_until_accepted(&crew, "INSERT INTO sheets VALUES (1, 'A55')").await;
     let read = sqlstate_of(&auditor, "SELECT road FROM sheets").await;
     let transaction = sqlstate_of(&auditor, "BEGIN").await;
 
@@ -73,7 +73,7 @@
 /// off with its token, and begins a transaction.
 /// Cause: what the session must see is asked of reads only.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_transaction_begins_where_the_sessions_writes_are() {
+async fn a_transaction_is_refused_where_the_sessions_writes_are_missing() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
     let (crew, _) = connect(&deployment, 1, "crew").await;
     crew.batch_execute("CREATE TABLE sheets (id int PRIMARY KEY, road text)").await.unwrap();
@@ -81,10 +81,10 @@
     warm.batch_execute("BEGIN; SELECT road FROM sheets; COMMIT").await.unwrap();
 
     isolate(&deployment);
-    write_until_taken(&crew, "INSERT INTO sheets VALUES (1, 'A55')").await;
+    write_until_accepted(&crew, "INSERT INTO sheets VALUES (1, 'A55')").await;
     let token = rows_of(&crew, "SHOW rudder.session").await.remove(0);
-    let words = format!("options='-c rudder.session={token}'");
-    let (moved, _) = connect_with(&deployment, 0, "crew", &words).await;
+    let options = format!("options='-c rudder.session={token}'");
+    let (moved, _) = connect_with(&deployment, 0, "crew", &options).await;
     let transaction = sqlstate_of(&moved, "BEGIN").await;
 
     assert_eq!(transaction, "57P03");
@@ -95,7 +95,7 @@
 /// ends, further attempts find the key and cannot confirm it either, the caller's time is over.
 /// Cause: the refusal's word was chosen by the last attempt alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_may_have_committed_ends_as_unknown() {
+async fn a_keyed_write_that_may_have_committed_ends_as_unknown() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
     let (crew, _) = connect(&deployment, 0, "crew").await;
     crew.batch_execute("CREATE TABLE claims (page int)").await.unwrap();
@@ -131,7 +131,7 @@
 /// Order: a statement runs at the primary, every link to it goes silent.
 /// Cause: the statement's own bound is long, and nothing else ends the wait.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_statement_at_a_member_that_went_silent_is_given_up() {
+async fn a_statement_on_a_silent_member_fails() {
     let settings = format!("{SETTINGS}statement_timeout = \"30m\"\n");
     let plan = DeploymentPlan { extra: settings, ..DeploymentPlan::small(3) };
     let deployment = Deployment::start(plan).await.expect("deployment starts");
@@ -139,13 +139,13 @@
     crew.batch_execute("CREATE TABLE sheets (id int PRIMARY KEY, road text)").await.unwrap();
 
     crew.batch_execute("BEGIN; INSERT INTO sheets VALUES (1, 'A55')").await.unwrap();
-    let waits =
+    let statement =
         tokio::spawn(async move { crew.simple_query("SELECT pg_sleep(600)").await.is_err() });
     tokio::time::sleep(Duration::from_millis(200)).await;
     for links in &deployment.links {
         links.members[0][0].cut();
     }
-    let ended = tokio::time::timeout(PATIENCE, waits).await;
+    let ended = tokio::time::timeout(SILENT_MEMBER_TIMEOUT, statement).await;
 
     assert!(ended.is_ok_and(|ended| ended.is_ok_and(|refused| refused)), "the caller still waits");
 }
--- a/crates/arbutusrudder/tests/processes/logs.rs
+++ b/crates/arbutusrudder/tests/processes/logs.rs
@@ -1,6 +1,6 @@
 //! Logs that nobody reads.
 
-use crate::program::{Fleet, insist, rows_of};
+use crate::program::{Fleet, execute_until_accepted, rows_of};
 use futures::future::join_all;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -30,15 +30,15 @@
 /// own, until the pipe is full and no more lines may wait.
 /// Cause: a request waits for its log line to be written.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_go_on_while_nobody_reads_the_log() {
+async fn requests_are_served_while_the_log_is_not_read() {
     let fleet = Fleet::start(1).await;
     let program = &fleet.programs[0];
     let admin = program.address("admin").await;
-    let (maker, _) = program.connect("").await;
-    insist(&maker, "CREATE TABLE pages (id int PRIMARY KEY)").await;
-    insist(&maker, "INSERT INTO pages VALUES (7)").await;
+    let (setup, _) = program.connect("").await;
+    execute_until_accepted(&setup, "CREATE TABLE pages (id int PRIMARY KEY)").await;
+    execute_until_accepted(&setup, "INSERT INTO pages VALUES (7)").await;
 
-    program.read_log(false);
+    program.set_log_reading(false);
     let callers = join_all((0..CALLERS).map(|_| program.connect(""))).await;
     let served = join_all(callers.iter().map(|(client, _)| async move {
         for _ in 0..READS {
@@ -51,5 +51,5 @@
     let dropped = counter(&metrics(admin).await, "rudder_log_lines_dropped_total");
     assert_eq!(served, CALLERS * READS);
     assert!(dropped > 0, "all lines found a place, so nothing was tried");
-    program.read_log(true);
+    program.set_log_reading(true);
 }
--- a/crates/arbutusrudder/tests/processes/program.rs
+++ b/crates/arbutusrudder/tests/processes/program.rs
@@ -78,11 +78,11 @@
         let output = child.stdout.take().expect("standard output is piped");
         let lines = Arc::new(Mutex::new(Vec::new()));
         let read = Arc::new(AtomicBool::new(true));
-        let (sink, goes_on) = (Arc::clone(&lines), Arc::clone(&read));
+        let (captured, reading) = (Arc::clone(&lines), Arc::clone(&read));
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                sink.lock().expect("no thread panicked with the lines").push(line);
-                while !goes_on.load(Ordering::Relaxed) {
+                captured.lock().expect("no thread panicked with the lines").push(line);
+                while !reading.load(Ordering::Relaxed) {
                     std::thread::sleep(POLL);
                 }
             }
@@ -91,7 +91,7 @@
     }
 
     /// Stops reading its standard output, or goes on with it.
-    pub(crate) fn read_log(&self, read: bool) {
+    pub(crate) fn set_log_reading(&self, read: bool) {
         self.read.store(read, Ordering::Relaxed);
     }
 
@@ -102,11 +102,11 @@
 
     /// The first line of this target with this message, when it has come.
     pub(crate) async fn line(&self, target: &str, message: &str) -> Value {
-        let fits = |line: &Value| line["target"] == target && line["message"] == message;
+        let matches = |line: &Value| line["target"] == target && line["message"] == message;
         for _ in 0..POLLS_MAX {
             let lines = self.lines();
             let mut read = lines.iter().filter_map(|line| serde_json::from_str(line).ok());
-            if let Some(line) = read.find(fits) {
+            if let Some(line) = read.find(matches) {
                 return line;
             }
             tokio::time::sleep(POLL).await;
@@ -128,7 +128,7 @@
     }
 
     /// The exit status, when it has ended.
-    pub(crate) async fn end(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..POLLS_MAX {
             if let Some(status) = self.child.try_wait().expect("the child can be waited for") {
                 return status;
@@ -139,17 +139,17 @@
     }
 
     /// A client, and the task that drives its connection.
-    pub(crate) async fn connect(&self, words: &str) -> (Client, ConnectionTask) {
-        self.try_connect(words).await.expect("login works")
+    pub(crate) async fn connect(&self, options: &str) -> (Client, ConnectionTask) {
+        self.try_connect(options).await.expect("login works")
     }
 
     pub(crate) async fn try_connect(
         &self,
-        words: &str,
+        options: &str,
     ) -> Result<(Client, ConnectionTask), tokio_postgres::Error> {
         let port = self.address("listen").await.port();
         let text = format!(
-            "host=127.0.0.1 port={port} user=copyist dbname=scores-orders sslmode=disable {words}"
+            "host=127.0.0.1 port={port} user=copyist dbname=scores-orders sslmode=disable {options}"
         );
         let (client, connection) = tokio_postgres::connect(&text, NoTls).await?;
         Ok((client, tokio::spawn(connection)))
@@ -196,12 +196,12 @@
     }
 
     /// The index of the first program that takes a step of a succession.
-    pub(crate) async fn first_to_act(&self) -> usize {
-        let acts = |program: &Program| {
+    pub(crate) async fn first_to_start_succession(&self) -> usize {
+        let logs_succession = |program: &Program| {
             program.lines().iter().any(|line| line.contains("rudder::succession"))
         };
         for _ in 0..20 * POLLS_MAX {
-            if let Some(index) = self.programs.iter().position(acts) {
+            if let Some(index) = self.programs.iter().position(logs_succession) {
                 return index;
             }
             tokio::time::sleep(POLL / 20).await;
@@ -211,7 +211,7 @@
 }
 
 /// Repeats a statement until it is accepted.
-pub(crate) async fn insist(client: &Client, statement: &str) {
+pub(crate) async fn execute_until_accepted(client: &Client, statement: &str) {
     for _ in 0..POLLS_MAX {
         if client.batch_execute(statement).await.is_ok() {
             return;
--- a/crates/arbutusrudder/tests/processes/shutdown.rs
+++ b/crates/arbutusrudder/tests/processes/shutdown.rs
@@ -9,7 +9,7 @@
 /// Order: one caller's statement runs and another caller is idle when the process gets SIGTERM.
 /// Cause: the process ends before its callers' requests do.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_program_finishes_what_runs_and_sends_idle_callers_away() {
+async fn a_leaving_program_finishes_requests_and_disconnects_idle_callers() {
     let mut fleet = Fleet::start(1).await;
     let program = &mut fleet.programs[0];
     let address = program.address("listen").await;
@@ -19,15 +19,15 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     program.signal("-TERM");
-    let farewell = ended.await.unwrap().expect_err("the idle caller is told to go elsewhere");
+    let disconnect = ended.await.unwrap().expect_err("the idle caller is told to go elsewhere");
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let refused_while_running = !running.is_finished();
     let answer = running.await.unwrap();
-    let status = program.end().await;
+    let status = program.wait_for_exit().await;
 
-    assert_eq!(farewell.code().map(SqlState::code), Some("57P01"));
+    assert_eq!(disconnect.code().map(SqlState::code), Some("57P01"));
     assert!(answer.is_ok(), "{answer:?}");
     assert!(idle.is_closed() && refused_while_running);
     assert_eq!(status.code(), Some(0));
@@ -47,7 +47,7 @@
     program.signal("-TERM");
     program.line("rudder::instance", "instance leaving").await;
     program.signal("-TERM");
-    let status = program.end().await;
+    let status = program.wait_for_exit().await;
 
     assert_eq!(status.code(), Some(0));
     assert!(running.await.unwrap().is_err());
--- a/crates/arbutusrudder/tests/processes/startup.rs
+++ b/crates/arbutusrudder/tests/processes/startup.rs
@@ -1,7 +1,9 @@
 //! How programs start, and what they write.
 
 use crate::program::settings_text;
-use crate::program::{Fleet, PASSWORD_VARIABLE, SettingsPath, insist, rows_of, run_to_end};
+use crate::program::{
+    Fleet, PASSWORD_VARIABLE, SettingsPath, execute_until_accepted, rows_of, run_to_end,
+};
 use rudder_standins::{PlatformFaults, PlatformOutage};
 use serde_json::Value;
 use std::net::TcpListener;
@@ -11,21 +13,21 @@
 /// Order: one proxy runs, the platform goes out of service, a second proxy starts.
 /// Cause: settings come from the platform only.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_program_that_starts_in_an_outage_serves_by_its_peers_settings() {
+async fn a_program_started_during_an_outage_uses_its_peers_settings() {
     let mut fleet = Fleet::start(1).await;
     let outage = PlatformOutage::Refused;
     fleet.deployment.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
 
     fleet.add("", &[]).await;
     let (client, _) = fleet.programs[1].connect("").await;
-    insist(&client, "CREATE TABLE parts (id int)").await;
-    insist(&client, "INSERT INTO parts VALUES (1)").await;
+    execute_until_accepted(&client, "CREATE TABLE parts (id int)").await;
+    execute_until_accepted(&client, "INSERT INTO parts VALUES (1)").await;
 
     assert_eq!(rows_of(&client, "SELECT id FROM parts").await, ["1"]);
 }
 
 #[test]
-fn bad_starts_end_with_one_sentence() {
+fn a_failed_start_prints_one_line() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let good = settings_text("http://127.0.0.1:1", 0, &[]);
@@ -36,12 +38,12 @@
         (in_use, "cannot listen on"),
     ];
 
-    for (text, words) in cases {
+    for (text, expected) in cases {
         let settings = SettingsPath::write(&text);
-        let end = run_to_end(&["--settings", settings.0.to_str().unwrap()]);
-        assert_sentence(&end, words);
+        let output = run_to_end(&["--settings", settings.0.to_str().unwrap()]);
+        assert_one_line_error(&output, expected);
     }
-    assert_sentence(&run_to_end(&["--settings", "/no/such/file.toml"]), "cannot be read");
+    assert_one_line_error(&run_to_end(&["--settings", "/no/such/file.toml"]), "cannot be read");
 }
 
 #[test]
@@ -62,7 +64,7 @@
 /// Order: a caller logs in with a password, writes and reads, and once with a wrong password.
 /// Cause: errors of the login quote what was sent, or decisions go unlogged.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_gives_a_reason_per_decision_and_no_password() {
+async fn routing_decisions_are_logged_with_a_reason_and_without_passwords() {
     let extra = format!("[[passwords]]\nuser = \"copyist\"\nvariable = \"{PASSWORD_VARIABLE}\"\n");
     let mut fleet = Fleet::start(0).await;
     fleet.add(&extra, &[(PASSWORD_VARIABLE, "agnus-dei-77")]).await;
@@ -70,7 +72,7 @@
     let (client, _) = program.connect("password=agnus-dei-77").await;
     let wrong = program.try_connect("password=gloria-88").await.expect_err("refused");
 
-    insist(&client, "CREATE TABLE parts (id int)").await;
+    execute_until_accepted(&client, "CREATE TABLE parts (id int)").await;
     rows_of(&client, "SELECT id FROM parts").await;
     let write = program.line("rudder::route", "write routed").await;
     let read = program.line("rudder::route", "read routed").await;
@@ -86,11 +88,11 @@
     }
 }
 
-fn assert_sentence(end: &std::process::Output, words: &str) {
-    let text = String::from_utf8_lossy(&end.stderr);
+fn assert_one_line_error(output: &std::process::Output, expected: &str) {
+    let text = String::from_utf8_lossy(&output.stderr);
 
-    assert_eq!(end.status.code(), Some(1), "{text}");
-    let spoken: Vec<&str> = text.lines().filter(|line| !line.starts_with('{')).collect();
-    assert_eq!(spoken.len(), 1, "{text}");
-    assert!(spoken[0].starts_with("arbutusrudder: ") && spoken[0].contains(words), "{text}");
+    assert_eq!(output.status.code(), Some(1), "{text}");
+    let messages: Vec<&str> = text.lines().filter(|line| !line.starts_with('{')).collect();
+    assert_eq!(messages.len(), 1, "{text}");
+    assert!(messages[0].starts_with("arbutusrudder: ") && messages[0].contains(expected), "{text}");
 }
--- a/crates/arbutusrudder/tests/soak/callers.rs
+++ b/crates/arbutusrudder/tests/soak/callers.rs
@@ -1,7 +1,7 @@
 //! Callers that keep their sessions until something ends them, and write down what they see.
 
-use super::checks::{ReadNote, SoakLedger, WriteFate};
-use super::world::{BOUNDED, OWN, STRICT, SoakWorld, lock};
+use super::checks::{ReadRecord, SoakHistory, WriteOutcome};
+use super::environment::{BOUNDED, OWN, STRICT, SoakEnvironment, lock};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rudder_standins::{LineClient, LineReply};
@@ -12,16 +12,16 @@
 use tokio::task::JoinHandle;
 
 /// The most time for one answer; after that the caller goes elsewhere and knows nothing.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The pause between two operations, in milliseconds, and within a transaction.
-const PAUSE_MS: std::ops::Range<u64> = 1..25;
+const OPERATION_PAUSE_MS: std::ops::Range<u64> = 1..25;
 
 /// Operations of one session at most.
-const SESSION_LENGTH: u32 = 60;
+const SESSION_OPERATIONS_MAX: u32 = 60;
 
 /// How old reads of a database may be.
-fn bound_of(database: &str) -> Duration {
+fn staleness_limit_of(database: &str) -> Duration {
     match database {
         BOUNDED => Duration::from_millis(1500),
         OWN => Duration::from_millis(2500),
@@ -31,31 +31,31 @@
 
 /// Callers at work.
 pub(crate) struct SoakCallers {
-    ledger: Arc<Mutex<SoakLedger>>,
+    history: Arc<Mutex<SoakHistory>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl SoakCallers {
     /// Lets all operations under way end.
-    pub(crate) async fn stop(self) -> SoakLedger {
+    pub(crate) async fn stop(self) -> SoakHistory {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.expect("a caller does not panic");
         }
-        std::mem::take(&mut *lock(&self.ledger))
+        std::mem::take(&mut *lock(&self.history))
     }
 }
 
 /// Starts `count` callers, each with an item of its own that nobody else writes.
-pub(crate) fn start(world: &SoakWorld, count: usize, seed: u64) -> SoakCallers {
-    let ledger = Arc::new(Mutex::new(SoakLedger::new(count)));
+pub(crate) fn start(environment: &SoakEnvironment, count: usize, seed: u64) -> SoakCallers {
+    let history = Arc::new(Mutex::new(SoakHistory::new(count)));
     let stop = Arc::new(AtomicBool::new(false));
     let tasks = (0..count).map(|number| {
         let caller = SoakCaller {
             number,
-            addresses: world.addresses(),
-            ledger: Arc::clone(&ledger),
+            addresses: environment.addresses(),
+            history: Arc::clone(&history),
             rng: StdRng::seed_from_u64(seed * 1000 + number as u64),
             next: 0,
         };
@@ -63,19 +63,19 @@
         tokio::spawn(async move { caller.run(&stop).await })
     });
     let tasks = tasks.collect();
-    SoakCallers { ledger, stop, tasks }
+    SoakCallers { history, stop, tasks }
 }
 
 struct SoakCaller {
     number: usize,
     addresses: Vec<SocketAddr>,
-    ledger: Arc<Mutex<SoakLedger>>,
+    history: Arc<Mutex<SoakHistory>>,
     rng: StdRng,
     next: u64,
 }
 
 /// One open session.
-struct Session {
+struct CallerSession {
     client: LineClient,
     database: &'static str,
     /// The caller's last value that this session knows to be written.
@@ -83,22 +83,22 @@
 }
 
 /// What a caller knows after a statement.
-enum Said {
+enum StatementResult {
     Reply(LineReply),
-    Nothing,
+    NoReply,
 }
 
-impl Said {
+impl StatementResult {
     /// What became of a write that was answered so.
-    fn fate(&self) -> WriteFate {
+    fn outcome(&self) -> WriteOutcome {
         match self {
-            Self::Nothing => WriteFate::Unknown,
-            Self::Reply(reply) if reply.is_done() => WriteFate::Acknowledged,
+            Self::NoReply => WriteOutcome::Unknown,
+            Self::Reply(reply) if reply.is_done() => WriteOutcome::Acknowledged,
             Self::Reply(reply) => match reply.code() {
                 "BUSY" | "ABORTED" | "LAGGING" | "READONLY" | "MISROUTED" | "CONNLIMIT" => {
-                    WriteFate::Refused
+                    WriteOutcome::Refused
                 }
-                _ => WriteFate::Unknown,
+                _ => WriteOutcome::Unknown,
             },
         }
     }
@@ -108,9 +108,10 @@
     async fn run(mut self, stop: &AtomicBool) {
         while !stop.load(Ordering::Relaxed) {
             if let Some(mut session) = self.connect().await {
-                for _ in 0..SESSION_LENGTH {
-                    let goes_on = !stop.load(Ordering::Relaxed) && self.operate(&mut session).await;
-                    if !goes_on {
+                for _ in 0..SESSION_OPERATIONS_MAX {
+                    let usable =
+                        !stop.load(Ordering::Relaxed) && self.run_operation(&mut session).await;
+                    if !usable {
                         break;
                     }
                     self.pause().await;
@@ -121,24 +122,24 @@
     }
 
     async fn pause(&mut self) {
-        let pause = Duration::from_millis(self.rng.random_range(PAUSE_MS));
+        let pause = Duration::from_millis(self.rng.random_range(OPERATION_PAUSE_MS));
         tokio::time::sleep(pause).await;
     }
 
-    async fn connect(&mut self) -> Option<Session> {
+    async fn connect(&mut self) -> Option<CallerSession> {
         let address = self.addresses[self.rng.random_range(0..self.addresses.len())];
         let database = [STRICT, BOUNDED, OWN][self.rng.random_range(0..3)];
         let hello = format!("{database} caller{}", self.number);
         let connect = LineClient::connect(address, &hello);
-        let connected = tokio::time::timeout(ANSWER_LIMIT, connect).await;
+        let connected = tokio::time::timeout(REPLY_TIMEOUT, connect).await;
         let Ok(Ok((client, line))) = connected else { return None };
         if !line.starts_with("READY") {
             return None;
         }
-        let mut session = Session { client, database, written: 0 };
+        let mut session = CallerSession { client, database, written: 0 };
         let set = format!("SET who caller{}", self.number);
-        match self.say(&mut session, &set).await {
-            (_, Said::Reply(reply)) if reply.is_done() => Some(session),
+        match self.run_statement(&mut session, &set).await {
+            (_, StatementResult::Reply(reply)) if reply.is_done() => Some(session),
             _ => None,
         }
     }
@@ -148,98 +149,102 @@
         (self.next, format!("c{}n{}", self.number, self.next))
     }
 
-    async fn say(&mut self, session: &mut Session, text: &str) -> (String, Said) {
+    async fn run_statement(
+        &mut self,
+        session: &mut CallerSession,
+        text: &str,
+    ) -> (String, StatementResult) {
         let (_, id) = self.next_id();
-        let said = say(session, &id, text).await;
-        (id, said)
+        let result = run_statement(session, &id, text).await;
+        (id, result)
     }
 
     /// One operation; returns whether the session goes on.
-    async fn operate(&mut self, session: &mut Session) -> bool {
+    async fn run_operation(&mut self, session: &mut CallerSession) -> bool {
         match self.rng.random_range(0..10) {
             0..3 => self.write(session).await,
-            3..5 => self.transact(session).await,
+            3..5 => self.write_pair(session).await,
             _ => self.read(session).await,
         }
     }
 
-    async fn write(&mut self, session: &mut Session) -> bool {
+    async fn write(&mut self, session: &mut CallerSession) -> bool {
         let (value, id) = self.next_id();
         let item = format!("item{}", self.number);
-        let said = say(session, &id, &format!("WRITE {item} {value}")).await;
-        let fate = said.fate();
-        lock(&self.ledger).note_write(self.number, &id, value, fate);
-        if fate == WriteFate::Acknowledged {
+        let result = run_statement(session, &id, &format!("WRITE {item} {value}")).await;
+        let outcome = result.outcome();
+        lock(&self.history).record_write(self.number, &id, value, outcome);
+        if outcome == WriteOutcome::Acknowledged {
             session.written = value;
         }
-        is_idle(&said)
+        is_idle(&result)
     }
 
     /// Two writes that are kept together or not at all.
-    async fn transact(&mut self, session: &mut Session) -> bool {
-        if !is_open(&self.say(session, "BEGIN").await.1) {
+    async fn write_pair(&mut self, session: &mut CallerSession) -> bool {
+        if !is_open(&self.run_statement(session, "BEGIN").await.1) {
             return false;
         }
         let mut writes = Vec::new();
         for half in ["a", "b"] {
             let (value, id) = self.next_id();
             let item = format!("pair{}{half}", self.number);
-            let said = say(session, &id, &format!("WRITE {item} {value}")).await;
+            let result = run_statement(session, &id, &format!("WRITE {item} {value}")).await;
             writes.push(id);
-            if !is_open(&said) {
+            if !is_open(&result) {
                 // Nothing was committed, whatever became of the statement.
-                lock(&self.ledger).note_pair(&writes, WriteFate::Refused);
+                lock(&self.history).record_pair(&writes, WriteOutcome::Refused);
                 return false;
             }
             self.pause().await;
         }
         let rolls_back = self.rng.random_range(0..5) == 0;
         let text = if rolls_back { "ROLLBACK" } else { "COMMIT" };
-        let (_, said) = self.say(session, text).await;
-        let fate = if rolls_back { WriteFate::Refused } else { said.fate() };
-        lock(&self.ledger).note_pair(&writes, fate);
-        is_idle(&said)
+        let (_, result) = self.run_statement(session, text).await;
+        let outcome = if rolls_back { WriteOutcome::Refused } else { result.outcome() };
+        lock(&self.history).record_pair(&writes, outcome);
+        is_idle(&result)
     }
 
-    async fn read(&mut self, session: &mut Session) -> bool {
-        let count = lock(&self.ledger).caller_count();
+    async fn read(&mut self, session: &mut CallerSession) -> bool {
+        let count = lock(&self.history).caller_count();
         let other = self.rng.random_range(0..count);
-        let bound = bound_of(session.database);
+        let staleness_limit = staleness_limit_of(session.database);
         let own = if other == self.number && session.database == OWN { session.written } else { 0 };
-        let needs = lock(&self.ledger).needs_of(other, Instant::now(), bound);
-        let (id, said) = self.say(session, &format!("READ item{other}")).await;
-        if let Said::Reply(reply) = &said
+        let required = lock(&self.history).required_writes(other, Instant::now(), staleness_limit);
+        let (id, result) = self.run_statement(session, &format!("READ item{other}")).await;
+        if let StatementResult::Reply(reply) = &result
             && reply.is_done()
         {
             let row = reply.rows.first().cloned().unwrap_or_default();
-            let note = ReadNote {
+            let record = ReadRecord {
                 id,
                 reader: self.number,
                 database: session.database,
                 item: other,
-                needs,
+                required,
                 own,
                 row,
                 outcome: reply.outcome.clone(),
             };
-            lock(&self.ledger).note_read(note);
+            lock(&self.history).record_read(record);
         }
-        is_idle(&said)
+        is_idle(&result)
     }
 }
 
-async fn say(session: &mut Session, id: &str, text: &str) -> Said {
+async fn run_statement(session: &mut CallerSession, id: &str, text: &str) -> StatementResult {
     let query = session.client.query(id, text);
-    match tokio::time::timeout(ANSWER_LIMIT, query).await {
-        Ok(Ok(reply)) => Said::Reply(reply),
-        Ok(Err(_)) | Err(_) => Said::Nothing,
+    match tokio::time::timeout(REPLY_TIMEOUT, query).await {
+        Ok(Ok(reply)) => StatementResult::Reply(reply),
+        Ok(Err(_)) | Err(_) => StatementResult::NoReply,
     }
 }
 
-fn is_idle(said: &Said) -> bool {
-    matches!(said, Said::Reply(reply) if reply.state() == "I")
+fn is_idle(result: &StatementResult) -> bool {
+    matches!(result, StatementResult::Reply(reply) if reply.state() == "I")
 }
 
-fn is_open(said: &Said) -> bool {
-    matches!(said, Said::Reply(reply) if reply.is_done() && reply.state() == "T")
+fn is_open(result: &StatementResult) -> bool {
+    matches!(result, StatementResult::Reply(reply) if reply.is_done() && reply.state() == "T")
 }
--- a/crates/arbutusrudder/tests/soak/checks.rs
+++ b/crates/arbutusrudder/tests/soak/checks.rs
@@ -1,6 +1,6 @@
 //! What callers saw, held against the promises and against what the group kept.
 
-use super::world::{ACCOUNT_LIMIT, account_of, is_limited};
+use super::environment::{ACCOUNT_LIMIT, account_of, is_limited};
 use rudder_standins::{LineCommit, LineGroup, LineRun};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 const LIMIT_WINDOW: Duration = Duration::from_secs(5);
 
 /// Operations that a limited account may run in it: a tenth and twenty more than its limit.
-const OPERATIONS_MAX: usize = {
+const WINDOW_OPERATIONS_MAX: usize = {
     let limit = (ACCOUNT_LIMIT.0 * 5 + ACCOUNT_LIMIT.1) as usize;
     limit + limit / 10 + 20
 };
 
 /// What a caller may conclude about a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WriteFate {
+pub(crate) enum WriteOutcome {
     /// It is kept.
     Acknowledged,
     /// It is not kept.
@@ -27,7 +27,7 @@
 
 /// A write that was acknowledged.
 #[derive(Clone, Debug)]
-struct KeptWrite {
+struct AcknowledgedWrite {
     id: String,
     value: u64,
     at: Instant,
@@ -35,14 +35,14 @@
 
 /// A read that was served.
 #[derive(Clone, Debug)]
-pub(crate) struct ReadNote {
+pub(crate) struct ReadRecord {
     pub(crate) id: String,
     pub(crate) reader: usize,
     pub(crate) database: &'static str,
     /// The caller whose item was read.
     pub(crate) item: usize,
     /// The writes that it must see, newest last, as far as no promotion cut them back.
-    pub(crate) needs: Vec<(String, u64)>,
+    pub(crate) required: Vec<(String, u64)>,
     /// The value that the session itself had written.
     pub(crate) own: u64,
     /// The row: data, a bar, and the session's values.
@@ -52,53 +52,60 @@
 
 /// What all callers saw.
 #[derive(Debug, Default)]
-pub(crate) struct SoakLedger {
+pub(crate) struct SoakHistory {
     /// By caller, in the order of the values, which only grow.
-    kept: Vec<Vec<KeptWrite>>,
-    fates: Vec<(String, WriteFate)>,
-    pairs: Vec<(Vec<String>, WriteFate)>,
-    reads: Vec<ReadNote>,
+    acknowledged: Vec<Vec<AcknowledgedWrite>>,
+    outcomes: Vec<(String, WriteOutcome)>,
+    pairs: Vec<(Vec<String>, WriteOutcome)>,
+    reads: Vec<ReadRecord>,
 }
 
-impl SoakLedger {
+impl SoakHistory {
     pub(crate) fn new(callers: usize) -> Self {
-        Self { kept: vec![Vec::new(); callers], ..Self::default() }
+        Self { acknowledged: vec![Vec::new(); callers], ..Self::default() }
     }
 
     pub(crate) fn caller_count(&self) -> usize {
-        self.kept.len()
+        self.acknowledged.len()
     }
 
-    pub(crate) fn note_write(&mut self, caller: usize, id: &str, value: u64, fate: WriteFate) {
-        self.fates.push((id.to_owned(), fate));
-        if fate == WriteFate::Acknowledged {
-            let write = KeptWrite { id: id.to_owned(), value, at: Instant::now() };
-            self.kept[caller].push(write);
+    pub(crate) fn record_write(
+        &mut self,
+        caller: usize,
+        id: &str,
+        value: u64,
+        outcome: WriteOutcome,
+    ) {
+        self.outcomes.push((id.to_owned(), outcome));
+        if outcome == WriteOutcome::Acknowledged {
+            let write = AcknowledgedWrite { id: id.to_owned(), value, at: Instant::now() };
+            self.acknowledged[caller].push(write);
         }
     }
 
-    pub(crate) fn note_pair(&mut self, ids: &[String], fate: WriteFate) {
-        self.fates.extend(ids.iter().map(|id| (id.clone(), fate)));
-        self.pairs.push((ids.to_vec(), fate));
+    pub(crate) fn record_pair(&mut self, ids: &[String], outcome: WriteOutcome) {
+        self.outcomes.extend(ids.iter().map(|id| (id.clone(), outcome)));
+        self.pairs.push((ids.to_vec(), outcome));
     }
 
     /// What a read that starts now must see of an item.
-    pub(crate) fn needs_of(
+    pub(crate) fn required_writes(
         &self,
         caller: usize,
         now: Instant,
-        bound: Duration,
+        staleness_limit: Duration,
     ) -> Vec<(String, u64)> {
-        let due = self.kept[caller].iter().filter(|write| write.at + bound <= now);
+        let due =
+            self.acknowledged[caller].iter().filter(|write| write.at + staleness_limit <= now);
         due.map(|write| (write.id.clone(), write.value)).collect()
     }
 
-    fn fate_of(&self, id: &str) -> Option<WriteFate> {
-        self.fates.iter().find(|(known, _)| known == id).map(|(_, fate)| *fate)
+    fn outcome_of(&self, id: &str) -> Option<WriteOutcome> {
+        self.outcomes.iter().find(|(known, _)| known == id).map(|(_, outcome)| *outcome)
     }
 
-    pub(crate) fn note_read(&mut self, note: ReadNote) {
-        self.reads.push(note);
+    pub(crate) fn record_read(&mut self, record: ReadRecord) {
+        self.reads.push(record);
     }
 }
 
@@ -110,8 +117,8 @@
     pub(crate) refused: usize,
     pub(crate) reads: usize,
     pub(crate) promotions: usize,
-    pub(crate) cut_back: usize,
-    pub(crate) broken: Vec<String>,
+    pub(crate) discarded: usize,
+    pub(crate) violations: Vec<String>,
 }
 
 impl fmt::Display for SoakReport {
@@ -125,55 +132,61 @@
             self.unknown,
             self.reads,
             self.promotions,
-            self.cut_back,
-            self.broken.len()
+            self.discarded,
+            self.violations.len()
         )
     }
 }
 
 impl SoakReport {
-    pub(crate) fn of(ledger: &SoakLedger, group: &LineGroup) -> Self {
-        let mut cut_back = group.cut_back();
-        cut_back.sort_unstable();
+    pub(crate) fn of(history: &SoakHistory, group: &LineGroup) -> Self {
+        let mut discarded = group.cut_back();
+        discarded.sort_unstable();
         let tokens = group.tokens();
-        let count = |fate| ledger.fates.iter().filter(|(_, known)| *known == fate).count();
+        let count =
+            |outcome| history.outcomes.iter().filter(|(_, known)| *known == outcome).count();
         let mut report = Self {
-            served: count(WriteFate::Acknowledged),
-            unknown: count(WriteFate::Unknown),
-            refused: count(WriteFate::Refused),
-            reads: ledger.reads.len(),
+            served: count(WriteOutcome::Acknowledged),
+            unknown: count(WriteOutcome::Unknown),
+            refused: count(WriteOutcome::Refused),
+            reads: history.reads.len(),
             promotions: tokens.len(),
-            cut_back: cut_back.len(),
-            broken: Vec::new(),
+            discarded: discarded.len(),
+            violations: Vec::new(),
         };
         if !tokens.is_sorted() {
-            report.broken.push(format!("fencing tokens went down: {tokens:?}"));
+            report.violations.push(format!("fencing tokens went down: {tokens:?}"));
         }
-        report.check_writes(ledger, &group.commits(), &cut_back);
-        report.check_pairs(ledger, &group.commits());
+        report.check_writes(history, &group.commits(), &discarded);
+        report.check_pairs(history, &group.commits());
         report.check_accounts(&group.runs());
-        for note in &ledger.reads {
-            report.check_read(note, &cut_back, ledger);
+        for record in &history.reads {
+            report.check_read(record, &discarded, history);
         }
         report
     }
 
     /// An accepted write is there once, a refused one is not there.
-    fn check_writes(&mut self, ledger: &SoakLedger, commits: &[LineCommit], cut_back: &[String]) {
-        let mut kept: Vec<&str> =
+    fn check_writes(
+        &mut self,
+        history: &SoakHistory,
+        commits: &[LineCommit],
+        discarded: &[String],
+    ) {
+        let mut committed: Vec<&str> =
             commits.iter().flat_map(|commit| &commit.writes).map(|(id, ..)| id.as_str()).collect();
-        kept.sort_unstable();
-        let twice = kept.windows(2).filter(|pair| pair[0] == pair[1]);
-        self.broken.extend(twice.map(|pair| format!("{} took effect twice", pair[0])));
-        for (id, fate) in &ledger.fates {
-            let there = kept.binary_search(&id.as_str()).is_ok();
-            let cut = cut_back.binary_search(id).is_ok();
-            match fate {
-                WriteFate::Acknowledged if !there && !cut => {
-                    self.broken.push(format!("{id} was acknowledged and is gone"));
+        committed.sort_unstable();
+        let twice = committed.windows(2).filter(|pair| pair[0] == pair[1]);
+        self.violations.extend(twice.map(|pair| format!("{} took effect twice", pair[0])));
+        for (id, outcome) in &history.outcomes {
+            let is_committed = committed.binary_search(&id.as_str()).is_ok();
+            let is_discarded = discarded.binary_search(id).is_ok();
+            match outcome {
+                WriteOutcome::Acknowledged if !is_committed && !is_discarded => {
+                    self.violations.push(format!("{id} was acknowledged and is gone"));
                 }
-                WriteFate::Refused if there => {
-                    self.broken.push(format!("{id} was refused and is there"));
+                WriteOutcome::Refused if is_committed => {
+                    self.violations.push(format!("{id} was refused and is there"));
                 }
                 _ => {}
             }
@@ -190,7 +203,7 @@
         for run in runs {
             let Some(caller) = caller_of(run) else { continue };
             if run.user != account_of(&format!("caller{caller}")) {
-                self.broken.push(format!("{} ran in the name of {}", run.id, run.user));
+                self.violations.push(format!("{} ran in the name of {}", run.id, run.user));
             }
             if run.begins && is_limited(caller) {
                 operations.push((caller, &run.id, run.at));
@@ -205,48 +218,51 @@
                 of_caller.iter().filter(|(.., at)| (from..from + LIMIT_WINDOW).contains(at)).count()
             };
             let most = of_caller.iter().map(|(.., at)| within(*at)).max().unwrap_or(0);
-            if most > OPERATIONS_MAX {
+            if most > WINDOW_OPERATIONS_MAX {
                 let caller = of_caller[0].0;
-                self.broken.push(format!("{most} operations of caller{caller} ran in a window"));
+                self.violations
+                    .push(format!("{most} operations of caller{caller} ran in a window"));
             }
         }
     }
 
     /// A transaction is kept as one commit.
-    fn check_pairs(&mut self, ledger: &SoakLedger, commits: &[LineCommit]) {
+    fn check_pairs(&mut self, history: &SoakHistory, commits: &[LineCommit]) {
         let commit_of = |id: &String| {
             commits.iter().position(|commit| commit.writes.iter().any(|(known, ..)| known == id))
         };
-        for (ids, _) in ledger.pairs.iter().filter(|(ids, _)| ids.len() == 2) {
+        for (ids, _) in history.pairs.iter().filter(|(ids, _)| ids.len() == 2) {
             if commit_of(&ids[0]) != commit_of(&ids[1]) {
-                self.broken.push(format!("{ids:?} were not kept together"));
+                self.violations.push(format!("{ids:?} were not kept together"));
             }
         }
     }
 
-    fn check_read(&mut self, note: &ReadNote, cut_back: &[String], ledger: &SoakLedger) {
-        let (data, values) = note.row.split_once('|').unwrap_or(("", ""));
+    fn check_read(&mut self, record: &ReadRecord, discarded: &[String], history: &SoakHistory) {
+        let (data, values) = record.row.split_once('|').unwrap_or(("", ""));
         let seen: u64 = data.parse().unwrap_or(0);
-        // A write of unknown fate may arrive late, after one of the same caller that was
+        // A write of unknown outcome may arrive late, after one of the same caller that was
         // acknowledged meanwhile, and then its value is the last one.
-        let late = ledger.fate_of(&format!("c{}n{seen}", note.item)) == Some(WriteFate::Unknown);
-        let alive = |(id, _): &&(String, u64)| cut_back.binary_search(id).is_err();
-        let need = note.needs.iter().rfind(alive).map_or(0, |(_, value)| *value);
-        if seen < need && !late {
-            self.broken.push(format!(
-                "{} at {} saw {seen} of item {} and must see {need}",
-                note.id, note.database, note.item
+        let late =
+            history.outcome_of(&format!("c{}n{seen}", record.item)) == Some(WriteOutcome::Unknown);
+        let survives = |(id, _): &&(String, u64)| discarded.binary_search(id).is_err();
+        let minimum = record.required.iter().rfind(survives).map_or(0, |(_, value)| *value);
+        if seen < minimum && !late {
+            self.violations.push(format!(
+                "{} at {} saw {seen} of item {} and must see {minimum}",
+                record.id, record.database, record.item
             ));
         }
-        let own_id = format!("c{}n{}", note.item, note.own);
-        if seen < note.own && !late && cut_back.binary_search(&own_id).is_err() {
-            self.broken.push(format!("{} saw {seen} and not its own {}", note.id, note.own));
+        let own_id = format!("c{}n{}", record.item, record.own);
+        if seen < record.own && !late && discarded.binary_search(&own_id).is_err() {
+            self.violations
+                .push(format!("{} saw {seen} and not its own {}", record.id, record.own));
         }
-        if values != format!("who=caller{}", note.reader) {
-            self.broken.push(format!("{} ran with the values {values:?}", note.id));
+        if values != format!("who=caller{}", record.reader) {
+            self.violations.push(format!("{} ran with the values {values:?}", record.id));
         }
-        if !note.outcome.ends_with(&format!(".{}", note.id)) {
-            self.broken.push(format!("{} got the answer {:?}", note.id, note.outcome));
+        if !record.outcome.ends_with(&format!(".{}", record.id)) {
+            self.violations.push(format!("{} got the answer {:?}", record.id, record.outcome));
         }
     }
 }
--- a/crates/arbutusrudder/tests/soak/environment.rs
+++ b/crates/arbutusrudder/tests/soak/environment.rs
@@ -1,6 +1,6 @@
 //! What surrounds the programs, and carrying faults out on it.
 
-use super::faults::{LinkHarm, SoakFault, SoakPlan, TimedSoakFault};
+use super::faults::{LinkFailure, SoakFault, SoakPlan, TimedSoakFault};
 use super::process::{ProcessFiles, ProcessSignal, SoakProcess};
 use rudder_standins::{
     LineAccount, LineClient, LineDatabase, LineEntry, LineFleet, LineKind, LineSeat, LinkDirection,
@@ -49,23 +49,23 @@
 }
 
 /// How far replicas are behind when nothing is wrong.
-const USUAL_LAG: Duration = Duration::from_millis(15);
+const DEFAULT_LAG: Duration = Duration::from_millis(15);
 
 /// The pause between two entries of a member, and how long one that is down stays in the list.
-const ENTRY_GAP: Duration = Duration::from_millis(150);
-const ENTRY_LIFE: Duration = Duration::from_millis(1200);
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(150);
+const REGISTRATION_EXPIRY: Duration = Duration::from_millis(1200);
 
 /// The pause between two looks, and how many are made before a run counts as stuck.
-const LOOK_GAP: Duration = Duration::from_millis(50);
-const LOOKS_MAX: u32 = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const POLLS_MAX: u32 = 600;
 
 /// The most time for one probe: a process that stands still accepts connections and answers none.
-const PROBE_LIMIT: Duration = Duration::from_secs(5);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Counts probes, so that each has an id of its own.
 static PROBES: AtomicU64 = AtomicU64::new(0);
 
-struct Seat {
+struct SoakInstance {
     seat: LineSeat,
     files: ProcessFiles,
     process: Mutex<Option<SoakProcess>>,
@@ -73,64 +73,64 @@
 }
 
 /// Programs, links, store and group of one run.
-pub(crate) struct SoakWorld {
+pub(crate) struct SoakEnvironment {
     pub(crate) fleet: LineFleet,
-    seats: Vec<Seat>,
+    instances: Vec<SoakInstance>,
     member_links: Vec<LinkStandin>,
     leaving: Mutex<Option<String>>,
-    settings: AtomicU64,
-    keep: AtomicBool,
+    settings_version: AtomicU64,
+    keep_logs_on_drop: AtomicBool,
     publisher: Mutex<Option<JoinHandle<()>>>,
 }
 
-impl SoakWorld {
-    pub(crate) async fn start(seed: u64, instances: usize) -> Arc<Self> {
-        let fleet = LineFleet::start(SERVICE, USUAL_LAG).await.expect("store and group start");
+impl SoakEnvironment {
+    pub(crate) async fn start(seed: u64, instance_count: usize) -> Arc<Self> {
+        let fleet = LineFleet::start(SERVICE, DEFAULT_LAG).await.expect("store and group start");
         fleet.set_accounts(accounts());
         let mut member_links = Vec::new();
         for member in fleet.group.members() {
             member_links.push(link_to(member.address).await);
         }
-        let mut seats = Vec::new();
-        for number in 0..instances {
+        let mut instances = Vec::new();
+        for number in 0..instance_count {
             let seat = LineFleet::seat(number);
             let files = ProcessFiles::new(seed, &seat);
             let store_link = link_to(fleet.store.address()).await;
             let boot = fleet.boot_text(&seat, store_link.address());
             std::fs::write(&files.settings, boot).expect("a settings file is written");
             let process = Mutex::new(Some(SoakProcess::start(&files)));
-            seats.push(Seat { seat, files, process, store_link });
+            instances.push(SoakInstance { seat, files, process, store_link });
         }
-        let world = Arc::new(Self {
+        let environment = Arc::new(Self {
             fleet,
-            seats,
+            instances,
             member_links,
             leaving: Mutex::default(),
-            settings: AtomicU64::new(0),
-            keep: AtomicBool::new(false),
+            settings_version: AtomicU64::new(0),
+            keep_logs_on_drop: AtomicBool::new(false),
             publisher: Mutex::default(),
         });
-        world.change_settings();
-        let publisher = tokio::spawn(publish_members(Arc::downgrade(&world)));
-        *lock(&world.publisher) = Some(publisher);
-        world
+        environment.change_settings();
+        let publisher = tokio::spawn(publish_members(Arc::downgrade(&environment)));
+        *lock(&environment.publisher) = Some(publisher);
+        environment
     }
 
     /// Where the instances listen for callers.
     pub(crate) fn addresses(&self) -> Vec<std::net::SocketAddr> {
-        self.seats.iter().map(|seat| seat.seat.callers).collect()
+        self.instances.iter().map(|instance| instance.seat.callers).collect()
     }
 
     /// Keeps the logs of the programs.
     pub(crate) fn keep_logs(&self) {
-        self.keep.store(true, Ordering::Relaxed);
-        for seat in &self.seats {
-            println!("log kept: {}", seat.files.log.display());
+        self.keep_logs_on_drop.store(true, Ordering::Relaxed);
+        for instance in &self.instances {
+            println!("log kept: {}", instance.files.log.display());
         }
     }
 
     fn change_settings(&self) {
-        let version = self.settings.fetch_add(3, Ordering::Relaxed) + 3;
+        let version = self.settings_version.fetch_add(3, Ordering::Relaxed) + 3;
         let database =
             |name: &str, kind| LineDatabase { name: name.to_owned(), kind, public: false };
         self.fleet.publish_settings(
@@ -145,12 +145,12 @@
     }
 
     /// Carries the plan out; faults overlap.
-    pub(crate) async fn play(self: &Arc<Self>, plan: &SoakPlan) {
+    pub(crate) async fn run(self: &Arc<Self>, plan: &SoakPlan) {
         let started_at = Instant::now();
         let mut running = tokio::task::JoinSet::new();
         for fault in &plan.faults {
             tokio::time::sleep(fault.at.saturating_sub(started_at.elapsed())).await;
-            running.spawn(carry_out(Arc::clone(self), *fault));
+            running.spawn(inject_fault(Arc::clone(self), *fault));
         }
         while let Some(ended) = running.join_next().await {
             ended.expect("a fault is carried out");
@@ -158,66 +158,66 @@
     }
 
     /// Ends all faults, and starts what does not run.
-    pub(crate) async fn heal(&self) {
+    pub(crate) async fn restore(&self) {
         self.fleet.store.set_fault(ObjectsFault::None);
-        self.fleet.group.set_lag(USUAL_LAG);
+        self.fleet.group.set_lag(DEFAULT_LAG);
         *lock(&self.leaving) = None;
         for (index, link) in self.member_links.iter().enumerate() {
             self.fleet.group.resume(index);
-            heal_link(link);
+            restore_link(link);
         }
-        for seat in &self.seats {
-            heal_link(&seat.store_link);
-            signal(seat, ProcessSignal::Resume);
-            start_again_if_ended(seat).await;
+        for instance in &self.instances {
+            restore_link(&instance.store_link);
+            signal(instance, ProcessSignal::Resume);
+            restart_if_ended(instance).await;
         }
     }
 
     /// Waits until each instance takes a write and serves each kind of read.
-    pub(crate) async fn await_served(&self) {
-        for seat in &self.seats {
+    pub(crate) async fn await_serving(&self) {
+        for instance in &self.instances {
             for database in [STRICT, BOUNDED, OWN] {
-                self.await_database(seat, database).await;
+                self.await_database(instance, database).await;
             }
         }
     }
 
-    async fn await_database(&self, seat: &Seat, database: &str) {
-        for _ in 0..LOOKS_MAX {
-            if serves(seat, database).await {
+    async fn await_database(&self, instance: &SoakInstance, database: &str) {
+        for _ in 0..POLLS_MAX {
+            if serves(instance, database).await {
                 return;
             }
-            tokio::time::sleep(LOOK_GAP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.keep_logs();
-        panic!("{} does not serve {database}", seat.seat.number);
+        panic!("{} does not serve {database}", instance.seat.number);
     }
 }
 
-impl Drop for SoakWorld {
+impl Drop for SoakEnvironment {
     fn drop(&mut self) {
         if let Some(publisher) = lock(&self.publisher).take() {
             publisher.abort();
         }
-        for seat in &self.seats {
-            *lock(&seat.process) = None;
-            if !self.keep.load(Ordering::Relaxed) {
+        for instance in &self.instances {
+            *lock(&instance.process) = None;
+            if !self.keep_logs_on_drop.load(Ordering::Relaxed) {
                 // A file that is gone already needs no removal.
-                let _ = std::fs::remove_file(&seat.files.log);
-                let _ = std::fs::remove_file(&seat.files.settings);
+                let _ = std::fs::remove_file(&instance.files.log);
+                let _ = std::fs::remove_file(&instance.files.settings);
             }
         }
     }
 }
 
 /// Whether an instance takes a write and serves a read of a database.
-async fn serves(seat: &Seat, database: &str) -> bool {
-    tokio::time::timeout(PROBE_LIMIT, probe(seat, database)).await.unwrap_or(false)
+async fn serves(instance: &SoakInstance, database: &str) -> bool {
+    tokio::time::timeout(PROBE_TIMEOUT, probe(instance, database)).await.unwrap_or(false)
 }
 
-async fn probe(seat: &Seat, database: &str) -> bool {
+async fn probe(instance: &SoakInstance, database: &str) -> bool {
     let Ok((mut client, line)) =
-        LineClient::connect(seat.seat.callers, &format!("{database} probe")).await
+        LineClient::connect(instance.seat.callers, &format!("{database} probe")).await
     else {
         return false;
     };
@@ -234,125 +234,125 @@
     LinkStandin::start(&LinkSettings::loopback(target)).await.expect("a link starts")
 }
 
-fn heal_link(link: &LinkStandin) {
+fn restore_link(link: &LinkStandin) {
     link.heal();
     link.set_delay(Duration::ZERO, Duration::ZERO);
 }
 
-fn signal(seat: &Seat, signal: ProcessSignal) {
-    if let Some(process) = lock(&seat.process).as_mut() {
+fn signal(instance: &SoakInstance, signal: ProcessSignal) {
+    if let Some(process) = lock(&instance.process).as_mut() {
         process.signal(signal);
     }
 }
 
 /// Starts a new process once one that was told to stop has ended, or where none runs.
-async fn start_again_if_ended(seat: &Seat) {
-    for _ in 0..LOOKS_MAX {
+async fn restart_if_ended(instance: &SoakInstance) {
+    for _ in 0..POLLS_MAX {
         {
-            let mut process = lock(&seat.process);
+            let mut process = lock(&instance.process);
             let ended = process.as_mut().is_none_or(SoakProcess::has_ended);
             if ended {
-                *process = Some(SoakProcess::start(&seat.files));
+                *process = Some(SoakProcess::start(&instance.files));
             }
             if process.as_ref().is_some_and(|process| !process.is_stopping()) {
                 return;
             }
         }
-        tokio::time::sleep(LOOK_GAP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn carry_out(world: Arc<SoakWorld>, timed: TimedSoakFault) {
+async fn inject_fault(environment: Arc<SoakEnvironment>, timed: TimedSoakFault) {
     match timed.fault {
         SoakFault::Kill(index) => {
-            let seat = &world.seats[index];
-            *lock(&seat.process) = None;
+            let instance = &environment.instances[index];
+            *lock(&instance.process) = None;
             tokio::time::sleep(timed.length).await;
-            lock(&seat.process).get_or_insert_with(|| SoakProcess::start(&seat.files));
+            lock(&instance.process).get_or_insert_with(|| SoakProcess::start(&instance.files));
         }
         SoakFault::Pause(index) => {
-            signal(&world.seats[index], ProcessSignal::Pause);
+            signal(&environment.instances[index], ProcessSignal::Pause);
             tokio::time::sleep(timed.length).await;
-            signal(&world.seats[index], ProcessSignal::Resume);
+            signal(&environment.instances[index], ProcessSignal::Resume);
         }
         SoakFault::Restart(index) => {
-            signal(&world.seats[index], ProcessSignal::Terminate);
+            signal(&environment.instances[index], ProcessSignal::Terminate);
             tokio::time::sleep(timed.length).await;
-            start_again_if_ended(&world.seats[index]).await;
+            restart_if_ended(&environment.instances[index]).await;
         }
-        SoakFault::Reload(index) => signal(&world.seats[index], ProcessSignal::Reload),
-        SoakFault::StoreBusy => harm_store(&world, ObjectsFault::Busy, timed.length).await,
-        SoakFault::StoreLosesAnswers => {
-            harm_store(&world, ObjectsFault::LostWrites, timed.length).await;
+        SoakFault::Reload(index) => signal(&environment.instances[index], ProcessSignal::Reload),
+        SoakFault::StoreBusy => fail_store(&environment, ObjectsFault::Busy, timed.length).await,
+        SoakFault::StoreLosesReplies => {
+            fail_store(&environment, ObjectsFault::LostWrites, timed.length).await;
         }
-        SoakFault::StoreLink(index, harm) => {
-            harm_link(&world.seats[index].store_link, harm, timed.length).await;
+        SoakFault::StoreLink(index, failure) => {
+            fail_link(&environment.instances[index].store_link, failure, timed.length).await;
         }
-        SoakFault::MemberLink(index, harm) => {
-            harm_link(&world.member_links[index], harm, timed.length).await;
+        SoakFault::MemberLink(index, failure) => {
+            fail_link(&environment.member_links[index], failure, timed.length).await;
         }
         SoakFault::MemberDown(index) => {
-            let group = &world.fleet.group;
+            let group = &environment.fleet.group;
             // A group that has lost two of three members serves nobody, and shows nothing.
-            if (0..world.member_links.len()).all(|member| group.is_up(member)) {
+            if (0..environment.member_links.len()).all(|member| group.is_up(member)) {
                 group.stop(index);
                 tokio::time::sleep(timed.length).await;
                 group.resume(index);
             }
         }
         SoakFault::PrimaryLeaves => {
-            let members = world.fleet.group.members();
+            let members = environment.fleet.group.members();
             let primary = members.into_iter().find(|member| member.is_primary);
-            *lock(&world.leaving) = primary.map(|member| member.id);
+            *lock(&environment.leaving) = primary.map(|member| member.id);
             tokio::time::sleep(timed.length).await;
-            *lock(&world.leaving) = None;
+            *lock(&environment.leaving) = None;
         }
         SoakFault::Lag(lag) => {
-            world.fleet.group.set_lag(lag);
+            environment.fleet.group.set_lag(lag);
             tokio::time::sleep(timed.length).await;
-            world.fleet.group.set_lag(USUAL_LAG);
+            environment.fleet.group.set_lag(DEFAULT_LAG);
         }
-        SoakFault::SettingsChange => world.change_settings(),
+        SoakFault::SettingsChange => environment.change_settings(),
     }
 }
 
-async fn harm_store(world: &SoakWorld, fault: ObjectsFault, length: Duration) {
-    world.fleet.store.set_fault(fault);
+async fn fail_store(environment: &SoakEnvironment, fault: ObjectsFault, length: Duration) {
+    environment.fleet.store.set_fault(fault);
     tokio::time::sleep(length).await;
-    world.fleet.store.set_fault(ObjectsFault::None);
+    environment.fleet.store.set_fault(ObjectsFault::None);
 }
 
-async fn harm_link(link: &LinkStandin, harm: LinkHarm, length: Duration) {
-    match harm {
-        LinkHarm::Silent => link.cut(),
-        LinkHarm::NoAnswers => link.set_fault(LinkDirection::Backward, LinkFault::Swallow),
-        LinkHarm::Held => {
+async fn fail_link(link: &LinkStandin, failure: LinkFailure, length: Duration) {
+    match failure {
+        LinkFailure::Silent => link.cut(),
+        LinkFailure::NoReplies => link.set_fault(LinkDirection::Backward, LinkFault::Swallow),
+        LinkFailure::Held => {
             link.set_fault(LinkDirection::Forward, LinkFault::Hold);
             link.set_fault(LinkDirection::Backward, LinkFault::Hold);
         }
-        LinkHarm::Reset => link.reset(),
-        LinkHarm::Slow(delay) => link.set_delay(delay, delay / 4),
+        LinkFailure::Reset => link.reset(),
+        LinkFailure::Slow(delay) => link.set_delay(delay, delay / 4),
     }
     tokio::time::sleep(length).await;
-    heal_link(link);
+    restore_link(link);
 }
 
 /// Writes the members' entries as they would; one that is down drops out after a while.
-async fn publish_members(world: std::sync::Weak<SoakWorld>) {
-    let mut seen = [Instant::now(); 3];
+async fn publish_members(environment: std::sync::Weak<SoakEnvironment>) {
+    let mut last_up = [Instant::now(); 3];
     loop {
-        tokio::time::sleep(ENTRY_GAP).await;
-        let Some(world) = world.upgrade() else { return };
-        let leaving = lock(&world.leaving).clone();
-        for (number, member) in world.fleet.group.members().into_iter().enumerate() {
-            if world.fleet.group.is_up(number) {
-                seen[number] = Instant::now();
-                let address = world.member_links[number].address();
+        tokio::time::sleep(REGISTRATION_INTERVAL).await;
+        let Some(environment) = environment.upgrade() else { return };
+        let leaving = lock(&environment.leaving).clone();
+        for (number, member) in environment.fleet.group.members().into_iter().enumerate() {
+            if environment.fleet.group.is_up(number) {
+                last_up[number] = Instant::now();
+                let address = environment.member_links[number].address();
                 let leaving = leaving.as_ref() == Some(&member.id);
                 let entry = LineEntry { number, member, address, leaving };
-                world.fleet.publish_members(&[entry]);
-            } else if seen[number].elapsed() > ENTRY_LIFE {
-                world.fleet.store.remove("servers", &member.id);
+                environment.fleet.publish_members(&[entry]);
+            } else if last_up[number].elapsed() > REGISTRATION_EXPIRY {
+                environment.fleet.store.remove("servers", &member.id);
             }
         }
     }
--- a/crates/arbutusrudder/tests/soak/faults.rs
+++ b/crates/arbutusrudder/tests/soak/faults.rs
@@ -5,21 +5,21 @@
 use std::time::Duration;
 
 /// The pause between two faults, in milliseconds; they last longer, so that they overlap.
-const GAP_MS: std::ops::Range<u64> = 200..1400;
+const FAULT_GAP_MS: std::ops::Range<u64> = 200..1400;
 
 /// How long a fault lasts, in milliseconds.
-const LENGTH_MS: std::ops::Range<u64> = 200..3500;
+const FAULT_LENGTH_MS: std::ops::Range<u64> = 200..3500;
 
 /// Members of the group.
 const MEMBERS: usize = 3;
 
 /// What happens to a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LinkHarm {
+pub(crate) enum LinkFailure {
     /// Nothing passes, without a word; connections stay silent also afterwards.
     Silent,
     /// The same, in the direction of the answers only.
-    NoAnswers,
+    NoReplies,
     /// What is sent arrives once the fault is over.
     Held,
     /// Open connections are reset at once.
@@ -42,11 +42,11 @@
     /// The store turns everybody away.
     StoreBusy,
     /// The store does writes and does not answer them.
-    StoreLosesAnswers,
+    StoreLosesReplies,
     /// The link of an instance to the store.
-    StoreLink(usize, LinkHarm),
+    StoreLink(usize, LinkFailure),
     /// The link of all instances to a member.
-    MemberLink(usize, LinkHarm),
+    MemberLink(usize, LinkFailure),
     /// A member is down.
     MemberDown(usize),
     /// The primary says that it is leaving.
@@ -72,17 +72,17 @@
 }
 
 impl SoakPlan {
-    pub(crate) fn draw(seed: u64, time: Duration, instances: usize) -> Self {
+    pub(crate) fn generate(seed: u64, time: Duration, instances: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut faults = Vec::new();
         let mut at = Duration::ZERO;
         loop {
-            at += Duration::from_millis(rng.random_range(GAP_MS));
+            at += Duration::from_millis(rng.random_range(FAULT_GAP_MS));
             if at >= time {
                 return Self { faults };
             }
-            let length = Duration::from_millis(rng.random_range(LENGTH_MS));
-            let fault = draw_fault(&mut rng, instances);
+            let length = Duration::from_millis(rng.random_range(FAULT_LENGTH_MS));
+            let fault = generate_fault(&mut rng, instances);
             faults.push(TimedSoakFault { at, length, fault });
         }
     }
@@ -101,7 +101,7 @@
     }
 }
 
-fn draw_fault(rng: &mut StdRng, instances: usize) -> SoakFault {
+fn generate_fault(rng: &mut StdRng, instances: usize) -> SoakFault {
     let instance = rng.random_range(0..instances);
     let member = rng.random_range(0..MEMBERS);
     match rng.random_range(0..14) {
@@ -110,9 +110,9 @@
         3 => SoakFault::Restart(instance),
         4 => SoakFault::Reload(instance),
         5 => SoakFault::StoreBusy,
-        6 => SoakFault::StoreLosesAnswers,
-        7 | 8 => SoakFault::StoreLink(instance, draw_harm(rng)),
-        9 => SoakFault::MemberLink(member, draw_harm(rng)),
+        6 => SoakFault::StoreLosesReplies,
+        7 | 8 => SoakFault::StoreLink(instance, generate_link_failure(rng)),
+        9 => SoakFault::MemberLink(member, generate_link_failure(rng)),
         10 => SoakFault::MemberDown(member),
         11 => SoakFault::PrimaryLeaves,
         12 => SoakFault::Lag(Duration::from_millis(rng.random_range(50..4000))),
@@ -120,12 +120,12 @@
     }
 }
 
-fn draw_harm(rng: &mut StdRng) -> LinkHarm {
+fn generate_link_failure(rng: &mut StdRng) -> LinkFailure {
     match rng.random_range(0..5) {
-        0 => LinkHarm::Silent,
-        1 => LinkHarm::NoAnswers,
-        2 => LinkHarm::Held,
-        3 => LinkHarm::Reset,
-        _ => LinkHarm::Slow(Duration::from_millis(rng.random_range(20..400))),
+        0 => LinkFailure::Silent,
+        1 => LinkFailure::NoReplies,
+        2 => LinkFailure::Held,
+        3 => LinkFailure::Reset,
+        _ => LinkFailure::Slow(Duration::from_millis(rng.random_range(20..400))),
     }
 }
--- a/crates/arbutusrudder/tests/soak/main.rs
+++ b/crates/arbutusrudder/tests/soak/main.rs
@@ -6,14 +6,14 @@
 
 mod callers;
 mod checks;
+mod environment;
 mod faults;
 mod process;
-mod world;
 
 use checks::SoakReport;
+use environment::SoakEnvironment;
 use faults::SoakPlan;
 use std::time::Duration;
-use world::SoakWorld;
 
 /// Seeds that CI plays.
 const CI_SEEDS: [u64; 2] = [1, 2];
@@ -30,20 +30,20 @@
 /// Callers of one run.
 const CALLERS: usize = 16;
 
-async fn play(seed: u64, seconds: u64) -> SoakReport {
-    let plan = SoakPlan::draw(seed, Duration::from_secs(seconds), INSTANCES);
+async fn run(seed: u64, seconds: u64) -> SoakReport {
+    let plan = SoakPlan::generate(seed, Duration::from_secs(seconds), INSTANCES);
     println!("seed {seed}, {seconds} s: {}", plan.summary());
-    let world = SoakWorld::start(seed, INSTANCES).await;
-    world.await_served().await;
-    let callers = callers::start(&world, CALLERS, seed);
-    world.play(&plan).await;
-    world.heal().await;
-    world.await_served().await;
-    let ledger = callers.stop().await;
-    let report = SoakReport::of(&ledger, &world.fleet.group);
+    let environment = SoakEnvironment::start(seed, INSTANCES).await;
+    environment.await_serving().await;
+    let callers = callers::start(&environment, CALLERS, seed);
+    environment.run(&plan).await;
+    environment.restore().await;
+    environment.await_serving().await;
+    let history = callers.stop().await;
+    let report = SoakReport::of(&history, &environment.fleet.group);
     println!("seed {seed}: {report}");
-    if !report.broken.is_empty() {
-        world.keep_logs();
+    if !report.violations.is_empty() {
+        environment.keep_logs();
     }
     report
 }
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_while_programs_links_and_store_fail() {
+async fn guarantees_hold_while_programs_links_and_store_fail() {
     let seeds: Vec<u64> = match number("RUDDER_SOAK_SEEDS") {
         Some(count) => {
             let from = number("RUDDER_SOAK_FROM").unwrap_or(1);
@@ -63,12 +63,12 @@
     };
     let seconds = number("RUDDER_SOAK_SECONDS").unwrap_or(CI_SECONDS);
 
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for seed in seeds {
-        let report = play(seed, seconds).await;
+        let report = run(seed, seconds).await;
         assert!(report.served > 0, "seed {seed} served nothing");
-        broken.extend(report.broken.into_iter().map(|text| format!("seed {seed}: {text}")));
+        violations.extend(report.violations.into_iter().map(|text| format!("seed {seed}: {text}")));
     }
 
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/arbutusrudder/tests/soak/process.rs
+++ b/crates/arbutusrudder/tests/soak/process.rs
@@ -17,7 +17,7 @@
 }
 
 impl ProcessSignal {
-    fn word(self) -> &'static str {
+    fn argument(self) -> &'static str {
         match self {
             Self::Pause => "-STOP",
             Self::Resume => "-CONT",
@@ -69,7 +69,7 @@
         }
         self.stopping |= signal == ProcessSignal::Terminate;
         let id = self.child.id().to_string();
-        Command::new("kill").args([signal.word(), &id]).status().expect("kill starts");
+        Command::new("kill").args([signal.argument(), &id]).status().expect("kill starts");
     }
 
     /// Whether it was told to stop; it may still serve for some seconds.
