--- a/crates/arbutusrudder/src/admin/mod.rs
+++ b/crates/arbutusrudder/src/admin/mod.rs
@@ -30,7 +30,7 @@
         .route("/metrics", get(metrics_page))
         .with_state(context);
     if let Err(error) = axum::serve(listener, pages).await {
-        log::error!(target: "rudder::admin", reason:% = error; "pages no longer served");
+        log::error!(target: "rudder::admin", reason:% = error; "admin server stopped");
     }
 }
 
@@ -51,7 +51,7 @@
     let page = Router::new().route("/metrics", get(|| async { render_metrics() }));
     tokio::spawn(async move {
         if let Err(error) = axum::serve(listener, page).await {
-            log::error!(target: "rudder::admin", reason:% = error; "metrics no longer served");
+            log::error!(target: "rudder::admin", reason:% = error; "metrics server stopped");
         }
     });
     Ok(())
--- a/crates/arbutusrudder/src/error.rs
+++ b/crates/arbutusrudder/src/error.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum ProxyError {
-    /// name either a settings file with --settings, or --platform
+    /// exactly one of --settings and --platform is required
     Mode,
     /// {0}
     Process(ProcessError),
@@ -25,15 +25,15 @@
         /// What the system said.
         reason: std::io::Error,
     },
-    /// the TLS certificate or key cannot be used: {0}
+    /// cannot use the TLS certificate or key: {0}
     Tls(String),
-    /// the platform's address cannot be used: {0}
+    /// cannot use the platform's address: {0}
     Store(StoreError),
-    /// the peers' socket cannot be opened: {0}
+    /// cannot open the socket for peers: {0}
     Peers(MeshError),
-    /// the log cannot be set up: {0}
+    /// cannot set up logging: {0}
     Logs(LogError),
-    /// the runtime cannot be started: {0}
+    /// cannot start the async runtime: {0}
     Runtime(std::io::Error),
 }
 
--- a/crates/arbutusrudder/src/fleet/follow.rs
+++ b/crates/arbutusrudder/src/fleet/follow.rs
@@ -69,7 +69,7 @@
         }
         Ok(None) => true,
         Err(error) => {
-            log::warn!(target: "rudder::settings", reason:% = error; "platform gave no revision");
+            log::warn!(target: "rudder::settings", reason:% = error; "failed to poll the platform for a revision");
             false
         }
     }
@@ -94,7 +94,7 @@
                 offer_bundle(context, bundle, "peer");
             }
             Err(error) => {
-                log::warn!(target: "rudder::settings", peer:% = peer.name, reason:% = error; "peer's revision is damaged");
+                log::warn!(target: "rudder::settings", peer:% = peer.name, reason:% = error; "failed to decode a peer's revision");
             }
         }
     }
@@ -113,7 +113,7 @@
             OfferVerdict::Adopted => follower.folder().cloned(),
             OfferVerdict::NotNewer => None,
             OfferVerdict::Unusable(error) => {
-                log::error!(target: "rudder::settings", revision = number, source, reason:% = error; "revision not usable");
+                log::error!(target: "rudder::settings", revision = number, source, reason:% = error; "revision is unusable and was not adopted");
                 None
             }
         }
--- a/crates/arbutusrudder/src/logs.rs
+++ b/crates/arbutusrudder/src/logs.rs
@@ -60,9 +60,9 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum LogError {
-    /// a log level is error, warn, info or debug
+    /// the log level must be error, warn, info or debug
     UnknownLevel,
-    /// a logger was set up before
+    /// a logger is already set
     AlreadySet,
 }
 
--- a/crates/arbutusrudder/src/options.rs
+++ b/crates/arbutusrudder/src/options.rs
@@ -11,11 +11,11 @@
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} --settings /etc/arbutusrudder/process.toml",
-    note = "Sends SIGTERM once to let requests in flight finish, twice to end at once.",
-    error_code(1, "The settings are wrong, or an address cannot be used.")
+    note = "The first SIGTERM lets requests in flight finish; a second one ends the process at once.",
+    error_code(1, "The settings are invalid, or an address cannot be used.")
 )]
 struct CommandLine {
-    /// file of this process's own settings, in TOML
+    /// TOML file with the settings of this process
     #[argh(option, short = 's')]
     settings: Option<PathBuf>,
 
@@ -23,15 +23,15 @@
     #[argh(switch)]
     platform: bool,
 
-    /// least severe log lines that are written: error, warn, info or debug; default info
+    /// minimum severity of log lines: error, warn, info or debug; default info
     #[argh(option, short = 'l', default = "LogLevel::Info")]
     log: LogLevel,
 
-    /// port of the metrics page on the platform; no page without it
+    /// port of the metrics page on the platform; without it, no metrics are served
     #[argh(option)]
     metrics_port: Option<u16>,
 
-    /// check the settings and end
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
--- a/crates/arbutusrudder/src/process.rs
+++ b/crates/arbutusrudder/src/process.rs
@@ -29,7 +29,7 @@
         /// What the system said.
         reason: std::io::Error,
     },
-    /// the process settings are wrong: {0}
+    /// invalid process settings: {0}
     Invalid(String),
     /// {key} must be {expected}
     InvalidValue {
--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -325,7 +325,7 @@
             Ok((stream, _)) => return stream,
             // Out of descriptors or a caller that is gone already; neither ends the instance.
             Err(error) => {
-                log::warn!(target: "rudder::instance", reason:% = error; "caller not accepted");
+                log::warn!(target: "rudder::instance", reason:% = error; "failed to accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/arbutusrudder/src/tls.rs
+++ b/crates/arbutusrudder/src/tls.rs
@@ -54,7 +54,7 @@
         match load_certificate(&resolver.certificate, &resolver.key) {
             Ok(key) => *resolver.current.write().expect("no holder of this lock panics") = key,
             Err(error) => {
-                log::error!(target: "rudder::tls", reason:% = error; "certificate not reloaded");
+                log::error!(target: "rudder::tls", reason:% = error; "failed to reload the certificate");
             }
         }
     }
