--- a/crates/arbutusrudder/src/admin/mod.rs
+++ b/crates/arbutusrudder/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Pages for operators: health, status, metrics.
+//! HTTP server of the admin pages: health, status and metrics.
 
 mod status;
 
@@ -14,14 +14,14 @@
 use std::sync::{Arc, OnceLock};
 use tokio::net::TcpListener;
 
-/// Upper bounds in seconds of the histograms' buckets.
+/// Upper bounds of the histogram buckets, in seconds.
 const HISTOGRAM_BUCKETS: [f64; 12] =
     [0.000_1, 0.000_3, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0];
 
-/// One recorder serves all instances of a process.
+/// Metrics recorder that all instances of the process share.
 static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Serves the pages until the instance ends.
+/// Serves the admin pages until the instance ends.
 pub(crate) async fn serve_pages(listener: TcpListener, context: Arc<InstanceContext>) {
     let pages = Router::new()
         .route("/live", get(|| async { "live\n" }))
@@ -34,7 +34,7 @@
     }
 }
 
-/// Sets up the metrics of the process, once.
+/// Installs the metrics recorder of the process; later calls have no effect.
 pub(crate) fn set_up_metrics() {
     RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new().set_buckets(&HISTOGRAM_BUCKETS).ok()?;
@@ -42,7 +42,7 @@
     });
 }
 
-/// Serves the metrics alone, until the process ends.
+/// Starts a server for the metrics page only, which runs until the process ends.
 pub(crate) async fn serve_metrics(address: SocketAddr) -> Result<(), ProxyError> {
     set_up_metrics();
     let listener = TcpListener::bind(address)
--- a/crates/arbutusrudder/src/admin/status.rs
+++ b/crates/arbutusrudder/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What the status page says of an instance.
+//! Contents of the status page, and the gauges derived from them.
 
 use crate::context::InstanceContext;
 use crate::group::GroupState;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
-/// One instance.
+/// Status of an instance.
 #[derive(Debug, Serialize)]
 pub(crate) struct InstanceStatus {
     instance: String,
@@ -17,18 +17,18 @@
     groups: Vec<GroupStatus>,
 }
 
-/// One group, as the instance sees it.
+/// State of a group as this instance knows it.
 #[derive(Debug, Serialize)]
 struct GroupStatus {
     service: String,
     primary: Option<String>,
     term: Option<u64>,
-    /// Age of what is known of the primary, in milliseconds.
+    /// Age of the newest position sample of the group, in milliseconds.
     known_ms: Option<u128>,
     members: Vec<MemberSummary>,
 }
 
-/// One member.
+/// State of a member as this instance knows it.
 #[derive(Debug, Serialize)]
 struct MemberSummary {
     name: String,
@@ -38,13 +38,13 @@
     applied: Option<String>,
     health: String,
     in_flight: u32,
-    /// Open connections for callers, idle ones included.
+    /// Open connections for callers, including idle ones.
     connections: u32,
     window: u32,
 }
 
 impl InstanceStatus {
-    /// The status now.
+    /// Builds the current status.
     pub(crate) fn of(context: &InstanceContext) -> Self {
         let fleet = context.fleet.load();
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sets the gauges that follow the state of groups.
+    /// Sets the gauges that are derived from the status.
     pub(crate) fn record(&self) {
         metrics::gauge!("rudder_instances").set(f64::from(self.instances));
         for group in &self.groups {
--- a/crates/arbutusrudder/src/context.rs
+++ b/crates/arbutusrudder/src/context.rs
@@ -1,4 +1,4 @@
-//! What every caller's task of this instance shares.
+//! State that the tasks of all callers of an instance share.
 
 use crate::caller::CancelBoard;
 use crate::classify::FactsCache;
@@ -16,70 +16,70 @@
 use tokio::sync::watch;
 use tokio_rustls::TlsAcceptor;
 
-/// The settings in force, with the groups that they declare.
+/// The settings in force and the groups that they declare.
 #[derive(Default)]
 pub(crate) struct FleetState {
-    /// The revision's number; zero before any was accepted.
+    /// Revision number; zero until a revision is in force.
     pub(crate) revision: u64,
-    /// The settings.
     pub(crate) settings: FleetSettings,
-    /// The groups, sorted by service name.
+    /// Sorted by service name.
     pub(crate) groups: Vec<Arc<GroupState>>,
 }
 
 impl FleetState {
-    /// The group of a service.
+    /// Returns the group of a service.
     pub(crate) fn group(&self, service: &ServiceName) -> Option<&Arc<GroupState>> {
         let index = self.groups.binary_search_by(|group| group.service.name.cmp(service)).ok()?;
         Some(&self.groups[index])
     }
 }
 
-/// The state of one instance.
+/// Shared state of one instance.
 pub(crate) struct InstanceContext {
-    /// This process's own settings.
+    /// Settings of this process.
     pub(crate) process: ProcessSettings,
-    /// The rules by which it decides.
+    /// Routing and admission policies.
     pub(crate) policies: ProxyPolicies,
-    /// The settings in force.
+    /// Fleet settings in force.
     pub(crate) fleet: ArcSwap<FleetState>,
-    /// Remembered classifications.
+    /// Cached statement classifications.
     pub(crate) facts: FactsCache,
-    /// The callers' cancel keys.
+    /// Cancel keys of the callers.
     pub(crate) cancel: Arc<CancelBoard>,
-    /// The revision in force, with its files, for peers that ask.
+    /// Holds the revision in force with its files, which peers can fetch.
     pub(crate) follower: Mutex<RevisionFollower>,
-    /// The greatest revision number that a peer spoke of.
+    /// Greatest revision number in a peer's hint.
     pub(crate) revision_hint: watch::Sender<u64>,
-    /// Whether this instance is leaving.
+    /// Set to true when this instance starts to leave.
     pub(crate) leaving: watch::Sender<bool>,
-    /// Counts the changes of `fleet`.
+    /// Number of changes of `fleet`.
     pub(crate) fleet_changes: watch::Sender<u64>,
-    /// How many instances share the members' connections.
+    /// Number of instances that share the members' connections.
     pub(crate) instance_count: AtomicU32,
-    /// TLS towards callers, if it is set.
+    /// TLS for callers, if it is configured.
     pub(crate) tls: Option<TlsAcceptor>,
-    /// The origin of this instance's time line.
+    /// Reference point of the instance's monotonic time.
     pub(crate) origin: Instant,
 }
 
 impl InstanceContext {
-    /// This instance's name.
+    /// Returns this instance's name.
     pub(crate) fn name(&self) -> &InstanceName {
         &self.process.instance
     }
 
-    /// This instance's failure domain.
+    /// Returns this instance's failure domain.
     pub(crate) fn domain(&self) -> &DomainName {
         &self.process.domain
     }
 
-    /// How many instances share the members' connections.
+    /// Returns the number of instances that share the members' connections.
     pub(crate) fn instances(&self) -> u32 {
         self.instance_count.load(Ordering::Relaxed).max(1)
     }
 
-    /// Takes the instances that are not gone. One that is leaving still holds its connections.
+    /// Sets the number of instances in the membership. A leaving instance counts, as it still holds
+    /// its connections.
     pub(crate) fn note_instances(&self, live: &[PeerEntry]) {
         let count = u32::try_from(live.len()).unwrap_or(u32::MAX);
         self.instance_count.store(count, Ordering::Relaxed);
--- a/crates/arbutusrudder/src/error.rs
+++ b/crates/arbutusrudder/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the proxy cannot start.
+//! Errors that end the program.
 
 use crate::logs::LogError;
 use crate::process::ProcessError;
@@ -8,7 +8,7 @@
 use rudder_store::StoreError;
 use std::net::SocketAddr;
 
-/// Why the proxy cannot start or ended early.
+/// Error that keeps the proxy from starting or ends it early.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum ProxyError {
@@ -20,9 +20,9 @@
     Platform(PlatformError),
     /// cannot listen on {address}: {reason}
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
     /// cannot use the TLS certificate or key: {0}
--- a/crates/arbutusrudder/src/fleet/apply.rs
+++ b/crates/arbutusrudder/src/fleet/apply.rs
@@ -1,11 +1,11 @@
-//! Putting settings in force: groups that did not change go on as they are.
+//! Applies new settings and keeps the state of groups whose settings did not change.
 
 use crate::context::{FleetState, InstanceContext};
 use crate::group::{GroupState, GroupTuning};
 use rudder_settings::{FleetSettings, ServiceSettings};
 use std::sync::Arc;
 
-/// Puts a checked folder in force.
+/// Replaces the settings in force with validated ones.
 pub(crate) fn apply_settings(
     context: &Arc<InstanceContext>,
     revision: u64,
--- a/crates/arbutusrudder/src/fleet/follow.rs
+++ b/crates/arbutusrudder/src/fleet/follow.rs
@@ -1,4 +1,5 @@
-//! Polling the accepted revision, telling peers of a newer one, and asking them for it.
+//! Polls the platform for the accepted revision, notifies peers of a newer one and fetches it from
+//! them.
 
 use super::apply::apply_settings;
 use crate::context::InstanceContext;
@@ -9,23 +10,24 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How often the platform is asked for a newer revision, give or take [`POLL_JITTER`]: at 570
-/// instances about 130 small reads a second, a fifteenth of what the platform takes.
+/// Interval at which the platform is polled for a newer revision, plus or minus [`POLL_JITTER`].
+/// 570 instances make about 130 small reads a second, a fifteenth of what the platform can serve.
 const POLL_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// Instances that were started together must not ask together for good.
+/// Jitter of the poll interval, so that instances started together do not keep polling together.
 const POLL_JITTER: Duration = Duration::from_millis(800);
 
-/// How often an instance without any settings tries again.
+/// Poll interval of an instance that has no settings yet.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long one peer is waited for.
+/// Timeout of a request to one peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Peers asked in one round.
+/// Maximum number of peers requested in one round.
 const PEERS_PER_ROUND: usize = 3;
 
-/// Follows the accepted settings for as long as the instance runs.
+/// Keeps the settings in force up to date while the instance runs. The platform is polled; peers
+/// are requested if the platform cannot be reached or a peer's hint names a newer revision.
 pub(crate) async fn follow_settings(
     context: Arc<InstanceContext>,
     store: Arc<dyn PlatformStore>,
@@ -39,7 +41,7 @@
             fetch_from_peers(&context, &mesh).await;
         }
         let interval = poll_interval(&context);
-        // A peer's hint of a newer revision ends the pause.
+        // A peer's hint of a newer revision ends the wait early.
         let _ = timeout(interval, hints.changed()).await;
     }
 }
@@ -52,7 +54,8 @@
     POLL_INTERVAL - POLL_JITTER + (POLL_JITTER * 2).mul_f64(jitter)
 }
 
-/// Asks the platform; answers whether it could be reached.
+/// Polls the platform and returns whether it could be reached. Peers are notified of a new
+/// revision.
 async fn poll_platform(
     context: &Arc<InstanceContext>,
     store: &dyn PlatformStore,
@@ -100,7 +103,8 @@
     }
 }
 
-/// Offers a bundle to the follower, which takes only a greater number; answers whether it did.
+/// Offers a bundle to the follower, which adopts only a greater revision number, and applies its
+/// settings. Returns whether it was adopted.
 fn offer_bundle(
     context: &Arc<InstanceContext>,
     bundle: RevisionBundle,
@@ -126,7 +130,7 @@
 }
 
 impl InstanceContext {
-    /// The number of the revision in force; zero before any.
+    /// Returns the number of the revision in force; zero before the first one.
     pub(crate) fn revision_number(&self) -> u64 {
         self.follower.lock().expect("no holder of this lock panics").number().0
     }
@@ -135,7 +139,7 @@
         self.follower.lock().expect("no holder of this lock panics").bundle().cloned()
     }
 
-    /// The revision in force for a peer, if it is newer than `newer_than`.
+    /// Returns the encoded revision in force, if it is newer than `newer_than`.
     pub(crate) fn revision_bytes(&self, newer_than: u64) -> Option<Vec<u8>> {
         let bundle = self.bundle().filter(|bundle| bundle.number.0 > newer_than)?;
         serde_json::to_vec(bundle.as_ref()).ok()
--- a/crates/arbutusrudder/src/fleet/mod.rs
+++ b/crates/arbutusrudder/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Following the accepted settings: from the platform, and from peers while it cannot be reached.
+//! Updates of the fleet settings: from the platform, and from peers while it cannot be reached or
+//! when they know a newer revision.
 
 mod apply;
 mod follow;
--- a/crates/arbutusrudder/src/lib.rs
+++ b/crates/arbutusrudder/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy: serves callers, and carries an equal share of the control work.
+//! The proxy: serves callers and takes an equal share of the control tasks of the groups.
 
 mod admin;
 mod caller;
--- a/crates/arbutusrudder/src/logs.rs
+++ b/crates/arbutusrudder/src/logs.rs
@@ -1,4 +1,4 @@
-//! JSON log lines, written by a thread of their own so that no request waits for them.
+//! JSON logging through a dedicated writer thread, so that no request waits for log output.
 
 use displaydoc::Display;
 use logforth::layout::JsonLayout;
@@ -8,26 +8,26 @@
 use std::str::FromStr;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-/// Lines that may wait for the writer. A slow reader of the log must not slow requests, so lines
-/// beyond this are dropped and counted.
+/// Maximum number of lines queued for the writer. A slow reader of the log must not slow requests,
+/// so further lines are dropped and counted.
 const QUEUED_LINES_MAX: usize = 16_384;
 
-/// Prefix of the log lines of the platform's client library.
+/// Prefix of the log targets of the platform's client library.
 const KUBE_CLIENT_TARGET: &str = "kube";
 
-/// Lines written at once before the output is flushed.
+/// Maximum number of lines taken from the queue between two flushes of the output.
 const LINES_PER_FLUSH: usize = 256;
 
-/// The least severe lines that are written.
+/// Minimum severity of the lines that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
     /// Errors only.
     Error,
     /// Warnings and errors.
     Warn,
-    /// Decisions, too.
+    /// Also decisions of the instance.
     Info,
-    /// Ends of connections, too.
+    /// Also ends of connections.
     Debug,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Why logging cannot be set up.
+/// Error from setting up logging.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum LogError {
@@ -68,11 +68,11 @@
 
 impl std::error::Error for LogError {}
 
-/// Sets up the log of the whole process: JSON lines on standard output.
+/// Sets up logging for the whole process, as JSON lines on standard output.
 ///
 /// # Errors
 ///
-/// [`LogError::AlreadySet`] if a logger was set up before.
+/// [`LogError::AlreadySet`] if a logger is already set.
 ///
 /// ```
 /// arbutusrudder::set_up_logs(arbutusrudder::LogLevel::Error)?;
@@ -102,7 +102,7 @@
         record: &Record<'_>,
         diagnostics: &[Box<dyn Diagnostic>],
     ) -> Result<(), Error> {
-        // The platform's client repeats what this project says of a failed call itself.
+        // The project logs failed platform calls itself, so the client's lines would be duplicates.
         if record.target().starts_with(KUBE_CLIENT_TARGET) {
             return Ok(());
         }
@@ -127,7 +127,7 @@
         let more = lines.try_iter().take(LINES_PER_FLUSH);
         for mut line in std::iter::once(first).chain(more) {
             line.push(b'\n');
-            // Nobody is left to tell that the log cannot be written.
+            // A failure to write the log cannot be reported anywhere else.
             let _ = output.write_all(&line);
         }
         let _ = output.flush();
--- a/crates/arbutusrudder/src/main.rs
+++ b/crates/arbutusrudder/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program.
+//! Entry point of the proxy.
 
 use arbutusrudder::{ProxyError, ProxyOptions};
 use std::process::ExitCode;
--- a/crates/arbutusrudder/src/options.rs
+++ b/crates/arbutusrudder/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line, turned into one value of checked options.
+//! Command line parsing and validation.
 
 use crate::error::ProxyError;
 use crate::logs::LogLevel;
@@ -11,7 +11,7 @@
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} --settings /etc/arbutusrudder/process.toml",
-    note = "The first SIGTERM lets requests in flight finish; a second one ends the process at once.",
+    note = "A first SIGTERM lets requests in flight finish; a second ends the process at once.",
     error_code(1, "The settings are invalid, or an address cannot be used.")
 )]
 struct CommandLine {
@@ -36,39 +36,39 @@
     check: bool,
 }
 
-/// How the proxy is to run, with its settings.
+/// Mode in which the proxy runs, with its settings.
 #[derive(Clone, Debug)]
 pub enum StartMode {
-    /// As a PostgreSQL proxy, with a settings file of the operators'.
+    /// Runs as a PostgreSQL proxy with a settings file written by the operators.
     Process(Box<ProcessSettings>),
-    /// On the users' platform.
+    /// Runs on the users' platform.
     Platform {
-        /// The platform's settings file, which may change later.
+        /// Settings file of the platform, which may change while the proxy runs.
         path: PathBuf,
-        /// What stands in it.
+        /// Contents of the file at startup.
         boot: Box<BootFile>,
-        /// Port of the metrics page, if one is wanted.
+        /// Port of the metrics page, if it is served.
         metrics_port: Option<u16>,
     },
 }
 
-/// What the command line asks for.
+/// Options given on the command line.
 #[derive(Clone, Debug)]
 pub struct ProxyOptions {
-    /// How to run.
+    /// Mode in which to run.
     pub mode: StartMode,
-    /// The least severe log lines that are written.
+    /// Minimum severity of log lines.
     pub log: LogLevel,
-    /// Whether only to check the settings.
+    /// Whether to check the settings and exit without starting.
     pub check: bool,
 }
 
 impl ProxyOptions {
-    /// Reads the command line and the file that it names.
+    /// Parses the command line and the settings file that it names.
     ///
     /// # Errors
     ///
-    /// [`ProxyError`] when the file cannot be read or is wrong.
+    /// [`ProxyError`] if the file cannot be read or is invalid.
     ///
     /// ```no_run
     /// let options = arbutusrudder::ProxyOptions::from_command_line()?;
--- a/crates/arbutusrudder/src/peering.rs
+++ b/crates/arbutusrudder/src/peering.rs
@@ -1,4 +1,4 @@
-//! Answering the other instances, and taking their hints.
+//! Handling of requests and hints from other instances.
 
 use crate::context::InstanceContext;
 use crate::duty::VoteExchange;
@@ -6,21 +6,21 @@
 use rudder_peers::{HintMessage, PeerHandler, PeerHint, PeerReply, PeerRequest};
 use std::sync::{Arc, OnceLock, Weak};
 
-/// Answers peers on behalf of this instance.
+/// Responds to the requests of peers and applies their hints.
 pub(crate) struct PeerResponder {
     context: Weak<InstanceContext>,
     exchange: OnceLock<Arc<VoteExchange>>,
 }
 
 impl PeerResponder {
-    /// A desk that answers from `context` while it lives.
+    /// Creates a responder that serves requests from `context` until it is dropped.
     pub(crate) fn new(context: &Arc<InstanceContext>) -> Self {
         Self { context: Arc::downgrade(context), exchange: OnceLock::new() }
     }
 
-    /// Sets where votes go, once the mesh that they travel over is up.
+    /// Sets the receiver of votes, which can only be created once the mesh has started.
     pub(crate) fn set_exchange(&self, exchange: Arc<VoteExchange>) {
-        // A second call would change nothing, and there is none.
+        // Called once; a second call would have no effect.
         let _ = self.exchange.set(exchange);
     }
 }
@@ -52,7 +52,8 @@
 }
 
 impl InstanceContext {
-    /// Takes the number of a revision that a peer spoke of. It only says what to ask for.
+    /// Records the revision number of a peer's hint and wakes the settings task if it is newer. The
+    /// number only triggers a fetch; the settings change only with the revision itself.
     fn record_revision_hint(&self, number: u64) {
         self.revision_hint.send_if_modified(|known| {
             let newer = number > *known;
--- a/crates/arbutusrudder/src/policy.rs
+++ b/crates/arbutusrudder/src/policy.rs
@@ -1,14 +1,14 @@
-//! The rules that a measurement may exchange for a baseline.
+//! Policies that measurements can replace with a baseline.
 
 use rudder_decisions::{ReadPolicy, ReadRouter};
 use std::sync::Arc;
 
-/// The rules by which an instance decides.
+/// Policies of an instance.
 #[derive(Clone)]
 pub struct ProxyPolicies {
-    /// Where reads go.
+    /// Selects the members that serve reads.
     pub reads: Arc<dyn ReadPolicy>,
-    /// Whether the admission gate bounds what runs and waits.
+    /// Whether the admission gate limits running and queued requests.
     pub limits: bool,
 }
 
--- a/crates/arbutusrudder/src/process.rs
+++ b/crates/arbutusrudder/src/process.rs
@@ -1,4 +1,4 @@
-//! This process's own settings: its addresses, failure domain, platform and peers.
+//! Settings of one process: addresses, failure domain, platform and peers.
 
 use displaydoc::Display;
 use rudder_core::{DomainName, InstanceName, plain_data};
@@ -9,33 +9,34 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Largest message that a caller may send, unless set: rows and COPY data may be larger.
+/// Default for the largest message of a caller, in bytes. Rows and COPY data may be larger.
 const DEFAULT_MESSAGE_SIZE_MAX: u64 = 16 * 1024 * 1024;
 
-/// Callers served at the same time, unless set.
+/// Default for the maximum number of concurrent callers.
 const DEFAULT_CALLERS_MAX: u32 = 10_000;
 
-/// Seconds between two looks at the certificate, unless set: renewed ones come days ahead.
+/// Default for the seconds between two reloads of the certificate. Certificates are renewed days
+/// before they expire, so this is often enough.
 const DEFAULT_TLS_RELOAD_S: u32 = 60;
 
-/// Why the process settings cannot be used.
+/// Error from reading the process settings.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum ProcessError {
     /// the settings file {path} cannot be read: {reason}
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         reason: std::io::Error,
     },
     /// invalid process settings: {0}
     Invalid(String),
     /// {key} must be {expected}
     InvalidValue {
-        /// The key.
+        /// Key in the settings file.
         key: &'static str,
-        /// What would be right.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
@@ -43,45 +44,45 @@
 impl std::error::Error for ProcessError {}
 
 plain_data! {
-    /// The settings of one process, from a TOML file and the command line.
+    /// Settings of one process, from a TOML file.
     #[derive(Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct ProcessSettings {
-        /// This instance's name.
+        /// Name of this instance.
         pub instance: InstanceName,
-        /// The failure domain that it stands in.
+        /// Failure domain of this instance.
         pub domain: DomainName,
-        /// Where callers connect.
+        /// Address for callers.
         pub listen: SocketAddr,
-        /// Where operators read health, status and metrics.
+        /// Address of the admin pages: health, status and metrics.
         pub admin: SocketAddr,
-        /// Where peers connect, over UDP and TCP.
+        /// Address for peers, over UDP and TCP.
         pub peer: SocketAddr,
-        /// Addresses at which peers may be found; one live one is enough.
+        /// Addresses of possible peers; one that responds is enough to join.
         #[serde(default)]
         pub seeds: Vec<SocketAddr>,
         /// Address of the platform's object API, such as `http://10.0.0.1:8001`.
         pub platform: String,
-        /// The platform's namespace that holds the project's objects.
+        /// Platform namespace that holds the project's objects.
         #[serde(default = "default_namespace")]
         pub namespace: String,
-        /// Largest message in bytes that a caller may send.
+        /// Largest message of a caller, in bytes.
         #[serde(default = "default_message_size")]
         pub message_size_max: u64,
-        /// Callers served at the same time.
+        /// Maximum number of concurrent callers.
         #[serde(default = "default_callers")]
         pub callers_max: u32,
-        /// Certificate chain towards callers, as PEM.
+        /// PEM file with the certificate chain presented to callers.
         #[serde(default)]
         pub tls_certificate: Option<PathBuf>,
-        /// Its private key, as PEM.
+        /// PEM file with the private key of the certificate.
         #[serde(default)]
         pub tls_key: Option<PathBuf>,
-        /// Seconds after which the certificate and the key are read again.
+        /// Seconds between two reloads of the certificate and the key.
         #[serde(default = "default_tls_reload")]
         pub tls_reload_s: u32,
-        /// Members that this instance reaches at another address than the declared one, where
-        /// addresses are translated on the way.
+        /// Members that this instance reaches at another address than the declared one, because of
+        /// address translation.
         #[serde(default)]
         pub routes: Vec<AddressRoute>,
         /// Names of the environment variables that hold callers' passwords, by user. A user that
@@ -95,30 +96,30 @@
 }
 
 plain_data! {
-    /// Where this instance reaches a member.
+    /// Mapping of a member's declared address to the one that this instance connects to.
     #[derive(Copy, Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct AddressRoute {
-        /// The address that the settings declare.
+        /// Address in the fleet settings.
         pub declared: SocketAddr,
-        /// The address at which this instance reaches it.
+        /// Address that this instance connects to.
         pub reached: SocketAddr,
     }
 }
 
 plain_data! {
-    /// Where one user's password is.
+    /// Source of one user's password.
     #[derive(Deserialize)]
     #[serde(deny_unknown_fields)]
     pub struct UserPassword {
-        /// The user.
+        /// User name.
         pub user: String,
-        /// The environment variable that holds the password.
+        /// Environment variable that holds the password.
         pub variable: String,
     }
 }
 
-/// One line of what the parser says, with the line that it means.
+/// Returns the parser's message in one line, prefixed with its line number in the file.
 fn parse_error_message(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
@@ -146,23 +147,23 @@
     DEFAULT_CALLERS_MAX
 }
 
-/// What a user's login needs.
+/// Authentication required for a user.
 #[derive(Clone, PartialEq, Eq)]
 pub(crate) enum LoginRule {
-    /// Nothing.
+    /// No password is required.
     Trusted,
-    /// This password.
+    /// This password is required.
     Password(String),
-    /// Nothing would do.
+    /// Every login is refused.
     Refused,
 }
 
 impl ProcessSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// [`ProcessError`] naming the key that is wrong and what would be right.
+    /// [`ProcessError`] that names the invalid key and the valid values.
     ///
     /// ```
     /// let text = r#"
@@ -204,19 +205,19 @@
         Ok(())
     }
 
-    /// What the login of `user` needs.
+    /// Returns the authentication required for `user`.
     pub(crate) fn login_rule(&self, user: &str) -> LoginRule {
         let listed = self.passwords.iter().find(|entry| entry.user == user);
         match listed.map(|entry| std::env::var(&entry.variable)) {
             Some(Ok(password)) => LoginRule::Password(password),
-            // A listed user whose variable is missing must not become a trusted one.
+            // A listed user must not become trusted because its variable is missing.
             Some(Err(_)) => LoginRule::Refused,
             None if self.require_password => LoginRule::Refused,
             None => LoginRule::Trusted,
         }
     }
 
-    /// What a user of no declared kind is given: the strictest staleness, and it is shed first.
+    /// Returns the settings of users of no declared kind: the strictest staleness, shed first.
     pub(crate) fn default_caller(&self) -> CallerSettings {
         CallerSettings {
             kind: "undeclared".parse().expect("the name has only allowed characters"),
--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -1,4 +1,4 @@
-//! One instance from start to end.
+//! Startup, accept loop and shutdown of an instance.
 
 use crate::admin::{serve_metrics, serve_pages, set_up_metrics};
 use crate::caller::{CancelBoard, put_fatal, serve_caller};
@@ -31,19 +31,20 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
 
-/// Pause after an accept that failed, for instance for want of file descriptors.
+/// Pause after a failed accept, for example when no file descriptor is available.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// SQLSTATE for a caller beyond the bound.
+/// SQLSTATE sent to callers beyond the maximum (too_many_connections).
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// How long a starting instance waits for the platform's list of instances.
+/// Timeout of a starting instance for the platform's list of instances.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a leaving instance keeps its socket after it said so, for callers on their way.
+/// Time for which a leaving instance keeps its listener open after it has announced that it leaves.
+/// It covers callers that the load balancer still sends to it.
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(200);
 
-/// A running instance. Dropping it ends it at once; [`ProxyInstance::leave`] lets requests in
+/// A running instance. Dropping it stops it at once; [`ProxyInstance::leave`] lets requests in
 /// flight finish first.
 pub struct ProxyInstance {
     context: Arc<InstanceContext>,
@@ -56,11 +57,11 @@
 }
 
 impl ProxyInstance {
-    /// Starts an instance inside the present runtime. Ports of zero take any free one.
+    /// Starts an instance in the current runtime. Port zero selects any free port.
     ///
     /// # Errors
     ///
-    /// [`ProxyError`] when an address cannot be used or the TLS files are wrong.
+    /// [`ProxyError`] if an address cannot be used or the TLS files are invalid.
     ///
     /// ```
     /// # let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -84,7 +85,7 @@
         Self::start_with(process, ProxyPolicies::default()).await
     }
 
-    /// Starts an instance that decides by other rules, for comparison.
+    /// Starts an instance with other policies, for comparison.
     ///
     /// # Errors
     ///
@@ -128,37 +129,39 @@
         Ok(Self { context, mesh, callers, tasks, listen, admin, _stop: stop.drop_guard() })
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     #[must_use]
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where operators read the pages.
+    /// Returns the address of the admin pages.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Where peers connect.
+    /// Returns the address for peers.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         self.mesh.address()
     }
 
-    /// The number of the revision in force; zero before any.
+    /// Returns the number of the revision in force; zero before the first one.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.context.revision_number()
     }
 
-    /// Leaves: tells peers, takes no new caller, finishes every request and transaction in flight,
-    /// sends idle callers elsewhere, and returns when the last one is gone.
+    /// Shuts down gracefully: notifies peers, stops accepting callers, disconnects idle callers so
+    /// that they reconnect elsewhere, finishes all requests and transactions in flight, and returns
+    /// when the last caller has disconnected.
     pub async fn leave(mut self) {
         log::info!(target: "rudder::instance", instance:% = self.context.name(), reason = "asked"; "instance leaving");
         self.mesh.leave().await;
         self.context.leaving.send_replace(true);
-        // The balancer may send a few more callers until it notices; they are told to go elsewhere.
+        // The load balancer may send a few more callers until it notices; they are disconnected
+        // with an error that makes them reconnect elsewhere.
         tokio::time::sleep(LISTENER_CLOSE_DELAY).await;
         self.callers.close();
         self.callers.wait().await;
@@ -166,11 +169,11 @@
     }
 }
 
-/// Runs an instance in a runtime of its own until it is asked to end.
+/// Runs an instance in a new runtime until a signal ends it.
 ///
 /// # Errors
 ///
-/// [`ProxyError`] when it cannot start.
+/// [`ProxyError`] if it cannot start.
 ///
 /// ```no_run
 /// arbutusrudder::run(&arbutusrudder::ProxyOptions::from_command_line()?)?;
@@ -187,7 +190,7 @@
             runtime.block_on(run_process(process.as_ref().clone()))
         }
         StartMode::Platform { path, boot, metrics_port } => {
-            // One thread: the platform's machines have a fraction of one core.
+            // A single thread, as the platform's machines have a fraction of one core.
             let mut builder = tokio::runtime::Builder::new_current_thread();
             let runtime = builder.enable_all().build().map_err(ProxyError::Runtime)?;
             runtime.block_on(async {
@@ -202,7 +205,8 @@
 }
 
 async fn run_process(process: ProcessSettings) -> Result<(), ProxyError> {
-    // Before anything else: a signal in the first moments would end the process unannounced.
+    // Installed first: without a handler, a signal during startup would kill the process without
+    // a graceful shutdown.
     let mut stop = signal(SignalKind::terminate()).map_err(ProxyError::Runtime)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(ProxyError::Runtime)?;
     let instance = ProxyInstance::start(process).await?;
@@ -212,7 +216,7 @@
     }
     tokio::select! {
         () = instance.leave() => {}
-        // A second signal ends at once.
+        // A second signal ends the process at once.
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
     }
@@ -247,9 +251,9 @@
     }
 }
 
-/// Addresses at which peers may be found: those of the process settings, and the instances that the
-/// platform lists, which are taken to listen on the same port. The list lags and the platform may
-/// be away, so it only adds to what is known.
+/// Returns the addresses of possible peers: those of the process settings and the ready instances
+/// that the platform lists, assuming that they use the same port. The list lags and the platform
+/// may be unavailable, so it only adds to the configured seeds.
 async fn find_seeds(context: &InstanceContext, store: &dyn PlatformStore) -> Vec<SocketAddr> {
     let process = &context.process;
     let mut seeds = process.seeds.clone();
@@ -280,7 +284,7 @@
     listener.local_addr().map_err(ProxyError::Runtime)
 }
 
-/// The tasks of callers, and what ends them at once.
+/// Tracker of the callers' tasks and the token that cancels them.
 struct CallerTasks {
     callers: TaskTracker,
     stop: CancellationToken,
@@ -311,8 +315,8 @@
     }
 }
 
-/// Tells a caller that there is no place for it, as far as its socket takes that at once: a task
-/// for it would need the place that is missing.
+/// Rejects a caller beyond the maximum. The error is written without waiting, and lost if the
+/// socket does not take it at once, because a task that waits would exceed the maximum too.
 fn reject_caller(stream: &TcpStream) {
     let mut out = BytesMut::new();
     put_fatal(&mut out, TOO_MANY_CONNECTIONS, "this instance serves as many callers as it may");
@@ -323,7 +327,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            // Out of descriptors or a caller that is gone already; neither ends the instance.
+            // No free file descriptor, or the caller has already disconnected. Neither ends the
+            // instance.
             Err(error) => {
                 log::warn!(target: "rudder::instance", reason:% = error; "failed to accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
--- a/crates/arbutusrudder/src/tls.rs
+++ b/crates/arbutusrudder/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers, from PEM files that are read again when they change.
+//! TLS for callers, with PEM files that are reloaded periodically.
 
 use crate::error::ProxyError;
 use crate::process::ProcessSettings;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio_rustls::TlsAcceptor;
 
-/// The certificate in force.
+/// Provides the current certificate to TLS handshakes.
 #[derive(Debug)]
 struct CertificateResolver {
     certificate: PathBuf,
@@ -26,7 +26,8 @@
     }
 }
 
-/// An acceptor if the settings name a certificate; its files are followed from then on.
+/// Returns an acceptor if the settings name a certificate, and starts the task that reloads its
+/// files.
 pub(crate) fn build_acceptor(process: &ProcessSettings) -> Result<Option<TlsAcceptor>, ProxyError> {
     let (Some(certificate), Some(key)) = (&process.tls_certificate, &process.tls_key) else {
         return Ok(None);
