--- a/crates/arbutusrudder/tests/deployment/abuse.rs
+++ b/crates/arbutusrudder/tests/deployment/abuse.rs
@@ -1,14 +1,14 @@
-//! Connections that break the protocol, never finish, or come in great numbers.
+//! Connections that violate the protocol, stay idle or exceed the maximum.
 
 use crate::common::{connect, plan, rows_of};
 use crate::raw::RawClient;
 use futures::StreamExt;
 use rudder_standins::{Deployment, DeploymentPlan};
 
-/// Idle connections held at once.
+/// Number of concurrent idle connections.
 const IDLE_CALLERS: usize = 5_000;
 
-/// Logins made at the same time.
+/// Number of concurrent logins.
 const CONCURRENT_LOGINS: usize = 100;
 
 fn short_timeouts_plan() -> DeploymentPlan {
@@ -17,7 +17,7 @@
     plan
 }
 
-/// The replies up to the end of a connection.
+/// Returns the types of all replies until the connection is closed.
 async fn read_to_close(client: &mut RawClient) -> String {
     let mut types = String::new();
     while let Some(next) = client.next_reply().await {
@@ -59,7 +59,7 @@
         b"Q\0\0\0\x07abc",
         b"Q\0\0\0\x06\xff\0",
         b"P\0\0\0\x05x",
-        // A Describe as large as a row: its parts must not pass for messages.
+        // A Describe whose length is that of a large row; its parts must not be read as messages.
         b"D\x40\0\0\0Sx",
     ];
 
--- a/crates/arbutusrudder/tests/deployment/common.rs
+++ b/crates/arbutusrudder/tests/deployment/common.rs
@@ -1,17 +1,17 @@
-//! Fixtures of the tests that run a whole deployment.
+//! Fixtures of the deployment tests.
 
 use rudder_standins::{Deployment, DeploymentPlan};
 use tokio::task::JoinHandle;
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// A deployment of one group whose callers are named copyist.
+/// Plans a deployment of one group and of callers named copyist.
 pub(crate) fn plan(proxies: usize) -> DeploymentPlan {
     let extra = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
                  queue_wait = \"5s\"\nin_flight_max = 100\n";
     DeploymentPlan { extra: extra.to_owned(), ..DeploymentPlan::small(proxies) }
 }
 
-/// A client of one proxy, and the task that drives its connection.
+/// Connects to one proxy; returns the client and the task that drives its connection.
 pub(crate) async fn connect(
     deployment: &Deployment,
     proxy: usize,
@@ -20,7 +20,7 @@
     connect_with(deployment, proxy, user, "").await
 }
 
-/// The same, with further words for the client library.
+/// Like [`connect`], with additional options in the connection string.
 pub(crate) async fn connect_with(
     deployment: &Deployment,
     proxy: usize,
@@ -35,7 +35,7 @@
     (client, task)
 }
 
-/// The first column of every row that a simple query brings.
+/// Returns the first column of all rows of a simple query.
 pub(crate) async fn rows_of(client: &Client, query: &str) -> Vec<String> {
     let messages = client.simple_query(query).await.expect("the query runs");
     let row = |message: &SimpleQueryMessage| match message {
--- a/crates/arbutusrudder/tests/deployment/copy.rs
+++ b/crates/arbutusrudder/tests/deployment/copy.rs
@@ -1,4 +1,4 @@
-//! COPY both ways, notices and large rows.
+//! COPY in both directions, notices and large rows.
 
 use crate::common::{connect, plan, rows_of};
 use crate::raw::RawClient;
@@ -36,7 +36,7 @@
     let mut sink = pin!(sink);
     sink.send("1\tKyrie\n1\tKyrie\n".into()).await.unwrap();
     let failure = sink.finish().await.unwrap_err();
-    // A sink that is dropped gives up its COPY.
+    // Dropping a sink aborts its COPY.
     let abandoned = client.copy_in::<_, bytes::Bytes>("COPY parts FROM STDIN").await.unwrap();
     drop(abandoned);
 
--- a/crates/arbutusrudder/tests/deployment/faults.rs
+++ b/crates/arbutusrudder/tests/deployment/faults.rs
@@ -1,5 +1,5 @@
-//! The promises under each failure that users name, alone and in pairs: concurrent callers, faults
-//! at fixed times, and the history checker over what they were told.
+//! Consistency guarantees under injected faults, alone and in pairs: concurrent callers run while
+//! faults occur at fixed times, and the history checker verifies the replies that they received.
 
 use rudder_core::{HistoryFault, check_history};
 use rudder_standins::{FaultKind, TrialSchedule, run_trial};
@@ -29,10 +29,9 @@
     assert_eq!(result, (Vec::new(), true, true), "{kinds:?}");
 }
 
-/// What a user would see: a lost order, a doubled page claim, a read without the session's own
-/// write, a refusal "not run" for what ran, or writes refused for good.
-/// Order: callers write, read, repeat and roam; the primary or its links fail and come back.
-/// Cause: a superseded primary, a promotion that drops entries, a member believed too long.
+/// Detects lost or duplicated writes, reads without the session's own writes, executed statements
+/// reported as "not run" and permanent write refusals. They come from superseded primaries,
+/// promotions that drop entries and outdated knowledge of a member.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_the_primary_fails() {
     check_fault(FaultKind::KillPrimary).await;
@@ -40,9 +39,9 @@
     check_fault(FaultKind::CutPrimary).await;
 }
 
-/// What a user would see: as above, or a promotion although only one proxy lost sight.
-/// Order: one proxy's link is cut both ways or one way, or open connections go silent.
-/// Cause: what one instance sees is taken for what is so.
+/// Detects the same failures and a promotion when only one proxy has lost a link, in one or both
+/// directions, or its open connections have gone silent. They occur if one instance's view decides
+/// for all.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_links_fail() {
     check_fault(FaultKind::CutLink).await;
@@ -50,18 +49,17 @@
     check_fault(FaultKind::SilentConnections).await;
 }
 
-/// What a user would see: a read without the session's own write, or yesterday's picture.
-/// Order: replicas fall behind by an unknown amount; sessions move between proxies.
-/// Cause: a replica's age is guessed instead of known.
+/// Detects reads without the session's own writes or older than the staleness limit, while replicas
+/// lag by an unknown amount and sessions move between proxies. They occur if a replica's age is
+/// estimated instead of known.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_replicas_lag() {
     check_fault(FaultKind::ReplicaLag).await;
     check_fault(FaultKind::PausedReplica).await;
 }
 
-/// What a user would see: writes refused for as long as the platform is away.
-/// Order: the platform hangs, is gone, is slow, or loses answers after their effect.
-/// Cause: something on the way of a request waits for the platform.
+/// Detects writes that are refused while the platform hangs, is unavailable, is slow or loses
+/// replies after it has executed the calls. They occur if the request path waits for the platform.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_the_platform_fails() {
     check_fault(FaultKind::PlatformHangs).await;
@@ -70,18 +68,17 @@
     check_fault(FaultKind::LostAnswers).await;
 }
 
-/// What a user would see: a transaction half done, or callers of the new proxy without settings.
-/// Order: a proxy dies and another takes its place; operators race meanwhile.
-/// Cause: state that only the dead proxy had; a file that overwrites another.
+/// Detects partial transactions and callers without settings after a proxy is killed and replaced
+/// while operators submit concurrently. They occur if state exists only in the killed proxy, or one
+/// settings file overwrites another.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_proxies_are_killed_and_operators_race() {
     check_fault(FaultKind::KillProxy).await;
     check_fault(FaultKind::RacingOperators).await;
 }
 
-/// What a user would see: crews locked out for as long as both failures last.
-/// Order: two failures in the same moment.
-/// Cause: a remedy for one that needs what the other took away.
+/// Detects callers that are refused for as long as two simultaneous failures last. This occurs if
+/// the recovery from one failure depends on a component that the other has disabled.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_under_two_failures_at_once() {
     check_fault_pair([FaultKind::PlatformHangs, FaultKind::KillPrimary]).await;
@@ -90,10 +87,9 @@
     check_fault_pair([FaultKind::KillProxy, FaultKind::KillPrimary]).await;
 }
 
-/// What a user saw: a page claim refused as "not run" that was there afterwards.
-/// Order (seeds 1 and 4): a claim under a key is sent, its connection goes silent before the
-/// acknowledgement, the proxy tries again until its time is over, and refuses.
-/// Cause: the refusal's word was chosen by the last attempt alone.
+/// A keyed write that had committed was refused as "not run" (seeds 1 and 4): its connection went
+/// silent before the acknowledgement, the proxy retried until the timeout, and the error code
+/// depended on the last attempt only.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_write_that_may_have_committed_is_never_reported_as_not_run() {
     for seed in [1, 4] {
--- a/crates/arbutusrudder/tests/deployment/isolation.rs
+++ b/crates/arbutusrudder/tests/deployment/isolation.rs
@@ -1,4 +1,4 @@
-//! What one caller leaves behind must not reach the next one on the same connection.
+//! Isolation between callers that share connections to members.
 
 use crate::common::{connect, connect_with, plan, rows_of};
 use crate::raw::RawClient;
@@ -25,11 +25,9 @@
     assert_eq!(rows_of(&second, "SHOW application_name").await, ["two"]);
 }
 
-/// What a user sees: queries answer for another tenant.
-/// Order: a caller sets its search path; another logs in with a setting that the member refuses,
-/// and runs a query on the same connection.
-/// Cause: the RESET before the refused setting is undone together with it, so the connection keeps
-/// the first caller's settings.
+/// A caller must not run with another tenant's search path. When the member refuses one of its
+/// settings, the RESET sent before it is undone too, so the connection keeps the previous caller's
+/// settings.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_setting_does_not_expose_the_previous_callers_settings() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -44,10 +42,8 @@
     assert_eq!(rows_of(&first, "SHOW application_name").await, ["one"]);
 }
 
-/// What a user sees: half of an order is there although its entry was never finished.
-/// Order: a caller changes rows and a setting in a transaction and vanishes; the next caller gets
-/// the connection.
-/// Cause: the transaction went on under the next caller and was committed by it.
+/// A caller disconnects within a transaction and its connection goes to the next caller. Without a
+/// rollback, the next caller would continue and commit the transaction.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnect_within_a_transaction_rolls_it_back() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -67,9 +63,8 @@
     assert_eq!(rows_of(&setup, "SHOW application_name").await, ["arbutusrudder"]);
 }
 
-/// What a user sees: an answer that belongs to somebody else's query.
-/// Order: a caller sends a long statement and vanishes; others use the connections meanwhile.
-/// Cause: the connection went back before its statement's answer had come.
+/// A caller disconnects while its statement runs. If the connection were reused before the reply
+/// arrives, another caller would receive that reply.
 #[tokio::test(flavor = "multi_thread")]
 async fn replies_to_a_disconnected_caller_are_discarded() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -88,10 +83,8 @@
     assert_eq!(answers, wanted);
 }
 
-/// What a user sees: a statement is cancelled that nobody wanted cancelled.
-/// Order: a caller's statement is cancelled; the same connection then serves others, while the
-/// caller's library sends more cancel requests.
-/// Cause: the request names a connection of the member, which is another caller's by then.
+/// A late cancel request must not cancel another caller's statement. Cancel keys of members name a
+/// connection, which may serve another caller by the time the request arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cancel_request_affects_only_its_own_session() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
--- a/crates/arbutusrudder/tests/deployment/leaving.rs
+++ b/crates/arbutusrudder/tests/deployment/leaving.rs
@@ -1,4 +1,4 @@
-//! Members and proxies that leave.
+//! Draining of members and graceful shutdown of proxies.
 
 use crate::common::{connect, rows_of};
 use rudder_core::{MemberName, MemberRole};
@@ -8,7 +8,7 @@
 const CALLERS: &str = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
                        queue_wait = \"5s\"\nin_flight_max = 100\n";
 
-/// Looks at most for a change to come into force, 50 ms apart.
+/// Maximum number of polls, 50 ms apart, for a change to come into force.
 const POLLS_MAX: u32 = 300;
 
 fn plan(proxies: usize) -> DeploymentPlan {
@@ -19,9 +19,8 @@
     deployment.groups[0].status(name).is_ok_and(|status| status.role == MemberRole::Primary)
 }
 
-/// What a user sees: writes fail when a member that was announced to leave is switched off.
-/// Order: operators drain the member that happens to be the primary, wait, switch it off.
-/// Cause: draining kept reads away, while every write still went there.
+/// Operators drain the primary, wait and switch it off. If draining moved only reads to other
+/// members, writes would fail when it is switched off.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_primary_is_replaced_automatically() {
     let deployment = Deployment::start(plan(3)).await.expect("deployment starts");
@@ -34,7 +33,7 @@
     let mut polls = 0;
     while is_primary(&deployment, &first) {
         polls += 1;
-        assert!(polls < POLLS_MAX, "the draining member still leads");
+        assert!(polls < POLLS_MAX, "the draining member is still the primary");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     client.batch_execute("INSERT INTO parts VALUES (1, 'Kyrie')").await.unwrap();
@@ -43,9 +42,8 @@
     assert!(!is_primary(&deployment, &first));
 }
 
-/// What a user sees: a rehearsal list breaks off because a proxy was replaced.
-/// Order: a long statement runs, the proxy is asked to leave, the answer comes.
-/// Cause: the proxy ends before the requests that it has in flight.
+/// A statement that runs while its proxy leaves must get its complete reply; it would be cut off if
+/// the proxy ended before its requests in flight.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_proxy_finishes_requests_in_flight() {
     let mut deployment = Deployment::start(plan(2)).await.expect("deployment starts");
@@ -58,9 +56,9 @@
     tokio::time::sleep(Duration::from_millis(150)).await;
     let left = tokio::spawn(proxy.leave());
 
-    assert_eq!(answer.await.expect("the caller is answered"), 1);
-    idle_task.await.expect("the idle caller is told to go");
+    assert_eq!(answer.await.expect("the caller gets a reply"), 1);
+    idle_task.await.expect("the idle caller is disconnected");
     assert!(idle.is_closed());
-    left.await.expect("the proxy ends once its callers are gone");
+    left.await.expect("the proxy ends after its last caller disconnects");
     assert!(tokio::net::TcpStream::connect(address).await.is_err());
 }
--- a/crates/arbutusrudder/tests/deployment/login.rs
+++ b/crates/arbutusrudder/tests/deployment/login.rs
@@ -1,4 +1,4 @@
-//! Callers' logins: TLS with a renewed certificate, passwords, and what the log says of them.
+//! Logins with TLS and passwords, certificate reload, and absence of passwords from the log.
 
 use crate::common::{plan, rows_of};
 use rudder_standins::{Deployment, DeploymentPlan};
@@ -14,7 +14,7 @@
 use tokio_postgres::{Client, Config, NoTls};
 use tokio_rustls::TlsConnector;
 
-/// A variable that cargo sets for tests; its value stands for a password.
+/// An environment variable that cargo sets for tests; its value is used as the password.
 const PASSWORD_VARIABLE: &str = "CARGO_PKG_DESCRIPTION";
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
@@ -49,7 +49,7 @@
 }
 
 fn capture_log() {
-    // Another test may have set it already.
+    // Another test may have set the logger already.
     let _ = log::set_logger(&LogCapture);
     log::set_max_level(log::LevelFilter::Debug);
 }
@@ -81,7 +81,7 @@
         .expect("copied");
 }
 
-/// Connects by TLS, trusting one certificate only.
+/// Connects with TLS and trusts only one certificate.
 async fn connect_trusting(
     deployment: &Deployment,
     certificate: &str,
@@ -107,7 +107,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_renewed_certificate_is_used_without_a_restart() {
     let folder = std::env::temp_dir().join(format!("rudder-tls-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder for the certificate");
+    std::fs::create_dir_all(&folder).expect("the certificate folder is created");
     install_certificate(&folder, "first");
     let deployment = Deployment::start(tls_plan(&folder)).await.expect("deployment starts");
     let existing = connect_trusting(&deployment, "first.pem").await.expect("the first is trusted");
@@ -122,7 +122,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         renewed = connect_trusting(&deployment, "second.pem").await;
     }
-    std::fs::remove_dir_all(&folder).expect("the folder is ours");
+    std::fs::remove_dir_all(&folder).expect("the certificate folder is removed");
 
     assert!(refused);
     assert_eq!(rows_of(&renewed.expect("the second is trusted"), "SELECT 1").await, ["1"]);
@@ -135,7 +135,8 @@
     let password = std::env::var(PASSWORD_VARIABLE).expect("cargo sets it");
     let deployment = Deployment::start(password_plan()).await.expect("deployment starts");
     let connect = async |user: &str, password: &str| {
-        let mut config: Config = deployment.client_string(0, user).parse().expect("words");
+        let mut config: Config =
+            deployment.client_string(0, user).parse().expect("a connection string");
         let (client, connection) = config.password(password).connect(NoTls).await?;
         tokio::spawn(connection);
         Ok::<Client, tokio_postgres::Error>(client)
--- a/crates/arbutusrudder/tests/deployment/main.rs
+++ b/crates/arbutusrudder/tests/deployment/main.rs
@@ -1,4 +1,5 @@
-//! Tests of whole deployments on loopback: client libraries, proxies, groups and the platform.
+//! End-to-end tests on loopback with client libraries, proxies, stand-in groups and a stand-in
+//! platform.
 
 mod abuse;
 mod common;
--- a/crates/arbutusrudder/tests/deployment/path.rs
+++ b/crates/arbutusrudder/tests/deployment/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a client library, a proxy, a group and the platform.
+//! Reads, writes, transactions and failover from the client library to the group.
 
 use crate::common::{connect, connect_with, rows_of};
 use rudder_standins::{Deployment, DeploymentPlan, MemberKnob};
@@ -26,9 +26,8 @@
     assert_eq!(rows_of(&client, "SELECT title FROM parts").await, ["Agnus Dei"]);
 }
 
-/// What a user sees: an order entered at one proxy is missing when the session goes on at another.
-/// Order: write at the first proxy, the replicas fall behind, the session moves, reads at once.
-/// Cause: the second proxy does not know what the session wrote and asks a replica that lags.
+/// A session writes at one proxy and reads at another while the replicas lag. Without the session
+/// token, the second proxy would not know the write and might read from a lagging replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_sees_its_write_after_moving_to_another_proxy() {
     let deployment = Deployment::start(plan(2)).await.expect("deployment starts");
@@ -47,9 +46,8 @@
     assert_eq!(rows_of(&second, "SELECT title FROM parts").await, ["Kyrie"]);
 }
 
-/// What a user sees: as above, by a client that cannot carry a token and only names its session.
-/// Order: write, the replicas fall behind, the session moves with its id only, reads at once.
-/// Cause: nobody at the second proxy knows the session; that must not mean it wrote nothing.
+/// The same for a client that passes only its session id instead of a token. The second proxy does
+/// not know the session and must not conclude that it has written nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_known_by_its_id_only_sees_its_write() {
     let deployment = Deployment::start(plan(2)).await.expect("deployment starts");
@@ -67,10 +65,9 @@
     assert_eq!(rows_of(&second, "SELECT title FROM parts").await, ["Kyrie"]);
 }
 
-/// What a user sees: the first read of a session at a proxy is refused, though every member is up.
-/// Order: a write at one proxy, the session moves to another whose link to the primary is slow,
-/// reads at once.
-/// Cause: the second proxy has heard from replicas that lack the write, and not yet of a primary.
+/// A session writes at one proxy and reads at another whose link to the primary is slow. That proxy
+/// has status only from replicas that lack the write and knows no primary yet; it must wait instead
+/// of refusing the read.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_first_read_waits_for_the_first_status_of_a_primary() {
     let deployment = Deployment::start(plan(2)).await.expect("deployment starts");
@@ -89,9 +86,8 @@
     assert_eq!(rows_of(&second, "SELECT title FROM parts").await, Vec::<String>::new());
 }
 
-/// What a user sees: the very first transaction on a new group ends as "outcome unknown".
-/// Order: a new group, a transaction that changes nothing, its commit.
-/// Cause: the log is empty, so no entry of the primary's term confirms anything.
+/// The first transaction on a new group changes nothing and must still commit. The log is empty, so
+/// no entry of the primary's term could confirm it, and its outcome would be reported as unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_transaction_on_an_empty_group_commits() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -119,9 +115,8 @@
     assert_eq!(rows_of(&client, "SELECT title FROM parts").await, ["Kyrie"]);
 }
 
-/// What a user sees: a page claim that was sent again after a lost answer is made twice.
-/// Order: a claim with a key, then the same claim with the same key at another proxy.
-/// Cause: the second proxy cannot know that the first one ran it, unless the endpoint does.
+/// A keyed write that a client repeats at another proxy must not run twice. The second proxy cannot
+/// know that the first one ran it unless the endpoint records the key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_with_a_key_runs_once_at_any_proxy() {
     let deployment = Deployment::start(plan(2)).await.expect("deployment starts");
@@ -133,14 +128,13 @@
     first.batch_execute(claim).await.unwrap();
     let again = second.batch_execute(claim).await.unwrap_err();
 
-    let error = again.as_db_error().expect("the proxy's own refusal");
+    let error = again.as_db_error().expect("an error from the proxy");
     assert_eq!(error.code().code(), "RU003");
     assert_eq!(rows_of(&first, "SELECT by_whom FROM claims").await, ["anna"]);
 }
 
-/// What a user sees: crews cannot lodge sheets for an hour because the primary died.
-/// Order: a write, the primary is killed, writes go on at another member without anyone asked.
-/// Cause: nobody orders a promotion but the proxies themselves.
+/// After the primary is killed, the proxies must promote another member by themselves and writes
+/// must succeed again; otherwise they would fail until an operator intervenes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_primary_is_replaced_and_nothing_acknowledged_is_lost() {
     let deployment = Deployment::start(plan(3)).await.expect("deployment starts");
--- a/crates/arbutusrudder/tests/deployment/raw.rs
+++ b/crates/arbutusrudder/tests/deployment/raw.rs
@@ -1,4 +1,4 @@
-//! A client that sends frames of its own choice and lists the types of the answers.
+//! A protocol client that sends arbitrary frames and returns the types of the replies.
 
 use bytes::{Buf, BytesMut};
 use postgres_protocol::IsNull;
@@ -12,14 +12,14 @@
     /// Frames to send.
     pub(crate) out: BytesMut,
     input: BytesMut,
-    /// The texts of the rows that came.
+    /// First column of the received rows.
     pub(crate) rows: Vec<String>,
-    /// The SQLSTATEs of the errors that came.
+    /// SQLSTATEs of the received errors.
     pub(crate) errors: Vec<String>,
 }
 
 impl RawClient {
-    /// Connects without a login.
+    /// Connects without logging in.
     pub(crate) async fn open(deployment: &Deployment) -> Self {
         let stream = TcpStream::connect(deployment.proxy(0).listen_address())
             .await
@@ -84,13 +84,14 @@
         self
     }
 
-    /// Sends what was put together.
+    /// Sends the queued frames.
     pub(crate) async fn send(&mut self) {
         self.stream.write_all(&self.out.split()).await.expect("the frame is well formed and sent");
     }
 
-    /// Sends, and answers the types of the replies up to the `count`th end of a request, each
-    /// followed by its transaction status. Reports of settings are left out.
+    /// Sends the queued frames and returns the types of the replies up to the `count`th
+    /// ReadyForQuery, which is followed by its transaction status. ParameterStatus messages are
+    /// left out.
     pub(crate) async fn replies(&mut self, count: usize) -> String {
         self.send().await;
         let mut types = String::new();
@@ -100,7 +101,7 @@
         types
     }
 
-    /// The type of the next reply; none if the connection was closed.
+    /// Returns the type of the next reply, or `None` if the connection was closed.
     pub(crate) async fn next_reply(&mut self) -> Option<String> {
         loop {
             while self.input.len() < 5 || self.input.len() < self.length() {
--- a/crates/arbutusrudder/tests/deployment/statements.rs
+++ b/crates/arbutusrudder/tests/deployment/statements.rs
@@ -1,4 +1,4 @@
-//! Prepared statements, portals and pipelines through shared connections.
+//! Prepared statements, portals and pipelines on shared connections.
 
 use crate::common::{connect, plan, rows_of};
 use crate::raw::RawClient;
@@ -45,10 +45,9 @@
     assert_eq!(client.rows, ["one", "two"]);
 }
 
-/// What a user sees: after a failed pipeline, the statement named s runs a text that its driver
-/// never saw prepared, or the driver is told that s does not exist.
-/// Order: s is prepared; a pipeline fails, and then closes s and prepares it anew; s is run.
-/// Cause: the messages after the error are skipped, but their names had been taken over already.
+/// A pipeline fails before it closes and prepares statements again. The messages after the error
+/// are skipped; if the proxy had already applied their names, statement `s` would run another text
+/// or would not exist.
 #[tokio::test(flavor = "multi_thread")]
 async fn messages_after_an_error_in_a_pipeline_change_no_statement() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -66,9 +65,9 @@
     assert_eq!(client.rows, ["old", "kept"]);
 }
 
-/// What a user sees: a driver hangs, or reads the answer to another message than it sent.
-/// Order: a statement fails before a Flush; more messages follow, and then the Sync.
-/// Cause: the member skips them, while replies were made up for those that are not passed on.
+/// A statement fails before a Flush, and more messages follow before the Sync. The member skips
+/// them; if the proxy generated replies for those it does not forward, the driver would hang or
+/// match replies to the wrong messages.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_replies_are_generated_between_an_error_and_its_sync() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -109,11 +108,9 @@
     assert_eq!(client.rows, ["1", "2", "3", "4", "5"]);
 }
 
-/// What a user sees: "prepared statement already exists" or "does not exist" out of nowhere.
-/// Order: one caller prepares and runs; another sends RESET ALL, DEALLOCATE ALL or DISCARD ALL;
-/// the first runs its statement again on the same connection.
-/// Cause: the statements of a shared connection were dropped at the member and remembered here,
-/// or the other way round.
+/// RESET ALL, DEALLOCATE ALL or DISCARD ALL of one caller must not affect another caller's prepared
+/// statements. Otherwise the proxy's list of a connection's statements would differ from the
+/// member's, with "prepared statement already exists" or "does not exist" as the result.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reset_by_one_caller_keeps_the_statements_of_others() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
@@ -131,9 +128,9 @@
     }
 }
 
-/// What a user sees: "prepared statement already exists" after many different statements.
-/// Order: a connection holds as many statements as it may; the batch that closes one fails first.
-/// Cause: the Close was skipped with the rest of the batch, and the statement counted as closed.
+/// A connection is at its limit of prepared statements, and the batch that closes one fails before
+/// the Close. The member skips the Close; a proxy that counts the statement as closed would later
+/// get "prepared statement already exists".
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_at_its_statement_limit_recovers_from_an_error() {
     let deployment = Deployment::start(plan(1)).await.expect("deployment starts");
--- a/crates/arbutusrudder/tests/deployment/superseded.rs
+++ b/crates/arbutusrudder/tests/deployment/superseded.rs
@@ -1,4 +1,4 @@
-//! What callers get from a primary that has been superseded or stands alone.
+//! Replies to callers of a primary that has been superseded or isolated.
 
 use crate::common::{connect, connect_with, rows_of};
 use rudder_standins::{Deployment, DeploymentPlan, MemberKnob};
@@ -11,14 +11,14 @@
                         queue_wait = \"900ms\"\nin_flight_max = 100\n\
                         [timing]\nack_timeout = \"200ms\"\n";
 
-/// Writes tried at most until a successor takes them.
+/// Maximum number of write attempts until a new primary accepts one.
 const WRITE_ATTEMPTS_MAX: u32 = 60;
 
 fn plan() -> DeploymentPlan {
     DeploymentPlan { extra: SETTINGS.to_owned(), ..DeploymentPlan::small(3) }
 }
 
-/// Far more than the members' probes take, far less than the statement's own bound.
+/// Much longer than the members' probes take, much shorter than the statement timeout.
 const SILENT_MEMBER_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn write_until_accepted(client: &Client, text: &str) {
@@ -28,15 +28,15 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("no primary takes writes");
+    panic!("no primary accepts writes");
 }
 
 async fn sqlstate_of(client: &Client, text: &str) -> String {
-    let error = client.simple_query(text).await.expect_err("the proxy refuses");
-    error.as_db_error().expect("the proxy's own words").code().code().to_owned()
+    let error = client.simple_query(text).await.expect_err("the statement is refused");
+    error.as_db_error().expect("an error from the proxy").code().code().to_owned()
 }
 
-/// Cuts the first proxy and the first member off together from everything else.
+/// Isolates the first proxy and the first member together from everything else.
 fn isolate(deployment: &Deployment) {
     let primary = "scores-orders-1".parse().expect("the name has only allowed characters");
     deployment.groups[0].turn(&primary, MemberKnob::Cut(true)).expect("the member is known");
@@ -46,10 +46,9 @@
     deployment.links[2].members[0][0].cut();
 }
 
-/// What a user sees: an auditor is shown yesterday's sheet as today's, at once or in a transaction.
-/// Order: one proxy and the primary are cut off together from everything else; the others get a
-/// new primary and a new sheet; the auditor reads at the proxy that was cut off.
-/// Cause: the old primary answers, believes it leads, and nothing asks the others.
+/// One proxy and the primary are isolated together; the other side gets a new primary and a new
+/// row. Strict reads and transactions at the isolated proxy must be refused: the old primary still
+/// acts as primary, and its data is stale unless the other members are consulted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_strict_read_at_an_isolated_primary_is_refused() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
@@ -68,10 +67,9 @@
     assert_eq!(transaction, "57P03");
 }
 
-/// What a user sees: a transaction that lacks the sheet which the same crew lodged a moment before.
-/// Order: as above; the crew lodges its sheet at the new primary, moves to the proxy that was cut
-/// off with its token, and begins a transaction.
-/// Cause: what the session must see is asked of reads only.
+/// A session writes at the new primary and then begins a transaction at the isolated proxy with its
+/// token. The transaction must be refused: it would lack the session's write if the token applied
+/// to single reads only.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_transaction_is_refused_where_the_sessions_writes_are_missing() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
@@ -90,10 +88,9 @@
     assert_eq!(transaction, "57P03");
 }
 
-/// What a user sees: a page claim refused as "not run", and there it is.
-/// Order: a claim with a key commits at the primary, no replica takes it, the wait for a majority
-/// ends, further attempts find the key and cannot confirm it either, the caller's time is over.
-/// Cause: the refusal's word was chosen by the last attempt alone.
+/// A keyed write commits at the primary, but no replica receives it, and retries that find the key
+/// cannot confirm it before the timeout. The caller must get "unknown" instead of "not run", which
+/// the last attempt alone would suggest.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_write_that_may_have_committed_ends_as_unknown() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
@@ -110,9 +107,7 @@
     assert_eq!(refusal, "08007");
 }
 
-/// What a user sees: a sign-off is acknowledged and later gone.
-/// Order: the primary commits, no replica takes it, nothing confirms it.
-/// Cause: the primary's word alone is taken for the group's.
+/// A commit that only the primary holds must not be acknowledged, as a promotion would lose it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_commit_that_no_replica_holds_is_not_acknowledged() {
     let deployment = Deployment::start(plan()).await.expect("deployment starts");
@@ -127,9 +122,8 @@
     assert_eq!(refusal, "08007");
 }
 
-/// What a user sees: a crew's tablet hangs for half an hour at a primary that was cut off.
-/// Order: a statement runs at the primary, every link to it goes silent.
-/// Cause: the statement's own bound is long, and nothing else ends the wait.
+/// All links to the primary go silent while a statement with a long timeout (30 minutes) runs. The
+/// statement must fail long before its own timeout, because the member no longer responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_statement_on_a_silent_member_fails() {
     let settings = format!("{SETTINGS}statement_timeout = \"30m\"\n");
@@ -147,5 +141,8 @@
     }
     let ended = tokio::time::timeout(SILENT_MEMBER_TIMEOUT, statement).await;
 
-    assert!(ended.is_ok_and(|ended| ended.is_ok_and(|refused| refused)), "the caller still waits");
+    assert!(
+        ended.is_ok_and(|ended| ended.is_ok_and(|refused| refused)),
+        "the statement still runs"
+    );
 }
--- a/crates/arbutusrudder/tests/processes/failures.rs
+++ b/crates/arbutusrudder/tests/processes/failures.rs
@@ -1,13 +1,12 @@
-//! Processes that are killed or frozen.
+//! Killed and frozen processes.
 
 use crate::program::{Fleet, execute_until_accepted, rows_of};
 use rudder_core::MemberRole;
 use rudder_standins::MemberKnob;
 
-/// What a user sees: half of an order is in the books, or turns up in somebody else's.
-/// Order: a caller changes rows in a transaction, its proxy's process is killed, other callers
-/// write through another proxy to the same members.
-/// Cause: nobody is left who could roll back, and the member is not told by anyone.
+/// A proxy is killed while a caller's transaction is open, and others write through another proxy.
+/// The killed proxy cannot send a rollback, so the member must roll back by itself; otherwise part
+/// of the transaction would stay or mix with another caller's.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_transaction_is_rolled_back_when_its_proxy_is_killed() {
     let mut fleet = Fleet::start(2).await;
@@ -29,10 +28,9 @@
     assert_eq!(rows_of(&other, "SHOW application_name").await, ["arbutusrudder"]);
 }
 
-/// What a user sees: orders that were acknowledged are gone, because two members took them.
-/// Order: the primary dies; the first proxy that acts on it is frozen at once and wakes when
-/// another has put a primary in place and the dead member is back.
-/// Cause: the sleeper goes on with the promotion that it had begun.
+/// The primary is killed, and the first proxy that starts a promotion is frozen. It resumes after
+/// another proxy has promoted a member and the old primary has restarted. If it continued its
+/// promotion, two primaries would accept writes and acknowledged ones would be lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_proxy_resumed_during_a_promotion_makes_no_second_primary() {
     let fleet = Fleet::start(3).await;
--- a/crates/arbutusrudder/tests/processes/logs.rs
+++ b/crates/arbutusrudder/tests/processes/logs.rs
@@ -1,4 +1,4 @@
-//! Logs that nobody reads.
+//! Log output that is not read.
 
 use crate::program::{Fleet, execute_until_accepted, rows_of};
 use futures::future::join_all;
@@ -6,7 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Callers, and reads of each: together more lines than may wait, and than a pipe holds.
+/// Number of callers and reads of each. Together they log more lines than the queue and the pipe
+/// hold.
 const CALLERS: usize = 20;
 const READS: usize = 1000;
 
@@ -19,16 +20,14 @@
     page
 }
 
-/// The value of a counter without labels.
+/// Returns the value of a counter without labels.
 fn counter(page: &str, name: &str) -> u64 {
     let line = page.lines().find(|line| line.starts_with(name));
     line.and_then(|line| line.split(' ').nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-/// What a user sees: every request hangs, on an instance that is otherwise well.
-/// Order: what collects the logs stops reading; callers go on reading, each read with a line of its
-/// own, until the pipe is full and no more lines may wait.
-/// Cause: a request waits for its log line to be written.
+/// The log collector stops reading while requests continue, each of which logs a line, until the
+/// pipe and the queue are full. Requests would hang if they waited for their lines to be written.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_served_while_the_log_is_not_read() {
     let fleet = Fleet::start(1).await;
--- a/crates/arbutusrudder/tests/processes/main.rs
+++ b/crates/arbutusrudder/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! Proofs with the real program: one operating system process per proxy, killed, frozen, asked to
-//! end, and not listened to.
+//! Tests with the compiled program, one operating system process for each proxy: processes are
+//! killed, frozen and terminated, and their output is left unread.
 
 mod failures;
 mod logs;
--- a/crates/arbutusrudder/tests/processes/program.rs
+++ b/crates/arbutusrudder/tests/processes/program.rs
@@ -1,4 +1,4 @@
-//! A running program, and what the tests read of it.
+//! Starts and controls processes of the program and reads their logs.
 
 use rudder_standins::{Deployment, DeploymentPlan};
 use serde_json::Value;
@@ -16,13 +16,13 @@
 const POLL: Duration = Duration::from_millis(20);
 const POLLS_MAX: u32 = 1500;
 
-/// Drives a client's connection and ends with what ended it.
+/// Task that drives a client's connection and returns the error that ended it.
 pub(crate) type ConnectionTask = JoinHandle<Result<(), tokio_postgres::Error>>;
 
-/// Callers whose login needs the password in this variable.
+/// Environment variable that holds the callers' password.
 pub(crate) const PASSWORD_VARIABLE: &str = "COPYIST_PASSWORD";
 
-/// A settings file that is removed at the end.
+/// A settings file that is removed on drop.
 pub(crate) struct SettingsPath(pub(crate) PathBuf);
 
 impl SettingsPath {
@@ -42,12 +42,12 @@
     }
 }
 
-/// Runs the program to its end, which bad settings bring about at once.
+/// Runs the program until it exits, which invalid settings cause at once.
 pub(crate) fn run_to_end(arguments: &[&str]) -> Output {
     Command::new(PROGRAM).args(arguments).output().expect("the program starts")
 }
 
-/// Process settings on free ports.
+/// Returns process settings with free ports.
 pub(crate) fn settings_text(platform: &str, index: usize, seeds: &[SocketAddr]) -> String {
     let domain = ["kigali-a", "nairobi-a", "johannesburg-a"][index % 3];
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
@@ -60,11 +60,11 @@
     )
 }
 
-/// A program of its own process; it is killed, by its own id, when this is dropped.
+/// A process of the program, which is killed on drop.
 pub(crate) struct Program {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
-    /// Whether its standard output is read.
+    /// Whether the standard output is being read.
     read: Arc<AtomicBool>,
     _settings: SettingsPath,
 }
@@ -90,17 +90,17 @@
         Self { child, lines, read, _settings: settings }
     }
 
-    /// Stops reading its standard output, or goes on with it.
+    /// Pauses or resumes reading of the standard output.
     pub(crate) fn set_log_reading(&self, read: bool) {
         self.read.store(read, Ordering::Relaxed);
     }
 
-    /// The lines of its log so far.
+    /// Returns the log lines read so far.
     pub(crate) fn lines(&self) -> Vec<String> {
         self.lines.lock().expect("no thread panicked with the lines").clone()
     }
 
-    /// The first line of this target with this message, when it has come.
+    /// Waits for the first log line with this target and message and returns it.
     pub(crate) async fn line(&self, target: &str, message: &str) -> Value {
         let matches = |line: &Value| line["target"] == target && line["message"] == message;
         for _ in 0..POLLS_MAX {
@@ -114,20 +114,20 @@
         panic!("no line {target} {message:?} in {:#?}", self.lines());
     }
 
-    /// Where it listens, by the key of its first line: `listen`, `admin` or `peer`.
+    /// Returns a listening address by its key in the first log line: `listen`, `admin` or `peer`.
     pub(crate) async fn address(&self, key: &str) -> SocketAddr {
         let line = self.line("rudder::instance", "instance started").await;
         line["kvs"][key].as_str().expect("an address").parse().expect("an address")
     }
 
-    /// Sends a signal by the child's id.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args([signal, &id]).status().expect("kill starts");
-        assert!(sent.success(), "the process is gone");
+        assert!(sent.success(), "the signal could not be sent");
     }
 
-    /// The exit status, when it has ended.
+    /// Waits for the process to exit and returns its status.
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..POLLS_MAX {
             if let Some(status) = self.child.try_wait().expect("the child can be waited for") {
@@ -135,10 +135,10 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        panic!("the program goes on: {:#?}", self.lines());
+        panic!("the program did not exit: {:#?}", self.lines());
     }
 
-    /// A client, and the task that drives its connection.
+    /// Connects; returns the client and the task that drives its connection.
     pub(crate) async fn connect(&self, options: &str) -> (Client, ConnectionTask) {
         self.try_connect(options).await.expect("login works")
     }
@@ -163,7 +163,7 @@
     }
 }
 
-/// Group and platform inside the test, and the programs in processes of their own.
+/// Programs in separate processes, with the group and the platform inside the test process.
 pub(crate) struct Fleet {
     pub(crate) programs: Vec<Program>,
     pub(crate) deployment: Deployment,
@@ -182,7 +182,7 @@
         fleet
     }
 
-    /// Starts one more program and waits until it has settings in force.
+    /// Starts another program and waits until it has settings in force.
     pub(crate) async fn add(&mut self, extra: &str, variables: &[(&str, &str)]) {
         let mut seeds = Vec::new();
         for program in &self.programs {
@@ -195,7 +195,7 @@
         self.programs.push(program);
     }
 
-    /// The index of the first program that takes a step of a succession.
+    /// Waits for a program to log a succession step and returns its index.
     pub(crate) async fn first_to_start_succession(&self) -> usize {
         let logs_succession = |program: &Program| {
             program.lines().iter().any(|line| line.contains("rudder::succession"))
@@ -206,7 +206,7 @@
             }
             tokio::time::sleep(POLL / 20).await;
         }
-        panic!("nobody acts");
+        panic!("no program started a succession");
     }
 }
 
@@ -218,10 +218,10 @@
         }
         tokio::time::sleep(POLL).await;
     }
-    panic!("never accepted: {statement}");
+    panic!("the statement was never accepted: {statement}");
 }
 
-/// The first column of every row.
+/// Returns the first column of all rows.
 pub(crate) async fn rows_of(client: &Client, query: &str) -> Vec<String> {
     let messages = client.simple_query(query).await.expect("the query runs");
     let row = |message: &SimpleQueryMessage| match message {
--- a/crates/arbutusrudder/tests/processes/shutdown.rs
+++ b/crates/arbutusrudder/tests/processes/shutdown.rs
@@ -1,13 +1,12 @@
-//! Programs that are asked to end.
+//! Termination by signals.
 
 use crate::program::Fleet;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio_postgres::error::SqlState;
 
-/// What a user sees: an answer is cut off whenever a proxy is replaced.
-/// Order: one caller's statement runs and another caller is idle when the process gets SIGTERM.
-/// Cause: the process ends before its callers' requests do.
+/// The process receives SIGTERM while one caller's statement runs and another caller is idle. The
+/// running statement must complete; it would be cut off if the process ended first.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_program_finishes_requests_and_disconnects_idle_callers() {
     let mut fleet = Fleet::start(1).await;
@@ -19,7 +18,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     program.signal("-TERM");
-    let disconnect = ended.await.unwrap().expect_err("the idle caller is told to go elsewhere");
+    let disconnect = ended.await.unwrap().expect_err("the idle caller is disconnected");
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -33,9 +32,8 @@
     assert_eq!(status.code(), Some(0));
 }
 
-/// What a user sees: an operator cannot end a proxy because of one report that runs for an hour.
-/// Order: a statement runs, SIGTERM, and SIGTERM again when the program says that it leaves.
-/// Cause: the program waits for the last caller without an end.
+/// A second SIGTERM must end the program although a statement still runs. The graceful shutdown
+/// waits for the last caller without a timeout, so a long statement would block it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_signal_ends_the_program_at_once() {
     let mut fleet = Fleet::start(1).await;
--- a/crates/arbutusrudder/tests/processes/startup.rs
+++ b/crates/arbutusrudder/tests/processes/startup.rs
@@ -1,4 +1,4 @@
-//! How programs start, and what they write.
+//! Startup and log output.
 
 use crate::program::settings_text;
 use crate::program::{
@@ -9,9 +9,8 @@
 use std::net::TcpListener;
 use tokio_postgres::error::SqlState;
 
-/// What a user sees: the new proxy refuses everybody for as long as the platform is away.
-/// Order: one proxy runs, the platform goes out of service, a second proxy starts.
-/// Cause: settings come from the platform only.
+/// A proxy that starts while the platform is unavailable must get its settings from a peer; it
+/// would refuse all callers if settings came from the platform only.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_started_during_an_outage_uses_its_peers_settings() {
     let mut fleet = Fleet::start(1).await;
@@ -60,9 +59,8 @@
     assert_eq!(failed.status.code(), Some(1));
 }
 
-/// What a user sees: a password in the log, or a slow read that nobody can explain.
-/// Order: a caller logs in with a password, writes and reads, and once with a wrong password.
-/// Cause: errors of the login quote what was sent, or decisions go unlogged.
+/// Login errors must not quote the password that was sent, and each routing decision must be logged
+/// with its reason, so that slow reads can be explained.
 #[tokio::test(flavor = "multi_thread")]
 async fn routing_decisions_are_logged_with_a_reason_and_without_passwords() {
     let extra = format!("[[passwords]]\nuser = \"copyist\"\nvariable = \"{PASSWORD_VARIABLE}\"\n");
--- a/crates/arbutusrudder/tests/soak/callers.rs
+++ b/crates/arbutusrudder/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their sessions until something ends them, and write down what they see.
+//! Callers that run random operations in sessions and record the replies.
 
 use super::checks::{ReadRecord, SoakHistory, WriteOutcome};
 use super::environment::{BOUNDED, OWN, STRICT, SoakEnvironment, lock};
@@ -11,16 +11,16 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// The most time for one answer; after that the caller goes elsewhere and knows nothing.
+/// Timeout for a reply. After it, the caller reconnects and the outcome is unknown.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The pause between two operations, in milliseconds, and within a transaction.
+/// Pause in milliseconds between two operations, and between the statements of a transaction.
 const OPERATION_PAUSE_MS: std::ops::Range<u64> = 1..25;
 
-/// Operations of one session at most.
+/// Maximum number of operations in a session.
 const SESSION_OPERATIONS_MAX: u32 = 60;
 
-/// How old reads of a database may be.
+/// Returns the staleness limit of the reads of a database.
 fn staleness_limit_of(database: &str) -> Duration {
     match database {
         BOUNDED => Duration::from_millis(1500),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Callers at work.
+/// Running callers.
 pub(crate) struct SoakCallers {
     history: Arc<Mutex<SoakHistory>>,
     stop: Arc<AtomicBool>,
@@ -37,7 +37,7 @@
 }
 
 impl SoakCallers {
-    /// Lets all operations under way end.
+    /// Lets all running operations finish and returns the recorded history.
     pub(crate) async fn stop(self) -> SoakHistory {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Starts `count` callers, each with an item of its own that nobody else writes.
+/// Starts `count` callers, each with its own item that no other caller writes.
 pub(crate) fn start(environment: &SoakEnvironment, count: usize, seed: u64) -> SoakCallers {
     let history = Arc::new(Mutex::new(SoakHistory::new(count)));
     let stop = Arc::new(AtomicBool::new(false));
@@ -74,22 +74,22 @@
     next: u64,
 }
 
-/// One open session.
+/// An open session.
 struct CallerSession {
     client: LineClient,
     database: &'static str,
-    /// The caller's last value that this session knows to be written.
+    /// Last value of the caller that was acknowledged in this session.
     written: u64,
 }
 
-/// What a caller knows after a statement.
+/// Result of a statement as the caller observes it.
 enum StatementResult {
     Reply(LineReply),
     NoReply,
 }
 
 impl StatementResult {
-    /// What became of a write that was answered so.
+    /// Returns the outcome of a write with this result.
     fn outcome(&self) -> WriteOutcome {
         match self {
             Self::NoReply => WriteOutcome::Unknown,
@@ -159,7 +159,7 @@
         (id, result)
     }
 
-    /// One operation; returns whether the session goes on.
+    /// Runs one random operation; returns whether the session can continue.
     async fn run_operation(&mut self, session: &mut CallerSession) -> bool {
         match self.rng.random_range(0..10) {
             0..3 => self.write(session).await,
@@ -180,7 +180,7 @@
         is_idle(&result)
     }
 
-    /// Two writes that are kept together or not at all.
+    /// Runs a transaction of two writes, which must commit or roll back together.
     async fn write_pair(&mut self, session: &mut CallerSession) -> bool {
         if !is_open(&self.run_statement(session, "BEGIN").await.1) {
             return false;
@@ -192,7 +192,7 @@
             let result = run_statement(session, &id, &format!("WRITE {item} {value}")).await;
             writes.push(id);
             if !is_open(&result) {
-                // Nothing was committed, whatever became of the statement.
+                // Nothing was committed, whether or not the statement was executed.
                 lock(&self.history).record_pair(&writes, WriteOutcome::Refused);
                 return false;
             }
--- a/crates/arbutusrudder/tests/soak/checks.rs
+++ b/crates/arbutusrudder/tests/soak/checks.rs
@@ -1,31 +1,31 @@
-//! What callers saw, held against the promises and against what the group kept.
+//! Checks of the recorded replies against the consistency guarantees and the group's commits.
 
 use super::environment::{ACCOUNT_LIMIT, account_of, is_limited};
 use rudder_standins::{LineCommit, LineGroup, LineRun};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The window in which an account's operations are counted, as the settings files say.
+/// Window in which an account's operations are counted, as in the settings files.
 const LIMIT_WINDOW: Duration = Duration::from_secs(5);
 
-/// Operations that a limited account may run in it: a tenth and twenty more than its limit.
+/// Maximum number of operations of a limited account in a window: its limit plus a tenth plus 20.
 const WINDOW_OPERATIONS_MAX: usize = {
     let limit = (ACCOUNT_LIMIT.0 * 5 + ACCOUNT_LIMIT.1) as usize;
     limit + limit / 10 + 20
 };
 
-/// What a caller may conclude about a write.
+/// Outcome of a write as the caller observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// It is kept.
+    /// The write is committed.
     Acknowledged,
-    /// It is not kept.
+    /// The write is not committed.
     Refused,
-    /// Nobody can tell.
+    /// The write may or may not be committed.
     Unknown,
 }
 
-/// A write that was acknowledged.
+/// An acknowledged write.
 #[derive(Clone, Debug)]
 struct AcknowledgedWrite {
     id: String,
@@ -33,27 +33,27 @@
     at: Instant,
 }
 
-/// A read that was served.
+/// A served read.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadRecord {
     pub(crate) id: String,
     pub(crate) reader: usize,
     pub(crate) database: &'static str,
-    /// The caller whose item was read.
+    /// Number of the caller whose item was read.
     pub(crate) item: usize,
-    /// The writes that it must see, newest last, as far as no promotion cut them back.
+    /// Writes that the read must see, newest last, except those that a promotion discarded.
     pub(crate) required: Vec<(String, u64)>,
-    /// The value that the session itself had written.
+    /// Last value that the session itself had written.
     pub(crate) own: u64,
-    /// The row: data, a bar, and the session's values.
+    /// Returned row: the data, a `|` and the session's variables.
     pub(crate) row: String,
     pub(crate) outcome: String,
 }
 
-/// What all callers saw.
+/// Recorded operations of all callers.
 #[derive(Debug, Default)]
 pub(crate) struct SoakHistory {
-    /// By caller, in the order of the values, which only grow.
+    /// Acknowledged writes by caller, in the order of their increasing values.
     acknowledged: Vec<Vec<AcknowledgedWrite>>,
     outcomes: Vec<(String, WriteOutcome)>,
     pairs: Vec<(Vec<String>, WriteOutcome)>,
@@ -88,7 +88,7 @@
         self.pairs.push((ids.to_vec(), outcome));
     }
 
-    /// What a read that starts now must see of an item.
+    /// Returns the writes of an item that a read starting now must see.
     pub(crate) fn required_writes(
         &self,
         caller: usize,
@@ -109,7 +109,7 @@
     }
 }
 
-/// How a run ended.
+/// Counts and violations of a run.
 #[derive(Debug, Default)]
 pub(crate) struct SoakReport {
     pub(crate) served: usize,
@@ -125,8 +125,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} writes served, {} refused, {} unknown, {} reads, {} promotions, {} writes cut back, \
-             {} promises broken",
+            "{} writes served, {} refused, {} unknown, {} reads, {} promotions, \
+             {} writes discarded, {} guarantees violated",
             self.served,
             self.refused,
             self.unknown,
@@ -166,7 +166,7 @@
         report
     }
 
-    /// An accepted write is there once, a refused one is not there.
+    /// Checks that acknowledged writes are committed once and refused ones are not committed.
     fn check_writes(
         &mut self,
         history: &SoakHistory,
@@ -183,18 +183,18 @@
             let is_discarded = discarded.binary_search(id).is_ok();
             match outcome {
                 WriteOutcome::Acknowledged if !is_committed && !is_discarded => {
-                    self.violations.push(format!("{id} was acknowledged and is gone"));
+                    self.violations.push(format!("{id} was acknowledged and is not committed"));
                 }
                 WriteOutcome::Refused if is_committed => {
-                    self.violations.push(format!("{id} was refused and is there"));
+                    self.violations.push(format!("{id} was refused and is committed"));
                 }
                 _ => {}
             }
         }
     }
 
-    /// A statement runs in the name of its caller's account, and a limited account runs no more
-    /// operations than its limit allows.
+    /// Checks that each statement runs under its caller's account and that limited accounts stay
+    /// within their limit.
     fn check_accounts(&mut self, runs: &[LineRun]) {
         let caller_of = |run: &LineRun| -> Option<usize> {
             run.id.strip_prefix('c')?.split_once('n')?.0.parse().ok()
@@ -203,13 +203,13 @@
         for run in runs {
             let Some(caller) = caller_of(run) else { continue };
             if run.user != account_of(&format!("caller{caller}")) {
-                self.violations.push(format!("{} ran in the name of {}", run.id, run.user));
+                self.violations.push(format!("{} ran under account {}", run.id, run.user));
             }
             if run.begins && is_limited(caller) {
                 operations.push((caller, &run.id, run.at));
             }
         }
-        // A read that failed at one member is the same operation at the next one.
+        // A read that is retried at another member counts as one operation.
         operations.sort_unstable();
         operations.dedup_by_key(|operation| (operation.0, operation.1));
         operations.sort_unstable_by_key(|operation| (operation.0, operation.2));
@@ -226,14 +226,14 @@
         }
     }
 
-    /// A transaction is kept as one commit.
+    /// Checks that both writes of a transaction are in the same commit.
     fn check_pairs(&mut self, history: &SoakHistory, commits: &[LineCommit]) {
         let commit_of = |id: &String| {
             commits.iter().position(|commit| commit.writes.iter().any(|(known, ..)| known == id))
         };
         for (ids, _) in history.pairs.iter().filter(|(ids, _)| ids.len() == 2) {
             if commit_of(&ids[0]) != commit_of(&ids[1]) {
-                self.violations.push(format!("{ids:?} were not kept together"));
+                self.violations.push(format!("{ids:?} were not committed together"));
             }
         }
     }
@@ -241,8 +241,8 @@
     fn check_read(&mut self, record: &ReadRecord, discarded: &[String], history: &SoakHistory) {
         let (data, values) = record.row.split_once('|').unwrap_or(("", ""));
         let seen: u64 = data.parse().unwrap_or(0);
-        // A write of unknown outcome may arrive late, after one of the same caller that was
-        // acknowledged meanwhile, and then its value is the last one.
+        // A write with an unknown outcome may commit late, after a newer acknowledged write of the
+        // same caller, so that its older value is the current one.
         let late =
             history.outcome_of(&format!("c{}n{seen}", record.item)) == Some(WriteOutcome::Unknown);
         let survives = |(id, _): &&(String, u64)| discarded.binary_search(id).is_err();
@@ -259,10 +259,10 @@
                 .push(format!("{} saw {seen} and not its own {}", record.id, record.own));
         }
         if values != format!("who=caller{}", record.reader) {
-            self.violations.push(format!("{} ran with the values {values:?}", record.id));
+            self.violations.push(format!("{} ran with the variables {values:?}", record.id));
         }
         if !record.outcome.ends_with(&format!(".{}", record.id)) {
-            self.violations.push(format!("{} got the answer {:?}", record.id, record.outcome));
+            self.violations.push(format!("{} got the reply {:?}", record.id, record.outcome));
         }
     }
 }
--- a/crates/arbutusrudder/tests/soak/environment.rs
+++ b/crates/arbutusrudder/tests/soak/environment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the programs, and carrying faults out on it.
+//! Processes, links, store and group of a soak run, and the injection of faults into them.
 
 use super::faults::{LinkFailure, SoakFault, SoakPlan, TimedSoakFault};
 use super::process::{ProcessFiles, ProcessSignal, SoakProcess};
@@ -13,23 +13,24 @@
 
 const SERVICE: &str = "records";
 
-/// The databases, one for each kind of read.
+/// Databases, one for each kind of read consistency.
 pub(crate) const STRICT: &str = "db-strict";
 pub(crate) const BOUNDED: &str = "db-bounded";
 pub(crate) const OWN: &str = "db-own";
 
-/// Client accounts, one for each caller; more than there are callers.
+/// Number of client accounts, more than there are callers, each of which uses one.
 const ACCOUNTS: usize = 64;
 
-/// Operations a second, and at once beyond them, of every other account: less than its caller asks for.
+/// Rate limit (operations a second) and burst of every second account, below the rate at which its
+/// caller sends.
 pub(crate) const ACCOUNT_LIMIT: (u32, u32) = (5, 5);
 
-/// The account of a caller, whose key is its name.
+/// Returns the account of a caller, whose API key is the caller's name.
 pub(crate) fn account_of(caller: &str) -> String {
     format!("account-{caller}")
 }
 
-/// Whether the account of a caller is limited.
+/// Whether a caller's account has a rate limit.
 pub(crate) fn is_limited(caller: usize) -> bool {
     caller % 2 == 1
 }
@@ -48,21 +49,21 @@
     accounts
 }
 
-/// How far replicas are behind when nothing is wrong.
+/// Replication lag without faults.
 const DEFAULT_LAG: Duration = Duration::from_millis(15);
 
-/// The pause between two entries of a member, and how long one that is down stays in the list.
+/// Interval of a member's registrations, and the time after which a stopped member is removed.
 const REGISTRATION_INTERVAL: Duration = Duration::from_millis(150);
 const REGISTRATION_EXPIRY: Duration = Duration::from_millis(1200);
 
-/// The pause between two looks, and how many are made before a run counts as stuck.
+/// Interval of polls, and the number of polls after which a run fails as stuck.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const POLLS_MAX: u32 = 600;
 
-/// The most time for one probe: a process that stands still accepts connections and answers none.
+/// Timeout of a probe: a suspended process accepts connections but does not reply.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Counts probes, so that each has an id of its own.
+/// Number of probes so far, for unique probe ids.
 static PROBES: AtomicU64 = AtomicU64::new(0);
 
 struct SoakInstance {
@@ -72,7 +73,7 @@
     store_link: LinkStandin,
 }
 
-/// Programs, links, store and group of one run.
+/// Processes, links, store and group of a run.
 pub(crate) struct SoakEnvironment {
     pub(crate) fleet: LineFleet,
     instances: Vec<SoakInstance>,
@@ -116,12 +117,12 @@
         environment
     }
 
-    /// Where the instances listen for callers.
+    /// Returns the addresses at which the instances accept callers.
     pub(crate) fn addresses(&self) -> Vec<std::net::SocketAddr> {
         self.instances.iter().map(|instance| instance.seat.callers).collect()
     }
 
-    /// Keeps the logs of the programs.
+    /// Keeps the logs of the processes and prints their paths.
     pub(crate) fn keep_logs(&self) {
         self.keep_logs_on_drop.store(true, Ordering::Relaxed);
         for instance in &self.instances {
@@ -144,7 +145,7 @@
         );
     }
 
-    /// Carries the plan out; faults overlap.
+    /// Injects the faults of the plan, which may overlap.
     pub(crate) async fn run(self: &Arc<Self>, plan: &SoakPlan) {
         let started_at = Instant::now();
         let mut running = tokio::task::JoinSet::new();
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Ends all faults, and starts what does not run.
+    /// Ends all faults and starts processes that are not running.
     pub(crate) async fn restore(&self) {
         self.fleet.store.set_fault(ObjectsFault::None);
         self.fleet.group.set_lag(DEFAULT_LAG);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Waits until each instance takes a write and serves each kind of read.
+    /// Waits until each instance accepts a write and serves each kind of read.
     pub(crate) async fn await_serving(&self) {
         for instance in &self.instances {
             for database in [STRICT, BOUNDED, OWN] {
@@ -202,7 +203,7 @@
         for instance in &self.instances {
             *lock(&instance.process) = None;
             if !self.keep_logs_on_drop.load(Ordering::Relaxed) {
-                // A file that is gone already needs no removal.
+                // Removal fails only if the file does not exist.
                 let _ = std::fs::remove_file(&instance.files.log);
                 let _ = std::fs::remove_file(&instance.files.settings);
             }
@@ -210,7 +211,7 @@
     }
 }
 
-/// Whether an instance takes a write and serves a read of a database.
+/// Whether an instance accepts a write to and serves a read of a database.
 async fn serves(instance: &SoakInstance, database: &str) -> bool {
     tokio::time::timeout(PROBE_TIMEOUT, probe(instance, database)).await.unwrap_or(false)
 }
@@ -245,7 +246,7 @@
     }
 }
 
-/// Starts a new process once one that was told to stop has ended, or where none runs.
+/// Starts a new process if none is running, after a terminated one has exited.
 async fn restart_if_ended(instance: &SoakInstance) {
     for _ in 0..POLLS_MAX {
         {
@@ -293,7 +294,8 @@
         }
         SoakFault::MemberDown(index) => {
             let group = &environment.fleet.group;
-            // A group that has lost two of three members serves nobody, and shows nothing.
+            // Without two of its three members, the group serves no requests, so nothing would be
+            // tested.
             if (0..environment.member_links.len()).all(|member| group.is_up(member)) {
                 group.stop(index);
                 tokio::time::sleep(timed.length).await;
@@ -337,7 +339,8 @@
     restore_link(link);
 }
 
-/// Writes the members' entries as they would; one that is down drops out after a while.
+/// Publishes the members' registrations on their behalf and removes a member that has been down for
+/// [`REGISTRATION_EXPIRY`].
 async fn publish_members(environment: std::sync::Weak<SoakEnvironment>) {
     let mut last_up = [Instant::now(); 3];
     loop {
--- a/crates/arbutusrudder/tests/soak/faults.rs
+++ b/crates/arbutusrudder/tests/soak/faults.rs
@@ -1,63 +1,63 @@
-//! Which faults come when, drawn from a seed.
+//! Fault schedules generated from a seed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// The pause between two faults, in milliseconds; they last longer, so that they overlap.
+/// Time between the starts of two faults, in milliseconds. Faults may last longer and overlap.
 const FAULT_GAP_MS: std::ops::Range<u64> = 200..1400;
 
-/// How long a fault lasts, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const FAULT_LENGTH_MS: std::ops::Range<u64> = 200..3500;
 
-/// Members of the group.
+/// Number of members of the group.
 const MEMBERS: usize = 3;
 
-/// What happens to a link.
+/// Failure of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkFailure {
-    /// Nothing passes, without a word; connections stay silent also afterwards.
+    /// Drops all data without an error; open connections stay silent after the fault ends.
     Silent,
-    /// The same, in the direction of the answers only.
+    /// Like `Silent`, but drops replies only.
     NoReplies,
-    /// What is sent arrives once the fault is over.
+    /// Delays all data until the fault ends.
     Held,
-    /// Open connections are reset at once.
+    /// Resets open connections.
     Reset,
-    /// Everything takes this much longer.
+    /// Delays all data by this time.
     Slow(Duration),
 }
 
-/// One fault.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SoakFault {
-    /// A process is killed, and started again after the fault's length.
+    /// Kills a process and starts it again when the fault ends.
     Kill(usize),
-    /// A process stands still.
+    /// Suspends a process.
     Pause(usize),
-    /// A process is told to stop, and started again when it has ended.
+    /// Terminates a process and starts it again after it has exited.
     Restart(usize),
-    /// A process is told that its settings file has changed.
+    /// Signals a process to reload its settings file.
     Reload(usize),
-    /// The store turns everybody away.
+    /// The store rejects all requests as busy.
     StoreBusy,
-    /// The store does writes and does not answer them.
+    /// The store executes writes without sending replies.
     StoreLosesReplies,
-    /// The link of an instance to the store.
+    /// Failure of the link between an instance and the store.
     StoreLink(usize, LinkFailure),
-    /// The link of all instances to a member.
+    /// Failure of the link between all instances and a member.
     MemberLink(usize, LinkFailure),
-    /// A member is down.
+    /// Stops a member.
     MemberDown(usize),
-    /// The primary says that it is leaving.
+    /// The primary announces that it is leaving.
     PrimaryLeaves,
-    /// Replicas are this much behind.
+    /// Replicas lag by this time.
     Lag(Duration),
-    /// The operator writes a new version of the settings.
+    /// The operator publishes a new version of the settings.
     SettingsChange,
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimedSoakFault {
     pub(crate) at: Duration,
@@ -65,7 +65,7 @@
     pub(crate) fault: SoakFault,
 }
 
-/// The faults of one run.
+/// Fault schedule of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SoakPlan {
     pub(crate) faults: Vec<TimedSoakFault>,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The faults in one line.
+    /// Formats the faults in one line.
     pub(crate) fn summary(&self) -> String {
         let line = |fault: &TimedSoakFault| {
             format!(
--- a/crates/arbutusrudder/tests/soak/main.rs
+++ b/crates/arbutusrudder/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! A randomized soak: the real programs as processes of their own, faults from outside of them, and
-//! callers that check the promises while it runs.
+//! Randomized soak test: processes of the compiled program, faults injected from outside, and
+//! callers whose observations are checked against the consistency guarantees.
 //!
-//! `RUDDER_SOAK_SEEDS=50 RUDDER_SOAK_FROM=1 RUDDER_SOAK_SECONDS=20` plays more than CI does. Each
-//! run prints its seed, its faults and, where a promise is broken, where the logs are kept.
+//! `RUDDER_SOAK_SEEDS=50 RUDDER_SOAK_FROM=1 RUDDER_SOAK_SECONDS=20` runs more seeds than CI does.
+//! Each run prints its seed, its faults and, if a guarantee is violated, the paths of the logs.
 
 mod callers;
 mod checks;
@@ -15,19 +15,19 @@
 use faults::SoakPlan;
 use std::time::Duration;
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const CI_SEEDS: [u64; 2] = [1, 2];
 
-/// Seeds that ever failed, each with its cause. They are played as they failed, in CI as well.
+/// Seeds that have failed before, each with its cause. They run unchanged, in CI as well.
 const FAILED_SEEDS: [u64; 0] = [];
 
-/// How long faults come in CI.
+/// Seconds for which faults are injected in CI.
 const CI_SECONDS: u64 = 8;
 
-/// Programs of one run.
+/// Number of program processes in a run.
 const INSTANCES: usize = 4;
 
-/// Callers of one run.
+/// Number of callers in a run.
 const CALLERS: usize = 16;
 
 async fn run(seed: u64, seconds: u64) -> SoakReport {
--- a/crates/arbutusrudder/tests/soak/process.rs
+++ b/crates/arbutusrudder/tests/soak/process.rs
@@ -1,4 +1,4 @@
-//! One program as a process of its own.
+//! Processes of the program.
 
 use rudder_standins::{BOOT_VARIABLE, LineSeat};
 use std::fs::File;
@@ -7,7 +7,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_arbutusrudder");
 
-/// What is done to a process.
+/// Signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessSignal {
     Pause,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The files of one instance: they outlive its processes.
+/// Files of an instance, which remain when its process is replaced.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessFiles {
     pub(crate) settings: PathBuf,
@@ -45,15 +45,15 @@
     }
 }
 
-/// A running program; it is killed, by its own id, when this is dropped.
+/// A process of the program, which is killed on drop.
 pub(crate) struct SoakProcess {
     child: Child,
-    /// Whether it was told to stop.
+    /// Whether the process was terminated.
     stopping: bool,
 }
 
 impl SoakProcess {
-    /// Starts the program; its log is added to what earlier processes of the instance wrote.
+    /// Starts the program; its log is appended to that of the instance's earlier processes.
     pub(crate) fn start(files: &ProcessFiles) -> Self {
         let log = File::options().create(true).append(true).open(&files.log);
         let mut command = Command::new(PROGRAM);
@@ -62,7 +62,7 @@
         Self { child: command.spawn().expect("the program starts"), stopping: false }
     }
 
-    /// Sends a signal by the child's id; one that has ended is left alone.
+    /// Sends a signal to the process, unless it has exited.
     pub(crate) fn signal(&mut self, signal: ProcessSignal) {
         if self.has_ended() {
             return;
@@ -72,7 +72,7 @@
         Command::new("kill").args([signal.argument(), &id]).status().expect("kill starts");
     }
 
-    /// Whether it was told to stop; it may still serve for some seconds.
+    /// Whether the process was terminated; it may still serve callers for some seconds.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping
     }
@@ -84,7 +84,7 @@
 
 impl Drop for SoakProcess {
     fn drop(&mut self) {
-        // Both fail only for a child that has ended by itself.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
