--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -40,9 +40,9 @@
 /// Timeout of a starting instance for the platform's list of instances.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which a leaving instance keeps its listener open after it has announced that it leaves.
-/// It covers callers that the load balancer still sends to it.
-const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(200);
+/// Delay between the announcement that an instance leaves and the wait for its callers to finish,
+/// for callers that the load balancer still sends.
+const LEAVE_DELAY: Duration = Duration::from_millis(200);
 
 /// A running instance. Dropping it stops it at once; [`ProxyInstance::leave`] lets requests in
 /// flight finish first.
@@ -160,9 +160,8 @@
         log::info!(target: "rudder::instance", instance:% = self.context.name(), reason = "asked"; "instance leaving");
         self.mesh.leave().await;
         self.context.leaving.send_replace(true);
-        // The load balancer may send a few more callers until it notices; they are disconnected
-        // with an error that makes them reconnect elsewhere.
-        tokio::time::sleep(LISTENER_CLOSE_DELAY).await;
+        // The load balancer may send a few more callers until it notices that this instance leaves.
+        tokio::time::sleep(LEAVE_DELAY).await;
         self.callers.close();
         self.callers.wait().await;
         self.tasks.shutdown().await;
