--- a/crates/rudder-endpoint/src/channel.rs
+++ b/crates/rudder-endpoint/src/channel.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Mutex, OwnedMutexGuard, oneshot};
-use tokio::time::{Instant, timeout, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
 /// How long one exchange may go on after its asker has given up, opening the connection included.
-const EXCHANGE_MAX: Duration = Duration::from_secs(1);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The control channel to one member over its own connection, apart from the callers' pool, so
 /// that a busy pool cannot hide a live member.
@@ -39,18 +39,18 @@
 /// Runs one exchange; the connection stays in the slot unless it failed.
 async fn exchange(
     address: MemberAddress,
-    mut slot: OwnedMutexGuard<Option<MemberConnection>>,
+    mut guard: OwnedMutexGuard<Option<MemberConnection>>,
     statement: ControlStatement,
 ) -> Result<MemberStatus, ControlError> {
-    let mut connection = match slot.take() {
+    let mut connection = match guard.take() {
         Some(connection) => connection,
-        None => MemberConnection::open(&address, EXCHANGE_MAX).await?,
+        None => MemberConnection::open(&address, EXCHANGE_TIMEOUT).await?,
     };
     let outcome = connection.control(&statement).await;
     // A failed connection is dropped, never kept: its late answer would be taken for the answer
     // to the next statement.
     if !matches!(outcome, Err(ControlError::Unreachable(_))) {
-        *slot = Some(connection);
+        *guard = Some(connection);
     }
     outcome
 }
@@ -60,20 +60,20 @@
     async fn run(
         &self,
         statement: &ControlStatement,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<MemberStatus, ControlError> {
-        let deadline = Instant::now() + within;
-        let slot = timeout_at(deadline, Arc::clone(&self.connection).lock_owned())
+        let deadline = Instant::now() + timeout;
+        let guard = timeout_at(deadline, Arc::clone(&self.connection).lock_owned())
             .await
             .map_err(|_| ControlError::TimedOut)?;
         let (sender, receiver) = oneshot::channel();
-        let exchange = exchange(self.address.clone(), slot, statement.clone());
+        let exchange = exchange(self.address.clone(), guard, statement.clone());
         // Guards against a link so slow that connecting takes longer than a statement may: were
         // the exchange to end with its asker, every asker would start to connect anew, and none
         // would ever be answered. It goes on by itself, and the next asker finds the connection.
         // One that stays silent ends after its own bound, and its late answer with it.
         tokio::spawn(async move {
-            let outcome = timeout(EXCHANGE_MAX.max(within), exchange).await;
+            let outcome = tokio::time::timeout(EXCHANGE_TIMEOUT.max(timeout), exchange).await;
             // The asker may have given up; the next one has the connection.
             let _ = sender.send(outcome.unwrap_or(Err(ControlError::TimedOut)));
         });
--- a/crates/rudder-endpoint/src/connection.rs
+++ b/crates/rudder-endpoint/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::ControlError;
 use crate::login::{EndpointError, LoginSettings, log_in};
-use crate::status::{parse_status_row, read_error_fields, refusal_of};
+use crate::status::{parse_status_row, read_error_fields, to_control_error};
 use crate::wire::{WireError, WireLink, tag};
 use bytes::BytesMut;
 use postgres_protocol::message::frontend;
@@ -12,7 +12,6 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::time::timeout;
 
 /// Members send no frame but rows and COPY data above this.
 const MEMBER_FRAME_MAX: ByteSize = ByteSize(64 * 1024 * 1024);
@@ -24,7 +23,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How long sent bytes may stay unacknowledged before the kernel gives the connection up.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_secs(10);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 plain_data! {
     /// What a cancel request must name.
@@ -55,7 +54,7 @@
 }
 
 impl MemberConnection {
-    /// Connects and logs in within `within`.
+    /// Connects and logs in within `timeout`.
     ///
     /// # Errors
     ///
@@ -75,14 +74,16 @@
     /// # })?;
     /// # Ok::<(), std::io::Error>(())
     /// ```
-    pub async fn open(address: &MemberAddress, within: Duration) -> Result<Self, EndpointError> {
-        timeout(within, Self::connect(address)).await.map_err(|_| EndpointError::TimedOut)?
+    pub async fn open(address: &MemberAddress, timeout: Duration) -> Result<Self, EndpointError> {
+        tokio::time::timeout(timeout, Self::connect(address))
+            .await
+            .map_err(|_| EndpointError::TimedOut)?
     }
 
     async fn connect(address: &MemberAddress) -> Result<Self, EndpointError> {
         let stream =
             TcpStream::connect(address.address).await.map_err(EndpointError::Unreachable)?;
-        tune_socket(&stream).map_err(EndpointError::Unreachable)?;
+        configure_socket(&stream).map_err(EndpointError::Unreachable)?;
         let mut link = WireLink::new(Box::new(stream), MEMBER_FRAME_MAX);
         let outcome = log_in(&mut link, &address.login).await?;
         Ok(Self { link, parameters: outcome.parameters, cancel: outcome.cancel })
@@ -114,7 +115,7 @@
     pub async fn send_cancel(
         address: SocketAddr,
         target: CancelTarget,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), EndpointError> {
         let send = async {
             let mut stream =
@@ -127,7 +128,7 @@
             let _ = tokio::io::AsyncReadExt::read(&mut stream, &mut rest).await?;
             Ok(())
         };
-        timeout(within, send).await.map_err(|_| EndpointError::TimedOut)?
+        tokio::time::timeout(timeout, send).await.map_err(|_| EndpointError::TimedOut)?
     }
 
     /// Adds a simple query to the bytes to be sent.
@@ -169,7 +170,7 @@
                     outcome = parse_status_row(frame.body())
                         .map_err(|error| ControlError::Refused(error.to_string()));
                 }
-                tag::ERROR => outcome = Err(refusal_of(&read_error_fields(frame.body()))),
+                tag::ERROR => outcome = Err(to_control_error(&read_error_fields(frame.body()))),
                 tag::READY => return outcome,
                 _ => {}
             }
@@ -179,10 +180,10 @@
 
 /// Guards against connections that go silent because something between the two ends lost track of
 /// them: they show as writes that are never acknowledged, and the kernel then fails them.
-fn tune_socket(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/rudder-endpoint/src/control.rs
+++ b/crates/rudder-endpoint/src/control.rs
@@ -24,10 +24,10 @@
 /// One member's control channel.
 #[async_trait]
 pub trait MemberControl: Send + Sync {
-    /// Runs a control statement and returns the status after its effect, within `within`.
+    /// Runs a control statement and returns the status after its effect, within `timeout`.
     async fn run(
         &self,
         statement: &ControlStatement,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<MemberStatus, ControlError>;
 }
--- a/crates/rudder-endpoint/src/status.rs
+++ b/crates/rudder-endpoint/src/status.rs
@@ -56,8 +56,8 @@
     Ok(MemberStatus {
         role: columns.next()?.parse()?,
         accepted: columns.next()?.parse()?,
-        received: stamp_of(&mut columns)?,
-        applied: stamp_of(&mut columns)?,
+        received: parse_stamp(&mut columns)?,
+        applied: parse_stamp(&mut columns)?,
     })
 }
 
@@ -73,19 +73,19 @@
     if fields.sqlstate != TERM_REFUSED_SQLSTATE {
         return None;
     }
-    let mut words = fields.message.split(|char: char| !char.is_ascii_digit());
-    words.find(|word| !word.is_empty())?.parse().ok()
+    let mut numbers = fields.message.split(|char: char| !char.is_ascii_digit());
+    numbers.find(|number| !number.is_empty())?.parse().ok()
 }
 
 /// The control error that an error row of a member stands for.
-pub(crate) fn refusal_of(fields: &ErrorFields) -> ControlError {
+pub(crate) fn to_control_error(fields: &ErrorFields) -> ControlError {
     match superseded_term(fields) {
         Some(term) => ControlError::Superseded(term),
         None => ControlError::Refused(format!("{} ({})", fields.message, fields.sqlstate)),
     }
 }
 
-fn stamp_of(columns: &mut RowColumns<'_>) -> Result<LogStamp, ParseError> {
+fn parse_stamp(columns: &mut RowColumns<'_>) -> Result<LogStamp, ParseError> {
     Ok(LogStamp { term: columns.next()?.parse()?, position: columns.next()?.parse()? })
 }
 
@@ -95,23 +95,24 @@
 
 impl<'a> RowColumns<'a> {
     fn new(body: &'a [u8]) -> Result<Self, ParseError> {
-        let (count, rest) = body.split_first_chunk::<2>().ok_or_else(not_a_status)?;
+        let (count, rest) = body.split_first_chunk::<2>().ok_or_else(malformed_status_row)?;
         if usize::from(u16::from_be_bytes(*count)) < STATUS_COLUMNS.len() {
-            return Err(not_a_status());
+            return Err(malformed_status_row());
         }
         Ok(Self { rest })
     }
 
     fn next(&mut self) -> Result<&'a str, ParseError> {
-        let (size, rest) = self.rest.split_first_chunk::<4>().ok_or_else(not_a_status)?;
-        let size = usize::try_from(i32::from_be_bytes(*size)).map_err(|_| not_a_status())?;
-        let (text, rest) = rest.split_at_checked(size).ok_or_else(not_a_status)?;
+        let (size, rest) = self.rest.split_first_chunk::<4>().ok_or_else(malformed_status_row)?;
+        let size =
+            usize::try_from(i32::from_be_bytes(*size)).map_err(|_| malformed_status_row())?;
+        let (text, rest) = rest.split_at_checked(size).ok_or_else(malformed_status_row)?;
         self.rest = rest;
-        std::str::from_utf8(text).map_err(|_| not_a_status())
+        std::str::from_utf8(text).map_err(|_| malformed_status_row())
     }
 }
 
-fn not_a_status() -> ParseError {
+fn malformed_status_row() -> ParseError {
     ParseError::Shape {
         what: "status row",
         text: "row".to_owned(),
--- a/crates/rudder-endpoint/src/wire/link.rs
+++ b/crates/rudder-endpoint/src/wire/link.rs
@@ -13,16 +13,16 @@
 
 /// Rows and COPY data above this size are handed on in parts, so that one large value does not
 /// sit in memory as a whole.
-const PART_SIZE: usize = 64 * 1024;
+const SPLIT_THRESHOLD: usize = 64 * 1024;
 
 /// Bytes read at once; a batch of small frames fits.
 const READ_SIZE: usize = 16 * 1024;
 
 /// Bytes that the buffer of an idle connection may keep for its next answer.
-const IDLE_SIZE_MAX: usize = 1024;
+const IDLE_BUFFER_MAX: usize = 1024;
 
 /// Above this many unsent bytes the sender waits for the other side to read.
-const OUTGOING_HIGH: usize = 256 * 1024;
+const HIGH_WATER_MARK: usize = 256 * 1024;
 
 /// A login packet longer than this is no login: `PostgreSQL` itself allows 10,000 bytes.
 const STARTUP_SIZE_MAX: usize = 10_000;
@@ -91,13 +91,13 @@
         if self.part_left > 0 {
             return !self.incoming.is_empty();
         }
-        self.incoming.len() >= HEADER_SIZE && self.incoming.len() >= self.announced_size()
+        self.incoming.len() >= HEADER_SIZE && self.incoming.len() >= self.frame_size()
     }
 
     /// Whether the bytes waiting to be sent should be flushed before more are added.
     #[must_use]
     pub fn is_congested(&self) -> bool {
-        self.outgoing.len() >= OUTGOING_HIGH
+        self.outgoing.len() >= HIGH_WATER_MARK
     }
 
     /// Whether the other side has closed or sent something, without waiting.
@@ -105,7 +105,7 @@
         if !self.incoming.is_empty() {
             return false;
         }
-        poll_fn(|cx| match self.poll_fill(cx) {
+        poll_fn(|cx| match self.poll_receive(cx) {
             Poll::Pending => Poll::Ready(true),
             Poll::Ready(_) => Poll::Ready(false),
         })
@@ -208,7 +208,7 @@
         .await
     }
 
-    fn announced_size(&self) -> usize {
+    fn frame_size(&self) -> usize {
         let length = (&self.incoming[1..HEADER_SIZE]).get_u32();
         length as usize + 1
     }
@@ -221,7 +221,7 @@
             return Ok(None);
         }
         let tag = self.incoming[0];
-        let size = self.announced_size();
+        let size = self.frame_size();
         if size < HEADER_SIZE {
             return Err(WireError::Malformed("a length is below four"));
         }
@@ -229,7 +229,7 @@
             let bytes = self.incoming.split_to(size).freeze();
             return Ok(Some(WireFrame { tag, part: FramePart::Whole, bytes }));
         }
-        let in_parts = size > PART_SIZE && matches!(tag, tag::DATA_ROW | tag::COPY_DATA);
+        let in_parts = size > SPLIT_THRESHOLD && matches!(tag, tag::DATA_ROW | tag::COPY_DATA);
         if in_parts {
             return Ok(Some(self.start_parts(tag, size)));
         }
@@ -298,7 +298,7 @@
             Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
             Poll::Pending => {}
         }
-        self.poll_fill(cx)
+        self.poll_receive(cx)
     }
 
     fn poll_send(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), WireError>> {
@@ -312,9 +312,9 @@
         Poll::Ready(Ok(()))
     }
 
-    fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), WireError>> {
+    fn poll_receive(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), WireError>> {
         let count = if self.incoming.is_empty() && self.part_left == 0 {
-            ready!(self.poll_first(cx))?
+            ready!(self.poll_receive_first(cx))?
         } else {
             if self.incoming.capacity() == self.incoming.len() {
                 self.incoming.reserve(READ_SIZE);
@@ -329,12 +329,12 @@
 
     /// Reads into a buffer on the stack, so that a connection that waits for its other side holds
     /// no memory for what may come: thousands of them are idle at a time.
-    fn poll_first(&mut self, cx: &mut Context<'_>) -> Poll<std::io::Result<usize>> {
-        let mut space = [const { MaybeUninit::uninit() }; READ_SIZE];
-        let mut read = ReadBuf::uninit(&mut space);
+    fn poll_receive_first(&mut self, cx: &mut Context<'_>) -> Poll<std::io::Result<usize>> {
+        let mut buffer = [const { MaybeUninit::uninit() }; READ_SIZE];
+        let mut read = ReadBuf::uninit(&mut buffer);
         if Pin::new(&mut self.stream).poll_read(cx, &mut read)?.is_pending() {
             self.incoming = BytesMut::new();
-            if self.outgoing.is_empty() && self.outgoing.capacity() > IDLE_SIZE_MAX {
+            if self.outgoing.is_empty() && self.outgoing.capacity() > IDLE_BUFFER_MAX {
                 self.outgoing = BytesMut::new();
             }
             return Poll::Pending;
