--- a/crates/rudderctl/src/arguments.rs
+++ b/crates/rudderctl/src/arguments.rs
@@ -5,7 +5,7 @@
     CheckOptions, ControlCommand, ControlOptions, DrainOptions, ExplainOptions, FetchOptions,
     StatusOptions, SubmitOptions, SwitchOptions,
 };
-use crate::output::{ExitWord, OutputForm};
+use crate::output::{ExitStatus, OutputFormat};
 use argh::FromArgs;
 use rudder_core::{MemberName, ServiceName};
 use rudder_settings::FileName;
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 /// Reads the command line; help and usage errors are printed here.
-pub(crate) fn parse_command_line() -> Result<ControlOptions, ExitWord> {
-    let words: Vec<String> =
-        std::env::args_os().map(|word| word.to_string_lossy().into_owned()).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let rest = words.get(1..).unwrap_or_default();
+pub(crate) fn parse_command_line() -> Result<ControlOptions, ExitStatus> {
+    let arguments: Vec<String> =
+        std::env::args_os().map(|argument| argument.to_string_lossy().into_owned()).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let rest = arguments.get(1..).unwrap_or_default();
     let exit = match CommandLine::from_args(&["rudderctl"], rest) {
         Ok(line) => return Ok(line.into()),
         Err(exit) => exit,
@@ -27,11 +27,11 @@
     match exit.status {
         Ok(()) => {
             println!("{}", exit.output);
-            Err(ExitWord::Done)
+            Err(ExitStatus::Done)
         }
         Err(()) => {
             eprintln!("{}\nRun rudderctl --help for more information.", exit.output.trim_end());
-            Err(ExitWord::Usage)
+            Err(ExitStatus::Usage)
         }
     }
 }
@@ -55,19 +55,19 @@
 )]
 struct CommandLine {
     #[argh(subcommand)]
-    command: CommandWord,
+    command: CommandArguments,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum CommandWord {
-    Check(CheckLine),
-    Submit(SubmitLine),
-    Fetch(FetchLine),
-    Status(StatusLine),
-    Drain(DrainLine),
-    Switch(SwitchLine),
-    Explain(ExplainLine),
+enum CommandArguments {
+    Check(CheckArguments),
+    Submit(SubmitArguments),
+    Fetch(FetchArguments),
+    Status(StatusArguments),
+    Drain(DrainArguments),
+    Switch(SwitchArguments),
+    Explain(ExplainArguments),
 }
 
 /// Check a folder of settings files; needs no platform.
@@ -78,7 +78,7 @@
     example = "{command_name} examples/inanga-scores --explain",
     error_code(1, "The folder is refused: each problem with file, line, key and what is right.")
 )]
-struct CheckLine {
+struct CheckArguments {
     /// the folder
     #[argh(positional)]
     folder: PathBuf,
@@ -99,7 +99,7 @@
     example = "{command_name} team --remove 35-rehearsals.toml --platform http://127.0.0.1:18001",
     note = "In a folder that was fetched, only the files that were changed since are submitted."
 )]
-struct SubmitLine {
+struct SubmitArguments {
     /// the folder
     #[argh(positional)]
     folder: PathBuf,
@@ -129,7 +129,7 @@
     note = "Files that were never accepted are left alone. A file that was changed here and differs\n\
         from the accepted one is not overwritten: the command is refused."
 )]
-struct FetchLine {
+struct FetchArguments {
     /// the folder; made if it is missing
     #[argh(positional)]
     folder: PathBuf,
@@ -151,7 +151,7 @@
     name = "status",
     example = "{command_name} --platform http://127.0.0.1:18001 --admin 127.0.0.1:9100 --json"
 )]
-struct StatusLine {
+struct StatusArguments {
     /// the platform's address, such as http://127.0.0.1:18001
     #[argh(option)]
     platform: Option<PlatformAddress>,
@@ -175,7 +175,7 @@
     example = "{command_name} scores-orders-1 --service scores-orders --undo --platform http://127.0.0.1:18001",
     note = "A draining primary hands over to the most advanced member that stays."
 )]
-struct DrainLine {
+struct DrainArguments {
     /// the member
     #[argh(positional)]
     member: MemberName,
@@ -205,7 +205,7 @@
     error_code(1, "The order was refused, or not carried out."),
     error_code(4, "The order still stood when the wait ended, or its answer was lost.")
 )]
-struct SwitchLine {
+struct SwitchArguments {
     /// the service
     #[argh(positional)]
     service: ServiceName,
@@ -237,7 +237,7 @@
         A word before a line names its instance, else the file does.",
     error_code(1, "No line names the request, or a file cannot be read.")
 )]
-struct ExplainLine {
+struct ExplainArguments {
     /// the id that the caller sent with the request
     #[argh(positional)]
     request: String,
@@ -261,67 +261,71 @@
 impl From<CommandLine> for ControlOptions {
     fn from(line: CommandLine) -> Self {
         let (command, json) = match line.command {
-            CommandWord::Check(line) => line.into(),
-            CommandWord::Submit(line) => line.into(),
-            CommandWord::Fetch(line) => line.into(),
-            CommandWord::Status(line) => line.into(),
-            CommandWord::Drain(line) => line.into(),
-            CommandWord::Switch(line) => line.into(),
-            CommandWord::Explain(line) => line.into(),
+            CommandArguments::Check(arguments) => arguments.into(),
+            CommandArguments::Submit(arguments) => arguments.into(),
+            CommandArguments::Fetch(arguments) => arguments.into(),
+            CommandArguments::Status(arguments) => arguments.into(),
+            CommandArguments::Drain(arguments) => arguments.into(),
+            CommandArguments::Switch(arguments) => arguments.into(),
+            CommandArguments::Explain(arguments) => arguments.into(),
         };
-        Self { command, form: OutputForm::new(json) }
+        Self { command, format: OutputFormat::new(json) }
     }
 }
 
-impl From<CheckLine> for (ControlCommand, bool) {
-    fn from(line: CheckLine) -> Self {
-        let options = CheckOptions { folder: line.folder, explain: line.explain };
-        (ControlCommand::Check(options), line.json)
+impl From<CheckArguments> for (ControlCommand, bool) {
+    fn from(arguments: CheckArguments) -> Self {
+        let options = CheckOptions { folder: arguments.folder, explain: arguments.explain };
+        (ControlCommand::Check(options), arguments.json)
     }
 }
 
-impl From<SubmitLine> for (ControlCommand, bool) {
-    fn from(line: SubmitLine) -> Self {
-        let platform = platform_options(line.platform, line.namespace);
-        let SubmitLine { folder, remove, above, .. } = line;
-        (ControlCommand::Submit(SubmitOptions { folder, platform, remove, above }), line.json)
+impl From<SubmitArguments> for (ControlCommand, bool) {
+    fn from(arguments: SubmitArguments) -> Self {
+        let platform = platform_options(arguments.platform, arguments.namespace);
+        let SubmitArguments { folder, remove, above, .. } = arguments;
+        (ControlCommand::Submit(SubmitOptions { folder, platform, remove, above }), arguments.json)
     }
 }
 
-impl From<FetchLine> for (ControlCommand, bool) {
-    fn from(line: FetchLine) -> Self {
-        let platform = platform_options(line.platform, line.namespace);
-        (ControlCommand::Fetch(FetchOptions { folder: line.folder, platform }), line.json)
+impl From<FetchArguments> for (ControlCommand, bool) {
+    fn from(arguments: FetchArguments) -> Self {
+        let platform = platform_options(arguments.platform, arguments.namespace);
+        (ControlCommand::Fetch(FetchOptions { folder: arguments.folder, platform }), arguments.json)
     }
 }
 
-impl From<StatusLine> for (ControlCommand, bool) {
-    fn from(line: StatusLine) -> Self {
-        let platform = platform_options(line.platform, line.namespace);
-        (ControlCommand::Status(StatusOptions { platform, instances: line.admin }), line.json)
+impl From<StatusArguments> for (ControlCommand, bool) {
+    fn from(arguments: StatusArguments) -> Self {
+        let platform = platform_options(arguments.platform, arguments.namespace);
+        (
+            ControlCommand::Status(StatusOptions { platform, instances: arguments.admin }),
+            arguments.json,
+        )
     }
 }
 
-impl From<DrainLine> for (ControlCommand, bool) {
-    fn from(line: DrainLine) -> Self {
-        let platform = platform_options(line.platform, line.namespace);
-        let DrainLine { member, service, undo, .. } = line;
-        (ControlCommand::Drain(DrainOptions { platform, service, member, undo }), line.json)
+impl From<DrainArguments> for (ControlCommand, bool) {
+    fn from(arguments: DrainArguments) -> Self {
+        let platform = platform_options(arguments.platform, arguments.namespace);
+        let DrainArguments { member, service, undo, .. } = arguments;
+        (ControlCommand::Drain(DrainOptions { platform, service, member, undo }), arguments.json)
     }
 }
 
-impl From<SwitchLine> for (ControlCommand, bool) {
-    fn from(line: SwitchLine) -> Self {
-        let platform = platform_options(line.platform, line.namespace);
-        let wait = Duration::from_secs(line.wait);
-        let options = SwitchOptions { platform, service: line.service, target: line.to, wait };
-        (ControlCommand::Switch(options), line.json)
+impl From<SwitchArguments> for (ControlCommand, bool) {
+    fn from(arguments: SwitchArguments) -> Self {
+        let platform = platform_options(arguments.platform, arguments.namespace);
+        let wait = Duration::from_secs(arguments.wait);
+        let options =
+            SwitchOptions { platform, service: arguments.service, target: arguments.to, wait };
+        (ControlCommand::Switch(options), arguments.json)
     }
 }
 
-impl From<ExplainLine> for (ControlCommand, bool) {
-    fn from(line: ExplainLine) -> Self {
-        let options = ExplainOptions { request: line.request, logs: line.logs };
-        (ControlCommand::Explain(options), line.json)
+impl From<ExplainArguments> for (ControlCommand, bool) {
+    fn from(arguments: ExplainArguments) -> Self {
+        let options = ExplainOptions { request: arguments.request, logs: arguments.logs };
+        (ControlCommand::Explain(options), arguments.json)
     }
 }
--- a/crates/rudderctl/src/base.rs
+++ b/crates/rudderctl/src/base.rs
@@ -1,6 +1,6 @@
 //! What a folder held when it was last fetched or submitted.
 
-use crate::error::ControlError;
+use crate::error::CommandError;
 use rudder_store::SettingsRevision;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
 const BASE_FILE: &str = ".rudder-base.json";
 
 /// Reads what the folder held; none if it was never fetched.
-pub(crate) fn read_base(folder: &Path) -> Result<Option<SettingsRevision>, ControlError> {
+pub(crate) fn read_base(folder: &Path) -> Result<Option<SettingsRevision>, CommandError> {
     let path = base_path(folder);
     let damaged =
-        |reason: String| ControlError::DamagedBase { path: path.display().to_string(), reason };
+        |reason: String| CommandError::DamagedBase { path: path.display().to_string(), reason };
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -22,24 +22,24 @@
 }
 
 /// Remembers what the folder holds.
-pub(crate) fn write_base(folder: &Path, base: &SettingsRevision) -> Result<(), ControlError> {
+pub(crate) fn write_base(folder: &Path, base: &SettingsRevision) -> Result<(), CommandError> {
     let text = serde_json::to_string_pretty(base).expect("names and numbers are always JSON");
     write_file(&base_path(folder), &text)
 }
 
 /// Writes a file of the folder.
-pub(crate) fn write_file(path: &Path, text: &str) -> Result<(), ControlError> {
+pub(crate) fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
     std::fs::write(path, text).map_err(|error| unwritable(path, &error))
 }
 
 /// Removes a file of the folder.
-pub(crate) fn remove_file(path: &Path) -> Result<(), ControlError> {
+pub(crate) fn remove_file(path: &Path) -> Result<(), CommandError> {
     std::fs::remove_file(path).map_err(|error| unwritable(path, &error))
 }
 
 /// The error of a path that cannot be written.
-pub(crate) fn unwritable(path: &Path, error: &io::Error) -> ControlError {
-    ControlError::Unwritable { path: path.display().to_string(), reason: error.to_string() }
+pub(crate) fn unwritable(path: &Path, error: &io::Error) -> CommandError {
+    CommandError::Unwritable { path: path.display().to_string(), reason: error.to_string() }
 }
 
 fn base_path(folder: &Path) -> PathBuf {
--- a/crates/rudderctl/src/command/check.rs
+++ b/crates/rudderctl/src/command/check.rs
@@ -1,6 +1,6 @@
 //! `check`: merge and check a folder without a platform.
 
-use crate::error::ControlError;
+use crate::error::CommandError;
 use crate::options::CheckOptions;
 use crate::output::CommandReport;
 use rudder_settings::{MergedFolder, MergedValue, merge_folder, read_folder};
@@ -31,7 +31,7 @@
     }
 }
 
-pub(crate) fn check(options: &CheckOptions) -> Result<CommandReport, ControlError> {
+pub(crate) fn check(options: &CheckOptions) -> Result<CommandReport, CommandError> {
     let files = read_folder(&options.folder)?;
     let MergedFolder { fleet, values } = merge_folder(&files)?;
     let report = CheckReport {
--- a/crates/rudderctl/src/command/drain.rs
+++ b/crates/rudderctl/src/command/drain.rs
@@ -1,7 +1,7 @@
 //! `drain`: give a member no new work, by a settings file of its own.
 
 use super::submit::AcceptedReport;
-use crate::error::ControlError;
+use crate::error::CommandError;
 use crate::options::DrainOptions;
 use crate::output::CommandReport;
 use crate::platform::accepted_member;
@@ -9,11 +9,11 @@
 use rudder_settings::{FileName, FolderError, SettingsFile};
 use rudder_store::{FolderChange, KubeStore, submit_change};
 
-pub(crate) async fn drain(options: &DrainOptions) -> Result<CommandReport, ControlError> {
+pub(crate) async fn drain(options: &DrainOptions) -> Result<CommandReport, CommandError> {
     let store = KubeStore::connect(options.platform.clone())?;
     accepted_member(&store, &options.service, &options.member).await?;
     let change = if options.undo {
-        FolderChange { remove: vec![drain_name(&options.member)?], ..FolderChange::default() }
+        FolderChange { remove: vec![drain_file_name(&options.member)?], ..FolderChange::default() }
     } else {
         FolderChange { put: vec![drain_file(options)?], ..FolderChange::default() }
     };
@@ -22,12 +22,12 @@
 }
 
 /// The name sorts last, so that the file wins over whatever else speaks of the member.
-fn drain_name(member: &MemberName) -> Result<FileName, FolderError> {
+fn drain_file_name(member: &MemberName) -> Result<FileName, FolderError> {
     format!("zz-drain-{member}.toml").parse()
 }
 
 fn drain_file(options: &DrainOptions) -> Result<SettingsFile, FolderError> {
     let DrainOptions { service, member, .. } = options;
     let text = format!("[services.\"{service}\".members.\"{member}\"]\ndraining = true\n");
-    Ok(SettingsFile { name: drain_name(member)?, text })
+    Ok(SettingsFile { name: drain_file_name(member)?, text })
 }
--- a/crates/rudderctl/src/command/fetch.rs
+++ b/crates/rudderctl/src/command/fetch.rs
@@ -1,7 +1,7 @@
 //! `fetch`: write the accepted files into a folder.
 
 use crate::base::{read_base, remove_file, unwritable, write_base, write_file};
-use crate::error::ControlError;
+use crate::error::CommandError;
 use crate::options::FetchOptions;
 use crate::output::CommandReport;
 use crate::platform::accepted_bundle;
@@ -23,7 +23,7 @@
     }
 }
 
-pub(crate) async fn fetch(options: &FetchOptions) -> Result<CommandReport, ControlError> {
+pub(crate) async fn fetch(options: &FetchOptions) -> Result<CommandReport, CommandError> {
     let store = KubeStore::connect(options.platform.clone())?;
     let bundle = accepted_bundle(&store).await?;
     let folder = &options.folder;
@@ -49,7 +49,7 @@
 fn outdated_files(
     folder: &Path,
     accepted: &SettingsRevision,
-) -> Result<Vec<FileName>, ControlError> {
+) -> Result<Vec<FileName>, CommandError> {
     let local = match read_folder(folder) {
         Ok(files) => SettingsRevision::of_files(accepted.number, &files),
         Err(FolderError::Empty(_)) => SettingsRevision::default(),
@@ -57,15 +57,17 @@
     };
     let base = read_base(folder)?.unwrap_or_default();
     let is_edited = |file: &&RevisionFile| {
-        let now = accepted.object(&file.name);
-        let then = base.object(&file.name);
-        let held = Some(file.object.as_str());
-        held != now && held != then && (now.is_some() || then.is_some())
+        let accepted_object = accepted.object(&file.name);
+        let base_object = base.object(&file.name);
+        let local_object = Some(file.object.as_str());
+        local_object != accepted_object
+            && local_object != base_object
+            && (accepted_object.is_some() || base_object.is_some())
     };
     let edited: Vec<String> =
         local.files.iter().filter(is_edited).map(|file| file.name.to_string()).collect();
     if !edited.is_empty() {
-        return Err(ControlError::LocalChanges(edited.join(", ")));
+        return Err(CommandError::LocalChanges(edited.join(", ")));
     }
     let is_outdated = |file: &&RevisionFile| {
         accepted.object(&file.name).is_none() && base.object(&file.name).is_some()
--- a/crates/rudderctl/src/command/instance.rs
+++ b/crates/rudderctl/src/command/instance.rs
@@ -32,28 +32,28 @@
 
 /// One admin address and what was answered there.
 #[derive(Serialize)]
-pub(crate) struct InstanceAnswer {
+pub(crate) struct InstanceResponse {
     pub(crate) admin: SocketAddr,
     #[serde(flatten)]
-    pub(crate) answer: AnswerState,
+    pub(crate) outcome: StatusOutcome,
 }
 
 /// Whether an instance answered.
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum AnswerState {
+pub(crate) enum StatusOutcome {
     Status(InstanceStatus),
     Unreachable(String),
 }
 
 /// Reads the status page at an admin address.
-pub(crate) async fn ask_instance(admin: SocketAddr) -> InstanceAnswer {
-    let answer = match tokio::time::timeout(STATUS_TIMEOUT, read_status(admin)).await {
-        Ok(Ok(status)) => AnswerState::Status(status),
-        Ok(Err(error)) => AnswerState::Unreachable(reason_of(&error)),
-        Err(_) => AnswerState::Unreachable("no answer in time".to_owned()),
+pub(crate) async fn query_instance(admin: SocketAddr) -> InstanceResponse {
+    let outcome = match tokio::time::timeout(STATUS_TIMEOUT, read_status(admin)).await {
+        Ok(Ok(status)) => StatusOutcome::Status(status),
+        Ok(Err(error)) => StatusOutcome::Unreachable(unreachable_reason(&error)),
+        Err(_) => StatusOutcome::Unreachable("no answer in time".to_owned()),
     };
-    InstanceAnswer { admin, answer }
+    InstanceResponse { admin, outcome }
 }
 
 async fn read_status(admin: SocketAddr) -> Result<InstanceStatus, kube::Error> {
@@ -65,7 +65,7 @@
     client.request(request).await
 }
 
-fn reason_of(error: &kube::Error) -> String {
+fn unreachable_reason(error: &kube::Error) -> String {
     match error {
         kube::Error::Api(status) => format!("it answered {}", status.code),
         kube::Error::SerdeError(error) => format!("its answer is no status page: {error}"),
--- a/crates/rudderctl/src/command/status.rs
+++ b/crates/rudderctl/src/command/status.rs
@@ -1,9 +1,9 @@
 //! `status`: the accepted revision, and what instances have in force.
 
-use super::instance::{AnswerState, InstanceAnswer, InstanceStatus, ask_instance};
-use crate::error::ControlError;
+use super::instance::{InstanceResponse, InstanceStatus, StatusOutcome, query_instance};
+use crate::error::CommandError;
 use crate::options::StatusOptions;
-use crate::output::{CommandReport, ExitWord};
+use crate::output::{CommandReport, ExitStatus};
 use rudder_store::{
     KubeStore, ReadError, RevisionNumber, SettingsRevision, StoreError, read_revision,
 };
@@ -14,7 +14,7 @@
 struct StatusReport {
     /// The accepted revision; none when the platform cannot be reached.
     accepted: Option<AcceptedRevision>,
-    instances: Vec<InstanceAnswer>,
+    instances: Vec<InstanceResponse>,
 }
 
 #[derive(Serialize)]
@@ -43,9 +43,9 @@
         }
         for instance in &self.instances {
             write!(f, "\n{}: ", instance.admin)?;
-            match &instance.answer {
-                AnswerState::Status(status) => write_instance(f, status)?,
-                AnswerState::Unreachable(reason) => write!(f, "unreachable: {reason}")?,
+            match &instance.outcome {
+                StatusOutcome::Status(status) => write_instance(f, status)?,
+                StatusOutcome::Unreachable(reason) => write!(f, "unreachable: {reason}")?,
             }
         }
         Ok(())
@@ -65,18 +65,18 @@
     Ok(())
 }
 
-pub(crate) async fn status(options: &StatusOptions) -> Result<CommandReport, ControlError> {
+pub(crate) async fn status(options: &StatusOptions) -> Result<CommandReport, CommandError> {
     let store = KubeStore::connect(options.platform.clone())?;
-    let asked = options.instances.iter().map(|admin| ask_instance(*admin));
+    let queries = options.instances.iter().map(|admin| query_instance(*admin));
     let (read, instances) =
-        futures::future::join(read_revision(&store), futures::future::join_all(asked)).await;
+        futures::future::join(read_revision(&store), futures::future::join_all(queries)).await;
     let (accepted, exit) = match read {
         Ok(read) => {
             let revision = read.map(|(_, revision)| revision).unwrap_or_default();
-            (Some(revision.into()), ExitWord::Done)
+            (Some(revision.into()), ExitStatus::Done)
         }
-        Err(ReadError::Store(StoreError::Unavailable)) => (None, ExitWord::Unavailable),
+        Err(ReadError::Store(StoreError::Unavailable)) => (None, ExitStatus::Unavailable),
         Err(error) => return Err(error.into()),
     };
-    Ok(CommandReport::done(&StatusReport { accepted, instances }).ending(exit))
+    Ok(CommandReport::done(&StatusReport { accepted, instances }).with_exit(exit))
 }
--- a/crates/rudderctl/src/command/submit.rs
+++ b/crates/rudderctl/src/command/submit.rs
@@ -1,7 +1,7 @@
 //! `submit`: hand a folder's files to the platform as a new revision.
 
 use crate::base::{read_base, write_base};
-use crate::error::ControlError;
+use crate::error::CommandError;
 use crate::options::SubmitOptions;
 use crate::output::CommandReport;
 use rudder_settings::{SettingsFile, read_folder};
@@ -34,8 +34,8 @@
     }
 }
 
-pub(crate) async fn submit(options: &SubmitOptions) -> Result<CommandReport, ControlError> {
-    let files = read_kept_files(options)?;
+pub(crate) async fn submit(options: &SubmitOptions) -> Result<CommandReport, CommandError> {
+    let files = read_files_to_submit(options)?;
     let base = read_base(&options.folder)?;
     let fetched = base.is_some();
     let store = KubeStore::connect(options.platform.clone())?;
@@ -53,7 +53,7 @@
 }
 
 /// The folder's files without those that are to be removed.
-fn read_kept_files(options: &SubmitOptions) -> Result<Vec<SettingsFile>, ControlError> {
+fn read_files_to_submit(options: &SubmitOptions) -> Result<Vec<SettingsFile>, CommandError> {
     let mut files = read_folder(&options.folder)?;
     files.retain(|file| !options.remove.contains(&file.name));
     Ok(files)
--- a/crates/rudderctl/src/command/switch.rs
+++ b/crates/rudderctl/src/command/switch.rs
@@ -1,6 +1,6 @@
 //! `switch`: order a planned switch of a service's primary.
 
-use crate::error::ControlError;
+use crate::error::CommandError;
 use crate::options::SwitchOptions;
 use crate::output::CommandReport;
 use crate::platform::accepted_member;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// A planned switch takes well under a second.
-const WAIT_PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
 struct SwitchReport {
@@ -30,7 +30,7 @@
     }
 }
 
-pub(crate) async fn switch(options: &SwitchOptions) -> Result<CommandReport, ControlError> {
+pub(crate) async fn switch(options: &SwitchOptions) -> Result<CommandReport, CommandError> {
     let store = KubeStore::connect(options.platform.clone())?;
     accepted_member(&store, &options.service, &options.target).await?;
     let order = SwitchOrder { target: options.target.clone(), mark: WriterMark::random() };
@@ -52,24 +52,25 @@
     store: &KubeStore,
     options: &SwitchOptions,
     order: &SwitchOrder,
-) -> Result<(), ControlError> {
+) -> Result<(), CommandError> {
     let deadline = Instant::now() + options.wait;
     loop {
-        let standing = read_order(store, &options.service).await;
+        let current_order = read_order(store, &options.service).await;
         let primary = read_primary(store, &options.service).await;
         if primary.as_ref().is_ok_and(|primary| primary.as_ref() == Some(&order.target)) {
             return Ok(());
         }
         if Instant::now() >= deadline {
-            let gone = standing?.is_none_or(|standing| standing.mark != order.mark);
+            let is_removed =
+                current_order?.is_none_or(|current_order| current_order.mark != order.mark);
             let service = options.service.clone();
             let primary = primary?.map_or_else(|| "nobody".to_owned(), |name| name.to_string());
-            return Err(match gone {
-                true => ControlError::NotSwitched { service, primary },
-                false => ControlError::OrderStands(service),
+            return Err(match is_removed {
+                true => CommandError::NotSwitched { service, primary },
+                false => CommandError::OrderUnfinished(service),
             });
         }
-        tokio::time::sleep(WAIT_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -95,25 +96,25 @@
     store: &KubeStore,
     service: &ServiceName,
     order: &SwitchOrder,
-) -> Result<(), ControlError> {
+) -> Result<(), CommandError> {
     let spec = serde_json::to_value(order).expect("names are always JSON");
     match store.put(ObjectKind::SwitchOrder, service.as_str(), None, spec).await {
         Ok(_) => Ok(()),
-        Err(StoreError::Conflict) => Err(ControlError::OrderPending(service.clone())),
-        Err(StoreError::Unresolved) => read_back(store, service, order).await,
+        Err(StoreError::Conflict) => Err(CommandError::SwitchInProgress(service.clone())),
+        Err(StoreError::Unresolved) => confirm_order(store, service, order).await,
         Err(error) => Err(error.into()),
     }
 }
 
 /// Guards against a second order for one wish: the answer was lost and the order may stand. The mark
 /// tells it from another operator's. An order that is gone may have been carried out already.
-async fn read_back(
+async fn confirm_order(
     store: &KubeStore,
     service: &ServiceName,
     order: &SwitchOrder,
-) -> Result<(), ControlError> {
+) -> Result<(), CommandError> {
     match read_order(store, service).await {
-        Ok(Some(standing)) if standing.mark == order.mark => Ok(()),
-        _ => Err(ControlError::OrderUnknown),
+        Ok(Some(current_order)) if current_order.mark == order.mark => Ok(()),
+        _ => Err(CommandError::OrderUnknown),
     }
 }
--- a/crates/rudderctl/src/error.rs
+++ b/crates/rudderctl/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a command did not do what was asked.
 
-use crate::explain::AccountError;
-use crate::output::ExitWord;
+use crate::explain::ReportError;
+use crate::output::ExitStatus;
 use displaydoc::Display;
 use rudder_core::{MemberName, ServiceName};
 use rudder_settings::{FolderError, SettingsProblem, SettingsRefusal};
@@ -10,7 +10,7 @@
 /// Why a command did not do what was asked.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
-pub(crate) enum ControlError {
+pub(crate) enum CommandError {
     /// {0}
     Folder(FolderError),
     /// {0}
@@ -35,7 +35,7 @@
         known: String,
     },
     /// service {0} is being switched already; wait until that order is carried out or refused
-    OrderPending(ServiceName),
+    SwitchInProgress(ServiceName),
     /// the answer was lost and the order may stand; look at the status before ordering again
     OrderUnknown,
     /// service {service} was not switched: {primary} is its primary; look at the keepers' log
@@ -46,7 +46,7 @@
         primary: String,
     },
     /// the order for {0} still stands; look at the status before ordering again
-    OrderStands(ServiceName),
+    OrderUnfinished(ServiceName),
     /// {path} cannot be written: {reason}
     Unwritable {
         /// The file.
@@ -62,7 +62,7 @@
         reason: String,
     },
     /// {0}
-    Account(AccountError),
+    Explain(ReportError),
     /// {0} would be overwritten although changed here; submit or move them away, then fetch
     LocalChanges(String),
     /// {path} is damaged ({reason}); fetch the folder again
@@ -74,18 +74,18 @@
     },
 }
 
-impl std::error::Error for ControlError {}
+impl std::error::Error for CommandError {}
 
-impl ControlError {
+impl CommandError {
     /// How the command ends for this error.
-    pub(crate) fn exit(&self) -> ExitWord {
+    pub(crate) fn exit(&self) -> ExitStatus {
         match self {
             Self::Submit(SubmitError::Unavailable)
-            | Self::Read(ReadError::Store(StoreError::Unavailable)) => ExitWord::Unavailable,
-            Self::Submit(SubmitError::Unresolved) | Self::OrderUnknown | Self::OrderStands(_) => {
-                ExitWord::Unknown
-            }
-            _ => ExitWord::Refused,
+            | Self::Read(ReadError::Store(StoreError::Unavailable)) => ExitStatus::Unavailable,
+            Self::Submit(SubmitError::Unresolved)
+            | Self::OrderUnknown
+            | Self::OrderUnfinished(_) => ExitStatus::Unknown,
+            _ => ExitStatus::Refused,
         }
     }
 
@@ -100,37 +100,37 @@
     }
 }
 
-impl From<FolderError> for ControlError {
+impl From<FolderError> for CommandError {
     fn from(error: FolderError) -> Self {
         Self::Folder(error)
     }
 }
 
-impl From<SettingsRefusal> for ControlError {
+impl From<SettingsRefusal> for CommandError {
     fn from(refusal: SettingsRefusal) -> Self {
         Self::Settings(refusal)
     }
 }
 
-impl From<SubmitError> for ControlError {
+impl From<SubmitError> for CommandError {
     fn from(error: SubmitError) -> Self {
         Self::Submit(error)
     }
 }
 
-impl From<ReadError> for ControlError {
+impl From<ReadError> for CommandError {
     fn from(error: ReadError) -> Self {
         Self::Read(error)
     }
 }
 
-impl From<StoreError> for ControlError {
+impl From<StoreError> for CommandError {
     fn from(error: StoreError) -> Self {
         Self::Read(error.into())
     }
 }
 
-impl From<BundleError> for ControlError {
+impl From<BundleError> for CommandError {
     fn from(error: BundleError) -> Self {
         Self::Accepted(error)
     }
--- a/crates/rudderctl/src/explain/advice.rs
+++ b/crates/rudderctl/src/explain/advice.rs
@@ -1,94 +1,94 @@
 //! What the words of a deciding line mean, and where to look next.
 
 /// The meaning of a reason or outcome.
-struct WordMeaning {
-    word: &'static str,
+struct ReasonMeaning {
+    reason: &'static str,
     meaning: &'static str,
 }
 
 /// Sorted by word.
-const MEANINGS: [WordMeaning; 17] = [
-    WordMeaning {
-        word: "all connections are in use",
+const MEANINGS: [ReasonMeaning; 17] = [
+    ReasonMeaning {
+        reason: "all connections are in use",
         meaning: "a burst at this instance, or the member still counts connections of machines that \
                   were lost; look for connection_limit",
     },
-    WordMeaning {
-        word: "in_doubt",
+    ReasonMeaning {
+        reason: "in_doubt",
         meaning: "the change may have been kept: no answer came after it was sent, or the primary \
                   was changed meanwhile; the next record of the primary tells from where on (base)",
     },
-    WordMeaning {
-        word: "no member could be reached",
+    ReasonMeaning {
+        reason: "no member could be reached",
         meaning: "every member refused connections or is unreachable from this instance",
     },
-    WordMeaning {
-        word: "no member could serve the read in time",
+    ReasonMeaning {
+        reason: "no member could serve the read in time",
         meaning: "replicas lack the position asked for, or all members are full; the lines before \
                   name each member's reason",
     },
-    WordMeaning {
-        word: "no primary is confirmed",
+    ReasonMeaning {
+        reason: "no primary is confirmed",
         meaning: "a change of primary was under way, or neither the store nor enough peers confirmed \
                   the record lately; compare record_age_ms",
     },
-    WordMeaning {
-        word: "rolled_back",
+    ReasonMeaning {
+        reason: "rolled_back",
         meaning: "the transaction's connection or primary was lost before its commit; nothing is kept",
     },
-    WordMeaning {
-        word: "served",
+    ReasonMeaning {
+        reason: "served",
         meaning: "a member answered; if the caller has no answer, its connection to the instance broke",
     },
-    WordMeaning {
-        word: "the account's limit cannot be looked up",
+    ReasonMeaning {
+        reason: "the account's limit cannot be looked up",
         meaning: "none of the instances that may count for the account answered and counted within \
                   0.6 s; look for who counts (this instance's part in counting) and for links between instances",
     },
-    WordMeaning {
-        word: "the account's limit is used up",
+    ReasonMeaning {
+        reason: "the account's limit is used up",
         meaning: "the account ran as many operations as its limit allows, over all instances; the line \
                   names account, owner and the version of the settings that gave the limit",
     },
-    WordMeaning {
-        word: "the log lacks the position asked for",
+    ReasonMeaning {
+        reason: "the log lacks the position asked for",
         meaning: "the member trails; another one was asked, or none was left in time",
     },
-    WordMeaning {
-        word: "the primary cannot be reached",
+    ReasonMeaning {
+        reason: "the primary cannot be reached",
         meaning: "connections to the primary fail; if most readers see the same, it is replaced",
     },
-    WordMeaning {
-        word: "the primary has lost the lead",
+    ReasonMeaning {
+        reason: "the primary has lost the lead",
         meaning: "the member answered as a replica: it was replaced, or stepped down",
     },
-    WordMeaning {
-        word: "the primary is busy",
+    ReasonMeaning {
+        reason: "the primary is busy",
         meaning: "all slots and the queue of the primary were taken",
     },
-    WordMeaning {
-        word: "the primary's position is not known",
+    ReasonMeaning {
+        reason: "the primary's position is not known",
         meaning: "no position of the primary within the bound: it was silent, or this instance had \
                   just started; compare sample_age_ms",
     },
-    WordMeaning {
-        word: "timed_out",
+    ReasonMeaning {
+        reason: "timed_out",
         meaning: "members were tried until the time of the statement was over; a read ran nowhere to \
                   its end",
     },
-    WordMeaning {
-        word: "too much work is waiting",
+    ReasonMeaning {
+        reason: "too much work is waiting",
         meaning: "the member's slots and its queue were full; a transaction stays with its member, so \
                   it ends there",
     },
-    WordMeaning {
-        word: "withheld",
+    ReasonMeaning {
+        reason: "withheld",
         meaning: "the answer came from a primary that was no longer confirmed, and was not passed on",
     },
 ];
 
 /// What a word means, if it is one of ours.
-pub(super) fn meaning_of(word: &str) -> Option<&'static str> {
-    let found = MEANINGS.binary_search_by(|known| known.word.cmp(word));
+pub(super) fn meaning_of(reason: &str) -> Option<&'static str> {
+    let found = MEANINGS.binary_search_by(|known| known.reason.cmp(reason));
     found.ok().map(|index| MEANINGS[index].meaning)
 }
--- a/crates/rudderctl/src/explain/line.rs
+++ b/crates/rudderctl/src/explain/line.rs
@@ -6,7 +6,7 @@
 
 /// A line as instances write it.
 #[derive(Deserialize)]
-struct WireLine {
+struct JsonLine {
     timestamp: String,
     message: String,
     #[serde(default)]
@@ -15,7 +15,7 @@
 
 /// One fact of a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct LogFact {
+pub(super) struct LogField {
     pub(super) name: String,
     pub(super) value: String,
 }
@@ -29,42 +29,42 @@
     pub(super) source: String,
     pub(super) message: String,
     /// Sorted by name.
-    pub(super) facts: Vec<LogFact>,
+    pub(super) fields: Vec<LogField>,
 }
 
 impl LogLine {
     /// Reads a line; collectors may have put words before it, of which the last names the instance.
     /// None if it is no line of an instance.
-    pub(super) fn read(text: &str, file: &str) -> Option<Self> {
+    pub(super) fn parse(text: &str, file: &str) -> Option<Self> {
         let start = text.find('{')?;
-        let wire: WireLine = serde_json::from_str(text[start..].trim_end()).ok()?;
+        let json: JsonLine = serde_json::from_str(text[start..].trim_end()).ok()?;
         let prefix = text[..start].split_whitespace().last();
-        let mut facts: Vec<LogFact> = wire.kvs.into_iter().map(LogFact::from).collect();
-        facts.sort_by(|left, right| left.name.cmp(&right.name));
+        let mut fields: Vec<LogField> = json.kvs.into_iter().map(LogField::from).collect();
+        fields.sort_by(|left, right| left.name.cmp(&right.name));
         Some(Self {
-            time: wire.timestamp.parse().ok()?,
+            time: json.timestamp.parse().ok()?,
             source: prefix.unwrap_or(file).to_owned(),
-            message: wire.message,
-            facts,
+            message: json.message,
+            fields,
         })
     }
 
     /// Whether another line tells of the same, ages apart, which differ between instances.
-    pub(super) fn says_the_same_as(&self, other: &Self) -> bool {
-        let lasting = |line: &Self| -> Vec<LogFact> {
-            line.facts.iter().filter(|fact| !fact.name.ends_with("_ms")).cloned().collect()
+    pub(super) fn is_duplicate_of(&self, other: &Self) -> bool {
+        let comparable_fields = |line: &Self| -> Vec<LogField> {
+            line.fields.iter().filter(|field| !field.name.ends_with("_ms")).cloned().collect()
         };
-        self.message == other.message && lasting(self) == lasting(other)
+        self.message == other.message && comparable_fields(self) == comparable_fields(other)
     }
 
     /// The value of a fact.
-    pub(super) fn fact(&self, name: &str) -> Option<&str> {
-        let found = self.facts.binary_search_by(|fact| fact.name.as_str().cmp(name));
-        found.ok().map(|index| self.facts[index].value.as_str())
+    pub(super) fn field(&self, name: &str) -> Option<&str> {
+        let found = self.fields.binary_search_by(|field| field.name.as_str().cmp(name));
+        found.ok().map(|index| self.fields[index].value.as_str())
     }
 }
 
-impl From<(String, Value)> for LogFact {
+impl From<(String, Value)> for LogField {
     fn from((name, value): (String, Value)) -> Self {
         let value = match value {
             Value::String(text) => text,
--- a/crates/rudderctl/src/explain/mod.rs
+++ b/crates/rudderctl/src/explain/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Pure: lines come in as text, from wherever they were collected.
 
-mod account;
 mod advice;
 mod line;
+mod report;
 
-pub(crate) use account::{AccountBuilder, AccountError};
+pub(crate) use report::{ReportBuilder, ReportError};
--- a/crates/rudderctl/src/explain/account.rs
+++ b/crates/rudderctl/src/explain/report.rs
@@ -9,37 +9,37 @@
 
 /// How long before the request's first line changes of belief may have caused its end: a change of
 /// primary takes up to six seconds.
-const LOOK_BACK: SignedDuration = SignedDuration::from_secs(6);
+const CONTEXT_BEFORE: SignedDuration = SignedDuration::from_secs(6);
 
 /// How long after its last line: the next record of the primary tells what was kept.
-const LOOK_AHEAD: SignedDuration = SignedDuration::from_secs(3);
+const CONTEXT_AFTER: SignedDuration = SignedDuration::from_secs(3);
 
 /// Lines around a request that are shown; more would hide what matters.
-const AROUND_MAX: usize = 24;
+const CONTEXT_LINES_MAX: usize = 24;
 
 /// Facts that name the request, or are shown elsewhere.
-const HIDDEN_FACTS: [&str; 1] = ["request"];
+const HIDDEN_FIELDS: [&str; 1] = ["request"];
 
 /// Why there is nothing to tell.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
-pub(crate) enum AccountError {
+pub(crate) enum ReportError {
     /// none of {lines} log lines names {id}: served unlogged, never received, or its instance died
-    Unmentioned {
+    RequestNotFound {
         /// The request.
         id: String,
         /// Lines that could be read.
         lines: usize,
     },
     /// there are no log lines of an instance in the input
-    NoLines,
+    NoLogLines,
 }
 
-impl std::error::Error for AccountError {}
+impl std::error::Error for ReportError {}
 
 /// A line as it is shown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) struct ToldLine {
+pub(crate) struct ReportLine {
     time: String,
     source: String,
     /// Further instances that wrote the same.
@@ -55,16 +55,16 @@
 }
 
 /// A line that several instances wrote.
-struct SharedLine<'a> {
+struct MergedLine<'a> {
     /// The first of them.
     first: &'a LogLine,
     /// The other instances, sorted.
     others: Vec<&'a str>,
 }
 
-impl<'a> SharedLine<'a> {
+impl<'a> MergedLine<'a> {
     /// Takes in that an instance wrote it, too, or again.
-    fn note_source(&mut self, source: &'a str) {
+    fn add_source(&mut self, source: &'a str) {
         if source == self.first.source {
             return;
         }
@@ -76,103 +76,110 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) struct RequestAccount {
+pub(crate) struct RequestReport {
     request: String,
     /// Its lines, in the order of their times.
-    lines: Vec<ToldLine>,
+    lines: Vec<ReportLine>,
     /// Its end: the outcome, and the reason if the line gives one.
     outcome: String,
     reason: Option<String>,
     /// What that means.
     meaning: Option<&'static str>,
     /// What instances came to believe around that time, of the same service.
-    around: Vec<ToldLine>,
+    around: Vec<ReportLine>,
 }
 
 /// Gathers the lines of a request, and those of what instances believed.
 #[derive(Clone, Debug)]
-pub(crate) struct AccountBuilder {
+pub(crate) struct ReportBuilder {
     request: String,
-    read: usize,
-    own: Vec<LogLine>,
-    beliefs: Vec<LogLine>,
+    lines_read: usize,
+    request_lines: Vec<LogLine>,
+    other_lines: Vec<LogLine>,
 }
 
-impl AccountBuilder {
+impl ReportBuilder {
     /// Gathers for one request.
     pub(crate) fn new(request: &str) -> Self {
-        Self { request: request.to_owned(), read: 0, own: Vec::new(), beliefs: Vec::new() }
+        Self {
+            request: request.to_owned(),
+            lines_read: 0,
+            request_lines: Vec::new(),
+            other_lines: Vec::new(),
+        }
     }
 
     /// Takes in one line of text; what is no line of an instance is passed over.
-    pub(crate) fn take(&mut self, text: &str, file: &str) {
-        let Some(line) = LogLine::read(text, file) else { return };
-        self.read += 1;
-        match line.fact("request") {
-            Some(id) if id == self.request => self.own.push(line),
+    pub(crate) fn add_line(&mut self, text: &str, file: &str) {
+        let Some(line) = LogLine::parse(text, file) else { return };
+        self.lines_read += 1;
+        match line.field("request") {
+            Some(id) if id == self.request => self.request_lines.push(line),
             Some(_) => {}
-            None => self.beliefs.push(line),
+            None => self.other_lines.push(line),
         }
     }
 
     /// Tells what became of the request.
-    pub(crate) fn finish(mut self) -> Result<RequestAccount, AccountError> {
-        if self.read == 0 {
-            return Err(AccountError::NoLines);
+    pub(crate) fn finish(mut self) -> Result<RequestReport, ReportError> {
+        if self.lines_read == 0 {
+            return Err(ReportError::NoLogLines);
         }
-        self.own.sort_by_key(|line| line.time);
-        let (Some(first), Some(last)) = (self.own.first(), self.own.last()) else {
-            return Err(AccountError::Unmentioned { id: self.request, lines: self.read });
+        self.request_lines.sort_by_key(|line| line.time);
+        let (Some(first), Some(last)) = (self.request_lines.first(), self.request_lines.last())
+        else {
+            return Err(ReportError::RequestNotFound { id: self.request, lines: self.lines_read });
         };
         let (from, to) = (first.time, last.time);
-        let outcome = last.fact("outcome").unwrap_or("unfinished").to_owned();
-        let reason = last.fact("reason").map(str::to_owned);
+        let outcome = last.field("outcome").unwrap_or("unfinished").to_owned();
+        let reason = last.field("reason").map(str::to_owned);
         let meaning = reason.as_deref().and_then(meaning_of).or_else(|| meaning_of(&outcome));
-        let around = self.around(from, to);
-        let lines = self.own.iter().map(ToldLine::from).collect();
-        Ok(RequestAccount { request: self.request, lines, outcome, reason, meaning, around })
+        let around = self.surrounding_lines(from, to);
+        let lines = self.request_lines.iter().map(ReportLine::from).collect();
+        Ok(RequestReport { request: self.request, lines, outcome, reason, meaning, around })
     }
 
     /// The beliefs of the request's service and of its instances, the latest ones if there are many.
-    fn around(&self, from: Timestamp, to: Timestamp) -> Vec<ToldLine> {
-        let service = self.own.iter().find_map(|line| line.fact("service"));
-        let concerns = |line: &&LogLine| match (line.fact("service"), service) {
+    fn surrounding_lines(&self, from: Timestamp, to: Timestamp) -> Vec<ReportLine> {
+        let service = self.request_lines.iter().find_map(|line| line.field("service"));
+        let is_related = |line: &&LogLine| match (line.field("service"), service) {
             (Some(named), Some(service)) => named == service,
-            (Some(_), None) => self.writes_about(line),
-            (None, _) => self.own.iter().any(|own| own.source == line.source),
+            (Some(_), None) => self.shares_member(line),
+            (None, _) => self.request_lines.iter().any(|known| known.source == line.source),
         };
-        let mut near: Vec<&LogLine> = self
-            .beliefs
+        let mut nearby: Vec<&LogLine> = self
+            .other_lines
             .iter()
-            .filter(|line| line.time >= from - LOOK_BACK && line.time <= to + LOOK_AHEAD)
-            .filter(concerns)
+            .filter(|line| line.time >= from - CONTEXT_BEFORE && line.time <= to + CONTEXT_AFTER)
+            .filter(is_related)
             .collect();
-        near.sort_by_key(|line| line.time);
-        let mut shared: Vec<SharedLine<'_>> = Vec::new();
-        for line in near {
-            match shared.iter_mut().find(|known| known.first.says_the_same_as(line)) {
-                Some(known) => known.note_source(&line.source),
-                None => shared.push(SharedLine { first: line, others: Vec::new() }),
+        nearby.sort_by_key(|line| line.time);
+        let mut merged: Vec<MergedLine<'_>> = Vec::new();
+        for line in nearby {
+            match merged.iter_mut().find(|known| known.first.is_duplicate_of(line)) {
+                Some(known) => known.add_source(&line.source),
+                None => merged.push(MergedLine { first: line, others: Vec::new() }),
             }
         }
-        let skipped = shared.len().saturating_sub(AROUND_MAX);
-        let told =
-            |line: &SharedLine<'_>| ToldLine { others: line.others.len(), ..line.first.into() };
-        shared[skipped..].iter().map(told).collect()
+        let skipped = merged.len().saturating_sub(CONTEXT_LINES_MAX);
+        let report_line =
+            |line: &MergedLine<'_>| ReportLine { others: line.others.len(), ..line.first.into() };
+        merged[skipped..].iter().map(report_line).collect()
     }
 
     /// Whether a line is about a member that the request was sent to.
-    fn writes_about(&self, line: &LogLine) -> bool {
-        let member = line.fact("member");
-        member.is_some() && self.own.iter().any(|own| own.fact("member") == member)
+    fn shares_member(&self, line: &LogLine) -> bool {
+        let member = line.field("member");
+        member.is_some() && self.request_lines.iter().any(|known| known.field("member") == member)
     }
 }
 
-impl From<&LogLine> for ToldLine {
+impl From<&LogLine> for ReportLine {
     fn from(line: &LogLine) -> Self {
-        let shown = line.facts.iter().filter(|fact| !HIDDEN_FACTS.contains(&fact.name.as_str()));
+        let shown =
+            line.fields.iter().filter(|field| !HIDDEN_FIELDS.contains(&field.name.as_str()));
         let facts: Vec<String> =
-            shown.map(|fact| format!("{}={}", fact.name, fact.value)).collect();
+            shown.map(|field| format!("{}={}", field.name, field.value)).collect();
         Self {
             time: line.time.to_string(),
             source: line.source.clone(),
@@ -183,7 +190,7 @@
     }
 }
 
-impl fmt::Display for ToldLine {
+impl fmt::Display for ReportLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "  {} {}", self.time, self.source)?;
         if self.others > 0 {
@@ -193,7 +200,7 @@
     }
 }
 
-impl fmt::Display for RequestAccount {
+impl fmt::Display for RequestReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.request)?;
         for line in &self.lines {
--- a/crates/rudderctl/src/explain/account/tests.rs
+++ b/crates/rudderctl/src/explain/report/tests.rs
@@ -1,4 +1,4 @@
-use super::{AccountBuilder, AccountError};
+use super::{ReportBuilder, ReportError};
 
 /// A line as an instance writes it, behind the words of a collector.
 fn line(second: u32, instance: &str, message: &str, facts: &str) -> String {
@@ -10,10 +10,10 @@
 const CHANGED: &str = r#""service":"orders","epoch":"2","phase":"Changing","age_ms":3"#;
 const REFUSED: &str = r#""request":"r1","service":"orders","outcome":"not_run","reason":"no primary is confirmed","record_age_ms":2900"#;
 
-fn builder(lines: &[String]) -> AccountBuilder {
-    let mut builder = AccountBuilder::new("r1");
+fn builder(lines: &[String]) -> ReportBuilder {
+    let mut builder = ReportBuilder::new("r1");
     for line in lines {
-        builder.take(line, "a-file");
+        builder.add_line(line, "a-file");
     }
     builder
 }
@@ -39,9 +39,9 @@
         line(20, "entry-1", "a statement was refused", &REFUSED.replace("r1", "r2")),
     ];
 
-    let account = builder(&lines).finish().expect("the request is named");
+    let report = builder(&lines).finish().expect("the request is named");
 
-    insta::assert_snapshot!(account);
+    insta::assert_snapshot!(report);
 }
 
 #[test]
@@ -51,31 +51,31 @@
         line(21, "entry-1", "a read got no answer", r#""request":"r1","outcome":"next_member""#),
     ];
 
-    let account = builder(&lines).finish().expect("the request is named").to_string();
+    let report = builder(&lines).finish().expect("the request is named").to_string();
 
-    let first = account.find("got no answer").expect("it is told");
-    let second = account.find("out of time").expect("it is told");
+    let first = report.find("got no answer").expect("it is told");
+    let second = report.find("out of time").expect("it is told");
     assert!(first < second);
-    assert!(account.contains("outcome: timed_out"));
+    assert!(report.contains("outcome: timed_out"));
 }
 
 #[test]
-fn a_request_that_no_line_names_says_so() {
+fn request_missing_from_the_logs_is_an_error() {
     let lines = [line(20, "entry-1", "a statement was refused", &REFUSED.replace("r1", "r2"))];
 
     let error = builder(&lines).finish().expect_err("no line names it");
 
-    assert_eq!(error, AccountError::Unmentioned { id: "r1".to_owned(), lines: 1 });
+    assert_eq!(error, ReportError::RequestNotFound { id: "r1".to_owned(), lines: 1 });
 }
 
 #[test]
-fn what_is_no_line_of_an_instance_is_passed_over() {
+fn text_that_no_instance_wrote_is_skipped() {
     let cut_off = r#" 3.5 entry-1 {"timestamp":"2026-04-14T22:0"#;
     let foreign = r#"{"level":"INFO"}"#;
 
     let error = builder(&[cut_off.to_owned(), foreign.to_owned(), "text".to_owned()]).finish();
 
-    assert_eq!(error, Err(AccountError::NoLines));
+    assert_eq!(error, Err(ReportError::NoLogLines));
 }
 
 #[test]
@@ -93,14 +93,14 @@
         let refused = REFUSED.replace("no primary is confirmed", reason);
         let lines = [line(20, "entry-1", "a statement was refused", &refused)];
 
-        let account = builder(&lines).finish().expect("the request is named").to_string();
+        let report = builder(&lines).finish().expect("the request is named").to_string();
 
-        assert!(account.contains(&format!("outcome: not_run, {reason}\n  ")), "{account}");
+        assert!(report.contains(&format!("outcome: not_run, {reason}\n  ")), "{report}");
     }
 }
 
 #[test]
-fn an_instance_that_says_the_same_again_counts_once() {
+fn instance_that_repeats_a_line_counts_once() {
     let full = r#""service":"orders","member":"orders-1","outcome":"connection_limit""#;
     let refused = line(20, "entry-1", "a statement was refused", REFUSED);
     let mut lines = vec![refused];
@@ -108,7 +108,7 @@
         lines.push(line(19, instance, "a connection to a member was not opened", full));
     }
 
-    let account = builder(&lines).finish().expect("the request is named").to_string();
+    let report = builder(&lines).finish().expect("the request is named").to_string();
 
-    assert!(account.contains("entry-1 and 2 more: a connection"), "{account}");
+    assert!(report.contains("entry-1 and 2 more: a connection"), "{report}");
 }
--- a/crates/rudderctl/src/options.rs
+++ b/crates/rudderctl/src/options.rs
@@ -1,6 +1,6 @@
 //! What the command line asks for, in checked types.
 
-use crate::output::OutputForm;
+use crate::output::OutputFormat;
 use rudder_core::{MemberName, ServiceName};
 use rudder_settings::FileName;
 use rudder_store::{PlatformOptions, RevisionNumber};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ControlOptions {
     pub(crate) command: ControlCommand,
-    pub(crate) form: OutputForm,
+    pub(crate) format: OutputFormat,
 }
 
 /// A command with what it needs.
--- a/crates/rudderctl/src/output.rs
+++ b/crates/rudderctl/src/output.rs
@@ -1,6 +1,6 @@
 //! What a command says, as text or JSON, and the exit code that goes with it.
 
-use crate::error::ControlError;
+use crate::error::CommandError;
 use serde::Serialize;
 use serde_json::json;
 use std::fmt::Display;
@@ -8,7 +8,7 @@
 
 /// How a command ended, for scripts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ExitWord {
+pub(crate) enum ExitStatus {
     /// Everything was done.
     Done,
     /// The settings or the order are refused; nothing was changed.
@@ -21,7 +21,7 @@
     Unknown,
 }
 
-impl ExitWord {
+impl ExitStatus {
     /// The code as the help documents it.
     pub(crate) const fn code(self) -> u8 {
         match self {
@@ -33,7 +33,7 @@
         }
     }
 
-    const fn word(self) -> &'static str {
+    const fn label(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Refused => "refused",
@@ -44,20 +44,20 @@
     }
 }
 
-impl From<ExitWord> for ExitCode {
-    fn from(exit: ExitWord) -> Self {
+impl From<ExitStatus> for ExitCode {
+    fn from(exit: ExitStatus) -> Self {
         Self::from(exit.code())
     }
 }
 
 /// In which form a command answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OutputForm {
+pub(crate) enum OutputFormat {
     Text,
     Json,
 }
 
-impl OutputForm {
+impl OutputFormat {
     pub(crate) fn new(json: bool) -> Self {
         if json { Self::Json } else { Self::Text }
     }
@@ -67,29 +67,32 @@
 pub(crate) struct CommandReport {
     text: String,
     json: serde_json::Value,
-    exit: ExitWord,
+    exit: ExitStatus,
 }
 
 impl CommandReport {
     /// The report of a command that did everything.
     pub(crate) fn done(report: &(impl Display + Serialize)) -> Self {
         let json = serde_json::to_value(report).expect("reports hold texts and numbers only");
-        Self { text: report.to_string(), json, exit: ExitWord::Done }
+        Self { text: report.to_string(), json, exit: ExitStatus::Done }
     }
 
     /// The same report, of a command that ended otherwise.
-    pub(crate) fn ending(self, exit: ExitWord) -> Self {
+    pub(crate) fn with_exit(self, exit: ExitStatus) -> Self {
         Self { exit, ..self }
     }
 }
 
 /// Prints what a command answered: reports to standard output, refusals as text to standard error.
-pub(crate) fn print(result: &Result<CommandReport, ControlError>, form: OutputForm) -> ExitWord {
-    match (result, form) {
-        (Ok(report), OutputForm::Text) => println!("{}", report.text),
-        (Ok(report), OutputForm::Json) => println!("{}", report.json),
-        (Err(error), OutputForm::Text) => eprintln!("{error}"),
-        (Err(error), OutputForm::Json) => println!("{}", error_json(error)),
+pub(crate) fn print(
+    result: &Result<CommandReport, CommandError>,
+    format: OutputFormat,
+) -> ExitStatus {
+    match (result, format) {
+        (Ok(report), OutputFormat::Text) => println!("{}", report.text),
+        (Ok(report), OutputFormat::Json) => println!("{}", report.json),
+        (Err(error), OutputFormat::Text) => eprintln!("{error}"),
+        (Err(error), OutputFormat::Json) => println!("{}", error_json(error)),
     }
     match result {
         Ok(report) => report.exit,
@@ -97,7 +100,7 @@
     }
 }
 
-fn error_json(error: &ControlError) -> serde_json::Value {
+fn error_json(error: &CommandError) -> serde_json::Value {
     let problems = error.problems();
-    json!({ "error": error.exit().word(), "message": error.to_string(), "problems": problems })
+    json!({ "error": error.exit().label(), "message": error.to_string(), "problems": problems })
 }
--- a/crates/rudderctl/src/platform.rs
+++ b/crates/rudderctl/src/platform.rs
@@ -1,6 +1,6 @@
 //! What commands read from the platform.
 
-use crate::error::ControlError;
+use crate::error::CommandError;
 use rudder_core::{MemberName, ServiceName};
 use rudder_settings::{FleetSettings, MemberSettings};
 use rudder_store::{KubeStore, PlatformStore, RevisionBundle, poll_revision};
@@ -8,9 +8,9 @@
 /// The accepted revision with its files.
 pub(crate) async fn accepted_bundle(
     store: &dyn PlatformStore,
-) -> Result<RevisionBundle, ControlError> {
+) -> Result<RevisionBundle, CommandError> {
     let bundle = poll_revision(store, None).await?;
-    bundle.ok_or(ControlError::NothingAccepted)
+    bundle.ok_or(CommandError::NothingAccepted)
 }
 
 /// A member of the accepted settings.
@@ -18,7 +18,7 @@
     store: &KubeStore,
     service: &ServiceName,
     member: &MemberName,
-) -> Result<MemberSettings, ControlError> {
+) -> Result<MemberSettings, CommandError> {
     let merged = accepted_bundle(store).await?.merge()?;
     find_member(&merged.fleet, service, member).cloned()
 }
@@ -27,12 +27,12 @@
     fleet: &'f FleetSettings,
     service: &ServiceName,
     member: &MemberName,
-) -> Result<&'f MemberSettings, ControlError> {
-    let group = fleet.service(service).ok_or_else(|| ControlError::NoService(service.clone()))?;
+) -> Result<&'f MemberSettings, CommandError> {
+    let group = fleet.service(service).ok_or_else(|| CommandError::NoService(service.clone()))?;
     let found = group.members.iter().find(|known| known.name == *member);
     found.ok_or_else(|| {
         let names: Vec<&str> = group.members.iter().map(|known| known.name.as_str()).collect();
         let (service, member) = (service.clone(), member.clone());
-        ControlError::NoMember { service, member, known: names.join(", ") }
+        CommandError::NoMember { service, member, known: names.join(", ") }
     })
 }
--- a/crates/rudderctl/src/run.rs
+++ b/crates/rudderctl/src/run.rs
@@ -2,10 +2,10 @@
 
 use crate::command;
 use crate::options::{ControlCommand, ControlOptions};
-use crate::output::{ExitWord, print};
+use crate::output::{ExitStatus, print};
 
 /// Runs what the options ask for.
-pub(crate) fn run(options: &ControlOptions) -> ExitWord {
+pub(crate) fn run(options: &ControlOptions) -> ExitStatus {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -21,5 +21,5 @@
             ControlCommand::Explain(options) => command::explain(options),
         }
     });
-    print(&result, options.form)
+    print(&result, options.format)
 }
--- a/crates/rudderctl/tests/in_force.rs
+++ b/crates/rudderctl/tests/in_force.rs
@@ -3,27 +3,27 @@
 use rudder_standins::{Deployment, DeploymentPlan, PlatformFaults, PlatformOutage};
 use std::time::Duration;
 
-const PROXIES: usize = 3;
-const PAUSE: Duration = Duration::from_millis(20);
+const PROXY_COUNT: usize = 3;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A state that has not come after so many looks, a minute, would never come.
-const LOOKS_MAX: usize = 3000;
+const POLLS_MAX: usize = 3000;
 
 async fn deployment() -> Deployment {
-    Deployment::start(DeploymentPlan::small(PROXIES)).await.expect("it starts on loopback")
+    Deployment::start(DeploymentPlan::small(PROXY_COUNT)).await.expect("it starts on loopback")
 }
 
 fn read_wait(millis: u32) -> String {
     format!("[timing]\nread_wait = \"{millis}ms\"\n")
 }
 
-async fn until(what: &str, reached: impl Fn() -> bool) {
-    for _ in 0..LOOKS_MAX {
+async fn wait_until(state: &str, reached: impl Fn() -> bool) {
+    for _ in 0..POLLS_MAX {
         if reached() {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("never came: {what}");
+    panic!("never came: {state}");
 }
 
 fn revisions(deployment: &Deployment) -> Vec<u64> {
@@ -34,13 +34,13 @@
 /// are accepted meanwhile must reach it all the same, or it goes on sending work to a member that
 /// an operator has drained.
 #[tokio::test(flavor = "multi_thread")]
-async fn proxy_cut_off_from_the_platform_follows_its_peers() {
+async fn proxy_without_the_platform_gets_settings_from_its_peers() {
     let deployment = deployment().await;
     deployment.links[2].platform.cut();
 
     deployment.submit("20-wait.toml", &read_wait(40)).await.unwrap();
 
-    until("revision 2 at every proxy", || revisions(&deployment) == [2; PROXIES]).await;
+    wait_until("revision 2 at every proxy", || revisions(&deployment) == [2; PROXY_COUNT]).await;
 }
 
 /// A proxy is replaced while the platform is down for everybody. It has no disk; without its peers
@@ -49,19 +49,20 @@
 async fn proxy_that_starts_in_an_outage_takes_settings_from_a_peer() {
     let mut deployment = deployment().await;
     deployment.submit("20-wait.toml", &read_wait(40)).await.unwrap();
-    until("revision 2 at every proxy", || revisions(&deployment) == [2; PROXIES]).await;
+    wait_until("revision 2 at every proxy", || revisions(&deployment) == [2; PROXY_COUNT]).await;
     let outage = PlatformOutage::Refused;
     deployment.platform.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
 
-    let newcomer = deployment.add_proxy().await.unwrap();
+    let added_proxy = deployment.add_proxy().await.unwrap();
 
-    until("revision 2 at the newcomer", || deployment.proxy(newcomer).revision() == 2).await;
+    wait_until("revision 2 at the newcomer", || deployment.proxy(added_proxy).revision() == 2)
+        .await;
 }
 
 /// An operator orders a switch and waits. The word "switched" must mean that the keepers made that
 /// member primary, not only that the order was written down.
 #[tokio::test(flavor = "multi_thread")]
-async fn ordered_switch_is_waited_for() {
+async fn switch_command_waits_until_the_switch_is_done() {
     let deployment = deployment().await;
     let url = deployment.platform.url();
     let command = |target: &str| {
@@ -74,9 +75,9 @@
     let members = member_names(&deployment).await;
     let output = command(&members[1]).output().await.unwrap();
 
-    let told = String::from_utf8(output.stdout).unwrap();
+    let stdout = String::from_utf8(output.stdout).unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(told, format!("scores-orders switched to {}\n", members[1]), "{error}");
+    assert_eq!(stdout, format!("scores-orders switched to {}\n", members[1]), "{error}");
 }
 
 async fn member_names(deployment: &Deployment) -> Vec<String> {
@@ -95,18 +96,19 @@
     for millis in [40, 50] {
         deployment.submit("20-wait.toml", &read_wait(millis)).await.unwrap();
     }
-    until("revision 3 at every proxy", || revisions(&deployment) == [3; PROXIES]).await;
+    wait_until("revision 3 at every proxy", || revisions(&deployment) == [3; PROXY_COUNT]).await;
     deployment.platform.set_faults(PlatformFaults { stale_by: 2, ..PlatformFaults::default() });
 
     let polled_since = deployment.platform.calls().reads;
-    let newcomer = deployment.add_proxy().await.unwrap();
-    let polls = u64::try_from(4 * PROXIES).unwrap();
-    until("several stale polls", || {
-        assert_eq!(revisions(&deployment)[..PROXIES], [3; PROXIES]);
+    let added_proxy = deployment.add_proxy().await.unwrap();
+    let polls = u64::try_from(4 * PROXY_COUNT).unwrap();
+    wait_until("several stale polls", || {
+        assert_eq!(revisions(&deployment)[..PROXY_COUNT], [3; PROXY_COUNT]);
         deployment.platform.calls().reads >= polled_since + polls
     })
     .await;
 
-    assert_eq!(revisions(&deployment)[..PROXIES], [3; PROXIES]);
-    until("revision 3 at the newcomer", || deployment.proxy(newcomer).revision() == 3).await;
+    assert_eq!(revisions(&deployment)[..PROXY_COUNT], [3; PROXY_COUNT]);
+    wait_until("revision 3 at the newcomer", || deployment.proxy(added_proxy).revision() == 3)
+        .await;
 }
