--- a/crates/rudder-endpoint/src/channel.rs
+++ b/crates/rudder-endpoint/src/channel.rs
@@ -1,4 +1,5 @@
-//! A member's control channel: one connection, opened when needed, used by one statement a time.
+//! Control channel of a member: one connection, opened on first use, that runs one statement at a
+//! time.
 
 use crate::connection::{MemberAddress, MemberConnection};
 use crate::control::{ControlError, MemberControl};
@@ -10,18 +11,19 @@
 use tokio::sync::{Mutex, OwnedMutexGuard, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// How long one exchange may go on after its asker has given up, opening the connection included.
+/// Minimum timeout of one exchange, connecting included. An exchange may outlast the call that
+/// started it.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The control channel to one member over its own connection, apart from the callers' pool, so
-/// that a busy pool cannot hide a live member.
+/// Control channel to one member. Its connection is separate from the callers' pool, so that a
+/// member still reports its status while the pool is exhausted.
 pub struct ControlChannel {
     address: MemberAddress,
     connection: Arc<Mutex<Option<MemberConnection>>>,
 }
 
 impl ControlChannel {
-    /// A channel that connects when it is first used.
+    /// Creates a channel that connects on first use.
     ///
     /// ```
     /// use rudder_endpoint::{ControlChannel, LoginSettings, MemberAddress};
@@ -36,7 +38,7 @@
     }
 }
 
-/// Runs one exchange; the connection stays in the slot unless it failed.
+/// Runs one exchange and keeps the connection for the next one unless it failed.
 async fn exchange(
     address: MemberAddress,
     mut guard: OwnedMutexGuard<Option<MemberConnection>>,
@@ -47,8 +49,8 @@
         None => MemberConnection::open(&address, EXCHANGE_TIMEOUT).await?,
     };
     let outcome = connection.control(&statement).await;
-    // A failed connection is dropped, never kept: its late answer would be taken for the answer
-    // to the next statement.
+    // A failed connection is dropped, because a late response would be read as the response to
+    // the next statement.
     if !matches!(outcome, Err(ControlError::Unreachable(_))) {
         *guard = Some(connection);
     }
@@ -68,13 +70,13 @@
             .map_err(|_| ControlError::TimedOut)?;
         let (sender, receiver) = oneshot::channel();
         let exchange = exchange(self.address.clone(), guard, statement.clone());
-        // Guards against a link so slow that connecting takes longer than a statement may: were
-        // the exchange to end with its asker, every asker would start to connect anew, and none
-        // would ever be answered. It goes on by itself, and the next asker finds the connection.
-        // One that stays silent ends after its own bound, and its late answer with it.
+        // The exchange runs in its own task and may outlast this call. On a link so slow that
+        // connecting takes longer than `timeout`, every call would otherwise connect again and
+        // none would succeed; the next call now finds the open connection. An exchange without
+        // a response ends at its own timeout, which drops the connection and any late response.
         tokio::spawn(async move {
             let outcome = tokio::time::timeout(EXCHANGE_TIMEOUT.max(timeout), exchange).await;
-            // The asker may have given up; the next one has the connection.
+            // The call may have timed out already; the next one uses the connection.
             let _ = sender.send(outcome.unwrap_or(Err(ControlError::TimedOut)));
         });
         match timeout_at(deadline, receiver).await {
--- a/crates/rudder-endpoint/src/connection.rs
+++ b/crates/rudder-endpoint/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a member, and what it remembers between callers.
+//! Connection to a member, with the parameters and the cancel key received at login.
 
 use crate::ControlError;
 use crate::login::{EndpointError, LoginSettings, log_in};
@@ -13,35 +13,35 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Members send no frame but rows and COPY data above this.
+/// Maximum size of a member's frame; rows and COPY data may be larger.
 const MEMBER_FRAME_MAX: ByteSize = ByteSize(64 * 1024 * 1024);
 
-/// How long a connection may be idle before the kernel probes it.
+/// Idle time after which the kernel sends the first keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 
-/// How often the kernel probes an idle connection.
+/// Interval between keepalive probes on an idle connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How long sent bytes may stay unacknowledged before the kernel gives the connection up.
+/// Time that sent bytes may stay unacknowledged before the kernel fails the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 plain_data! {
-    /// What a cancel request must name.
+    /// Process id and secret that identify a connection in a cancel request.
     #[derive(Copy)]
     pub struct CancelTarget {
-        /// The member's process id for the connection.
+        /// Process id that the member assigned to the connection.
         pub process_id: i32,
-        /// The member's secret for the connection.
+        /// Secret that the member assigned to the connection.
         pub secret: i32,
     }
 }
 
 plain_data! {
-    /// Where a member is and how to log in there.
+    /// Socket address and login settings of a member.
     pub struct MemberAddress {
-        /// Its socket address.
+        /// Socket address.
         pub address: SocketAddr,
-        /// The login.
+        /// Login settings.
         pub login: LoginSettings,
     }
 }
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when the member cannot be reached, is too slow or refuses.
+    /// [`EndpointError`] when the member cannot be reached, times out or rejects the login.
     ///
     /// ```
     /// use rudder_endpoint::{LoginSettings, MemberAddress, MemberConnection};
@@ -66,7 +66,7 @@
     /// # runtime.block_on(async {
     /// let login =
     ///     LoginSettings { user: "app".into(), database: "scores".into(), password: None };
-    /// // Takes connections and answers none.
+    /// // Accepts connections and never responds.
     /// let silent = std::net::TcpListener::bind("127.0.0.1:0")?;
     /// let address = MemberAddress { address: silent.local_addr()?, login };
     /// assert!(MemberConnection::open(&address, std::time::Duration::from_millis(20)).await.is_err());
@@ -89,29 +89,29 @@
         Ok(Self { link, parameters: outcome.parameters, cancel: outcome.cancel })
     }
 
-    /// The connection's frames.
+    /// Returns the framed byte stream of the connection.
     pub fn link(&mut self) -> &mut WireLink {
         &mut self.link
     }
 
-    /// The settings that the member reported at login.
+    /// Returns the parameters that the member reported at login.
     #[must_use]
     pub fn parameters(&self) -> &[(String, String)] {
         &self.parameters
     }
 
-    /// What a cancel request for this connection must name.
+    /// Returns the process id and secret for a cancel request.
     #[must_use]
     pub fn cancel_target(&self) -> CancelTarget {
         self.cancel
     }
 
     /// Sends a cancel request for a connection of the member at `address` and waits until the
-    /// member has taken it.
+    /// member has processed it.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when the member cannot be reached in time.
+    /// [`EndpointError`] when the member cannot be reached or times out.
     pub async fn send_cancel(
         address: SocketAddr,
         target: CancelTarget,
@@ -123,7 +123,8 @@
             let mut bytes = BytesMut::new();
             frontend::cancel_request(target.process_id, target.secret, &mut bytes);
             stream.write_all(&bytes).await?;
-            // The member closes once it has acted, so a cancel cannot hit a later statement.
+            // The member closes the connection after it has processed the request. Waiting for that
+            // keeps the cancel from hitting a later statement.
             let mut rest = [0_u8; 1];
             let _ = tokio::io::AsyncReadExt::read(&mut stream, &mut rest).await?;
             Ok(())
@@ -131,21 +132,21 @@
         tokio::time::timeout(timeout, send).await.map_err(|_| EndpointError::TimedOut)?
     }
 
-    /// Adds a simple query to the bytes to be sent.
+    /// Appends a simple query to the write buffer.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] if the text holds a zero byte.
+    /// [`EndpointError`] if `text` contains a zero byte.
     pub fn queue_query(&mut self, text: &str) -> Result<(), EndpointError> {
         frontend::query(text, self.link.outgoing())?;
         Ok(())
     }
 
-    /// Runs a control statement on this connection.
+    /// Runs a control statement and returns the member's status.
     ///
     /// # Errors
     ///
-    /// [`ControlError`] when the member refuses or the connection fails.
+    /// [`ControlError`] when the member rejects the statement or the connection fails.
     pub async fn control(
         &mut self,
         statement: &ControlStatement,
@@ -155,11 +156,11 @@
         self.next_status().await
     }
 
-    /// Reads the answer to a control statement that was queued before.
+    /// Reads the response to a control statement that was queued before.
     ///
     /// # Errors
     ///
-    /// [`ControlError`] when the member refuses or the connection fails.
+    /// [`ControlError`] when the member rejects the statement or the connection fails.
     pub async fn next_status(&mut self) -> Result<MemberStatus, ControlError> {
         let unreachable = |error: WireError| ControlError::Unreachable(error.to_string());
         let mut outcome = Err(ControlError::Refused("the member answered no status".to_owned()));
@@ -178,8 +179,8 @@
     }
 }
 
-/// Guards against connections that go silent because something between the two ends lost track of
-/// them: they show as writes that are never acknowledged, and the kernel then fails them.
+/// Enables keepalive probes and a timeout for unacknowledged bytes, so that the kernel fails a
+/// connection whose state was lost by a device between the two ends.
 fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/rudder-endpoint/src/control.rs
+++ b/crates/rudder-endpoint/src/control.rs
@@ -1,11 +1,11 @@
-//! The border over which members are asked for their status and told their role.
+//! Interface for control statements, which read a member's status and set its role.
 
 use async_trait::async_trait;
 use displaydoc::Display;
 use rudder_core::{ControlStatement, LogTerm, MemberStatus};
 use std::time::Duration;
 
-/// Why a control statement brought no status.
+/// Error of a control statement that returned no status.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum ControlError {
@@ -21,10 +21,10 @@
 
 impl std::error::Error for ControlError {}
 
-/// One member's control channel.
+/// Control channel of one member.
 #[async_trait]
 pub trait MemberControl: Send + Sync {
-    /// Runs a control statement and returns the status after its effect, within `timeout`.
+    /// Runs a control statement within `timeout` and returns the status after its effect.
     async fn run(
         &self,
         statement: &ControlStatement,
--- a/crates/rudder-endpoint/src/lib.rs
+++ b/crates/rudder-endpoint/src/lib.rs
@@ -1,7 +1,7 @@
 //! Connections to the members (endpoints) of a database group.
 //!
-//! Frames of the PostgreSQL protocol are cut and relayed here, not decoded; only logins, status
-//! rows and error fields are read, with `postgres-protocol`.
+//! Frames of the PostgreSQL protocol are split and relayed without being decoded. Only logins,
+//! status rows and error fields are parsed; logins with `postgres-protocol`.
 
 mod channel;
 mod connection;
--- a/crates/rudder-endpoint/src/login.rs
+++ b/crates/rudder-endpoint/src/login.rs
@@ -1,4 +1,4 @@
-//! Logging in at a member: plain or TLS, trust, cleartext, MD5 or SCRAM.
+//! Login at a member with trust, cleartext, MD5 or SCRAM authentication.
 
 use crate::connection::CancelTarget;
 use crate::status::read_error_fields;
@@ -9,20 +9,20 @@
 use postgres_protocol::message::backend::Message;
 use postgres_protocol::message::frontend;
 
-/// How to log in at a member.
+/// Credentials and database for a login at a member.
 #[derive(Clone, PartialEq, Eq)]
 pub struct LoginSettings {
-    /// The user.
+    /// User name.
     pub user: String,
-    /// The database.
+    /// Database name.
     pub database: String,
-    /// The password, if the user has one. Never logged.
+    /// Password, if the user has one. Never logged.
     pub password: Option<String>,
 }
 
 impl std::fmt::Debug for LoginSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The password stays out: debug output ends up in logs.
+        // Omits the password, because debug output is logged.
         f.debug_struct("LoginSettings")
             .field("user", &self.user)
             .field("database", &self.database)
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why a connection to a member cannot be opened or used.
+/// Error of opening or using a connection to a member.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum EndpointError {
@@ -42,9 +42,9 @@
     Wire(WireError),
     /// the member refused the login ({sqlstate}): {message}
     Refused {
-        /// The member's SQLSTATE.
+        /// SQLSTATE that the member returned.
         sqlstate: String,
-        /// The member's words.
+        /// Error message that the member returned.
         message: String,
     },
     /// the member asks for a login that is not supported: {0}
@@ -67,13 +67,13 @@
     }
 }
 
-/// What a member said during login.
+/// Parameters and cancel key received at login.
 pub(crate) struct LoginOutcome {
     pub(crate) parameters: Vec<(String, String)>,
     pub(crate) cancel: CancelTarget,
 }
 
-/// Logs in over a fresh link.
+/// Logs in on a new connection.
 pub(crate) async fn log_in(
     link: &mut WireLink,
     settings: &LoginSettings,
--- a/crates/rudder-endpoint/src/status.rs
+++ b/crates/rudder-endpoint/src/status.rs
@@ -1,4 +1,4 @@
-//! Reading status rows and error fields.
+//! Parsing of status rows and error fields.
 
 use crate::control::ControlError;
 use rudder_core::{
@@ -6,17 +6,17 @@
 };
 
 plain_data! {
-    /// The fields of an error that the proxy looks at.
+    /// Fields of an error frame that the proxy uses.
     #[derive(Default)]
     pub struct ErrorFields {
-        /// The SQLSTATE.
+        /// SQLSTATE.
         pub sqlstate: String,
-        /// The message.
+        /// Primary message.
         pub message: String,
     }
 }
 
-/// Reads an error frame's body; fields that are missing stay empty.
+/// Parses the body of an error frame; missing fields stay empty.
 ///
 /// ```
 /// let fields = rudder_endpoint::read_error_fields(b"C25006\0Mread only\0\0");
@@ -36,11 +36,11 @@
     fields
 }
 
-/// Reads a data row's body of the shape that `STATUS_COLUMNS` gives: six texts.
+/// Parses the body of a data row with the six text columns of `STATUS_COLUMNS`.
 ///
 /// # Errors
 ///
-/// [`ParseError`] if a column is missing or is not of its type.
+/// [`ParseError`] if a column is missing or has the wrong type.
 ///
 /// ```
 /// let mut row = vec![0, 6];
@@ -61,7 +61,7 @@
     })
 }
 
-/// The greater term that a member names when it refuses a control statement.
+/// Returns the greater term that a member names when it rejects a control statement.
 ///
 /// ```
 /// use rudder_endpoint::{ErrorFields, superseded_term};
@@ -77,7 +77,7 @@
     numbers.find(|number| !number.is_empty())?.parse().ok()
 }
 
-/// The control error that an error row of a member stands for.
+/// Converts a member's error fields to a control error.
 pub(crate) fn to_control_error(fields: &ErrorFields) -> ControlError {
     match superseded_term(fields) {
         Some(term) => ControlError::Superseded(term),
--- a/crates/rudder-endpoint/src/wire/frame.rs
+++ b/crates/rudder-endpoint/src/wire/frame.rs
@@ -1,38 +1,38 @@
-//! Frames and the errors of cutting them.
+//! Frames, startup packets and the errors of reading them.
 
 use bytes::Bytes;
 use displaydoc::Display;
 use rudder_core::ByteSize;
 
-/// Bytes of a frame's tag and length.
+/// Size of a frame's tag and length in bytes.
 pub(crate) const HEADER_SIZE: usize = 5;
 
-/// Which part of a frame some bytes are.
+/// Part of a frame that a [`WireFrame`] holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramePart {
     /// The whole frame.
     Whole,
-    /// Its beginning, header included; more parts follow.
+    /// The first part, with the header; more parts follow.
     Start,
-    /// A part in the middle.
+    /// A part between the first and the last.
     Middle,
-    /// Its end.
+    /// The last part.
     End,
 }
 
-/// A frame, or a part of a large row or COPY frame, with its header where it begins.
+/// Frame, or part of a large row or COPY frame; the first part holds the header.
 #[derive(Clone, Debug)]
 pub struct WireFrame {
-    /// The frame's tag.
+    /// Tag of the frame, also in later parts.
     pub tag: u8,
-    /// Which part the bytes are.
+    /// Part of the frame that the bytes hold.
     pub part: FramePart,
-    /// The bytes, header included in the first part.
+    /// Bytes of the part; the first part includes the header.
     pub bytes: Bytes,
 }
 
 impl WireFrame {
-    /// The body of a whole frame: everything after tag and length.
+    /// Returns the body of a whole frame: everything after tag and length.
     ///
     /// ```
     /// use rudder_endpoint::{FramePart, WireFrame};
@@ -45,7 +45,7 @@
     }
 }
 
-/// The first packet of a connection, which has no tag.
+/// First packet of a connection, which has no tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
     /// The caller asks for TLS.
@@ -54,16 +54,16 @@
     GssRequest,
     /// The caller asks to cancel another connection's statement.
     CancelRequest {
-        /// The process id given at that connection's login.
+        /// Process id assigned at that connection's login.
         process_id: i32,
-        /// The secret given at that connection's login.
+        /// Secret assigned at that connection's login.
         secret: i32,
     },
-    /// A login with its parameters, in the caller's order.
+    /// Login with its parameters, in the order the caller sent them.
     Login(Vec<(String, String)>),
 }
 
-/// Why a connection's bytes cannot be read or sent.
+/// Error of reading frames from a connection or writing to it.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum WireError {
@@ -75,9 +75,9 @@
     Malformed(&'static str),
     /// a message of {size} bytes is longer than the allowed {limit}
     TooLong {
-        /// The announced size.
+        /// Size that the frame's header declares.
         size: ByteSize,
-        /// The greatest size allowed.
+        /// Maximum size allowed.
         limit: ByteSize,
     },
 }
--- a/crates/rudder-endpoint/src/wire/link.rs
+++ b/crates/rudder-endpoint/src/wire/link.rs
@@ -1,4 +1,4 @@
-//! One side's connection: buffered bytes in, buffered bytes out, cut into frames.
+//! Buffered connection that splits the received bytes into frames.
 
 use super::frame::{FramePart, HEADER_SIZE, StartupPacket, WireError, WireFrame};
 use super::tag;
@@ -11,20 +11,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio_util::io::poll_read_buf;
 
-/// Rows and COPY data above this size are handed on in parts, so that one large value does not
-/// sit in memory as a whole.
+/// Size above which rows and COPY data are forwarded in parts, so that a large value is not held
+/// in memory as a whole.
 const SPLIT_THRESHOLD: usize = 64 * 1024;
 
-/// Bytes read at once; a batch of small frames fits.
+/// Maximum number of bytes per read; a batch of small frames fits.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Bytes that the buffer of an idle connection may keep for its next answer.
+/// Capacity that the write buffer of an idle connection may keep for its next response.
 const IDLE_BUFFER_MAX: usize = 1024;
 
-/// Above this many unsent bytes the sender waits for the other side to read.
+/// Number of unsent bytes at which the sender waits for the remote side to read.
 const HIGH_WATER_MARK: usize = 256 * 1024;
 
-/// A login packet longer than this is no login: `PostgreSQL` itself allows 10,000 bytes.
+/// Maximum size of a login packet, the same as in `PostgreSQL`: 10,000 bytes.
 const STARTUP_SIZE_MAX: usize = 10_000;
 
 const TLS_REQUEST_CODE: i32 = 80_877_103;
@@ -32,27 +32,29 @@
 const CANCEL_REQUEST_CODE: i32 = 80_877_102;
 const PROTOCOL_MAJOR: i32 = 3;
 
-/// A byte stream in both directions: plain TCP or TLS.
+/// Bidirectional byte stream: plain TCP or TLS.
 pub trait LinkStream: AsyncRead + AsyncWrite + Send + Sync + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Send + Sync + Unpin> LinkStream for S {}
 
-/// A connection cut into frames, with bytes waiting to be sent.
+/// Byte stream with a read buffer that is split into frames, and a write buffer.
 pub struct WireLink {
     stream: Box<dyn LinkStream>,
     incoming: BytesMut,
     outgoing: BytesMut,
+    /// Bytes still to be returned of a frame that is returned in parts; 0 between frames.
     part_left: usize,
+    /// Tag of the frame that is returned in parts.
     part_tag: u8,
     frame_size_max: ByteSize,
 }
 
 impl WireLink {
-    /// Wraps a stream; frames that are not rows or COPY data may have `frame_size_max` bytes.
+    /// Wraps a stream. Frames other than rows and COPY data may have up to `frame_size_max` bytes.
     ///
     /// ```
-    /// let (near, _far) = tokio::io::duplex(64);
-    /// let link = rudder_endpoint::WireLink::new(Box::new(near), rudder_core::ByteSize(1024));
+    /// let (local, _remote) = tokio::io::duplex(64);
+    /// let link = rudder_endpoint::WireLink::new(Box::new(local), rudder_core::ByteSize(1024));
     /// assert!(!link.has_buffered_frame());
     /// ```
     #[must_use]
@@ -67,12 +69,12 @@
         }
     }
 
-    /// Gives back the stream, for a change to TLS; fails if bytes were sent ahead of it.
+    /// Returns the stream for an upgrade to TLS.
     ///
     /// # Errors
     ///
-    /// [`WireError::Malformed`] if the other side sent bytes before the change: they could have
-    /// been put there by somebody between the two ends.
+    /// [`WireError::Malformed`] if bytes were received before the upgrade: an attacker between the
+    /// two ends could have injected them.
     pub fn into_stream(self) -> Result<Box<dyn LinkStream>, WireError> {
         if self.incoming.is_empty() {
             return Ok(self.stream);
@@ -80,12 +82,12 @@
         Err(WireError::Malformed("bytes were sent ahead of the change to TLS"))
     }
 
-    /// The buffer of bytes to be sent; they leave with the next read or flush.
+    /// Returns the write buffer, whose bytes are sent with the next read or flush.
     pub fn outgoing(&mut self) -> &mut BytesMut {
         &mut self.outgoing
     }
 
-    /// Whether a frame can be taken without waiting.
+    /// Whether a frame, or a part of one, can be returned without waiting.
     #[must_use]
     pub fn has_buffered_frame(&self) -> bool {
         if self.part_left > 0 {
@@ -94,13 +96,13 @@
         self.incoming.len() >= HEADER_SIZE && self.incoming.len() >= self.frame_size()
     }
 
-    /// Whether the bytes waiting to be sent should be flushed before more are added.
+    /// Whether the write buffer should be flushed before more bytes are appended.
     #[must_use]
     pub fn is_congested(&self) -> bool {
         self.outgoing.len() >= HIGH_WATER_MARK
     }
 
-    /// Whether the other side has closed or sent something, without waiting.
+    /// Whether the connection is open and nothing was received. Does not wait for bytes.
     pub async fn is_quiet(&mut self) -> bool {
         if !self.incoming.is_empty() {
             return false;
@@ -112,11 +114,13 @@
         .await
     }
 
-    /// The next frame, or the next part of a large row. Sends what waits to be sent meanwhile.
+    /// Returns the next frame, or the next part of a large row or COPY frame. Sends the write
+    /// buffer while it waits.
     ///
     /// # Errors
     ///
-    /// [`WireError`] when the other side closed, the connection failed, or the bytes are no frame.
+    /// [`WireError`] when the remote side closed the connection, the connection failed, or the
+    /// bytes are not a frame.
     pub async fn next_frame(&mut self) -> Result<WireFrame, WireError> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -126,19 +130,19 @@
         }
     }
 
-    /// Waits until a frame, or a part of one, can be taken without waiting. Sends what waits to
-    /// be sent meanwhile; nothing is lost if the wait is given up.
+    /// Waits until a frame, or a part of one, can be returned without waiting. Sends the write
+    /// buffer meanwhile. Cancelling the wait loses no bytes.
     ///
     /// # Errors
     ///
-    /// [`WireError`] when the other side closed or the connection failed.
+    /// [`WireError`] when the remote side closed the connection or the connection failed.
     ///
     /// ```
     /// # tokio::runtime::Builder::new_current_thread().build()?.block_on(async {
     /// use tokio::io::AsyncWriteExt;
-    /// let (near, mut far) = tokio::io::duplex(64);
-    /// let mut link = rudder_endpoint::WireLink::new(Box::new(near), rudder_core::ByteSize(1024));
-    /// far.write_all(b"S\0\0\0\x04").await.unwrap();
+    /// let (local, mut remote) = tokio::io::duplex(64);
+    /// let mut link = rudder_endpoint::WireLink::new(Box::new(local), rudder_core::ByteSize(1024));
+    /// remote.write_all(b"S\0\0\0\x04").await.unwrap();
     /// link.await_frame().await.unwrap();
     /// assert!(link.has_buffered_frame());
     /// # });
@@ -151,11 +155,11 @@
         Ok(())
     }
 
-    /// Bytes of memory that the buffers take.
+    /// Returns the allocated size of both buffers.
     ///
     /// ```
-    /// let (near, _far) = tokio::io::duplex(64);
-    /// let link = rudder_endpoint::WireLink::new(Box::new(near), rudder_core::ByteSize(1024));
+    /// let (local, _remote) = tokio::io::duplex(64);
+    /// let link = rudder_endpoint::WireLink::new(Box::new(local), rudder_core::ByteSize(1024));
     /// assert_eq!(link.buffer_size(), rudder_core::ByteSize(0));
     /// ```
     #[must_use]
@@ -163,16 +167,16 @@
         ByteSize((self.incoming.capacity() + self.outgoing.capacity()) as u64)
     }
 
-    /// Changes the greatest size of frames that are not rows or COPY data.
+    /// Sets the maximum size of frames other than rows and COPY data.
     ///
     /// ```
     /// # tokio::runtime::Builder::new_current_thread().build()?.block_on(async {
     /// use rudder_core::ByteSize;
     /// use tokio::io::AsyncWriteExt;
-    /// let (near, mut far) = tokio::io::duplex(64);
-    /// let mut link = rudder_endpoint::WireLink::new(Box::new(near), ByteSize(8));
+    /// let (local, mut remote) = tokio::io::duplex(64);
+    /// let mut link = rudder_endpoint::WireLink::new(Box::new(local), ByteSize(8));
     /// link.set_frame_size_max(ByteSize(9));
-    /// far.write_all(b"Q\0\0\0\x08abc\0").await.unwrap();
+    /// remote.write_all(b"Q\0\0\0\x08abc\0").await.unwrap();
     /// assert_eq!(link.next_frame().await.unwrap().body(), b"abc\0");
     /// # });
     /// # Ok::<(), std::io::Error>(())
@@ -181,7 +185,7 @@
         self.frame_size_max = frame_size_max;
     }
 
-    /// The first packet of a caller's connection.
+    /// Returns the first packet of a caller's connection.
     ///
     /// # Errors
     ///
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Sends everything that waits to be sent.
+    /// Sends the whole write buffer.
     ///
     /// # Errors
     ///
@@ -237,7 +241,7 @@
         if size as u64 > limit.0 {
             return Err(WireError::TooLong { size: ByteSize(size as u64), limit });
         }
-        // Space is not set aside for what is only announced: it grows with what comes.
+        // No memory is reserved for the declared size; the buffer grows as bytes are received.
         Ok(None)
     }
 
@@ -287,8 +291,8 @@
     }
 
     fn poll_exchange(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), WireError>> {
-        // Both directions move in one step: a member that stops reading while its own answers
-        // wait for us would otherwise block both sides for good.
+        // Sends and receives in one step: a member that stops reading until its own responses
+        // are read would otherwise block both sides for ever.
         match self.poll_send(cx) {
             Poll::Ready(Ok(())) => {
                 if let Poll::Ready(Err(error)) = Pin::new(&mut self.stream).poll_flush(cx) {
@@ -327,8 +331,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads into a buffer on the stack, so that a connection that waits for its other side holds
-    /// no memory for what may come: thousands of them are idle at a time.
+    /// Receives the first bytes into a buffer on the stack, so that a waiting connection holds no
+    /// read buffer: thousands of connections are idle at a time.
     fn poll_receive_first(&mut self, cx: &mut Context<'_>) -> Poll<std::io::Result<usize>> {
         let mut buffer = [const { MaybeUninit::uninit() }; READ_SIZE];
         let mut read = ReadBuf::uninit(&mut buffer);
--- a/crates/rudder-endpoint/src/wire/mod.rs
+++ b/crates/rudder-endpoint/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Cutting a byte stream into protocol frames, and sending frames without copying rows.
+//! Splits a byte stream into protocol frames, and sends frames without copying rows.
 
 mod frame;
 mod link;
--- a/crates/rudder-endpoint/src/wire/tag.rs
+++ b/crates/rudder-endpoint/src/wire/tag.rs
@@ -1,4 +1,4 @@
-//! The tags of the frames that the proxy looks at, as the PostgreSQL protocol 3.0 defines them.
+//! Tags of the PostgreSQL protocol 3.0 frames that the proxy handles.
 
 /// Frontend: a simple query.
 pub const QUERY: u8 = b'Q';
@@ -12,15 +12,15 @@
 pub const EXECUTE: u8 = b'E';
 /// Frontend: close a statement or portal.
 pub const CLOSE: u8 = b'C';
-/// Frontend: send what is buffered.
+/// Frontend: send the buffered responses.
 pub const FLUSH: u8 = b'H';
 /// Frontend: end of an extended batch.
 pub const SYNC: u8 = b'S';
 /// Frontend: end of the connection.
 pub const TERMINATE: u8 = b'X';
-/// Frontend: password, SASL or GSS answer.
+/// Frontend: password, SASL or GSS response.
 pub const PASSWORD: u8 = b'p';
-/// Frontend: the caller gives up a COPY.
+/// Frontend: the caller aborts a COPY.
 pub const COPY_FAIL: u8 = b'f';
 /// Both ways: a piece of COPY data.
 pub const COPY_DATA: u8 = b'd';
--- a/crates/rudder-endpoint/tests/channel.rs
+++ b/crates/rudder-endpoint/tests/channel.rs
@@ -1,22 +1,21 @@
-//! The control channel over a slow link.
+//! Control channel over a slow link.
 
 use rudder_core::{ControlStatement, MemberRole};
 use rudder_endpoint::{ControlChannel, LoginSettings, MemberAddress, MemberControl};
 use rudder_standins::{GroupSettings, GroupStandin, LinkSettings, LinkStandin};
 use std::time::Duration;
 
-/// One way; connecting, logging in and one statement take several round trips of it.
+/// One-way delay; connecting, login and one statement take several round trips.
 const LINK_DELAY: Duration = Duration::from_millis(60);
 
-/// More than one round trip, less than connecting takes.
+/// Longer than one round trip, shorter than connecting.
 const STATEMENT_TIMEOUT: Duration = Duration::from_millis(200);
 
 const ATTEMPTS_MAX: usize = 20;
 
-/// What a user sees: a group without a primary, though every member is up.
-/// Order: the control connection over a slow link ends; every statement that follows has to
-/// connect first, and is given up before it is connected.
-/// Cause: the bound of one statement ended the connecting too, so each try began from nothing.
+/// Checks that the timeout of a statement does not also end connecting: on a slow link every
+/// statement would then connect anew and time out, and the group would have no primary although
+/// every member is up.
 #[tokio::test]
 async fn slow_link_connects_although_statements_time_out() {
     let group = GroupStandin::start(GroupSettings::loopback("scores".parse().unwrap()));
