--- a/crates/rudderctl/src/address.rs
+++ b/crates/rudderctl/src/address.rs
@@ -1,10 +1,10 @@
-//! The platform's address as it is typed.
+//! Platform address of the command line.
 
 use displaydoc::Display;
 use std::fmt;
 use std::str::FromStr;
 
-/// An `http` or `https` address without a path.
+/// `http` or `https` URL without a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlatformAddress(String);
 
--- a/crates/rudderctl/src/arguments.rs
+++ b/crates/rudderctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line as it is typed.
+//! Command-line syntax and its conversion to options.
 
 use crate::address::PlatformAddress;
 use crate::options::{
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Reads the command line; help and usage errors are printed here.
+/// Parses the command line and prints help and usage errors.
 pub(crate) fn parse_command_line() -> Result<ControlOptions, ExitStatus> {
     let arguments: Vec<String> =
         std::env::args_os().map(|argument| argument.to_string_lossy().into_owned()).collect();
--- a/crates/rudderctl/src/base.rs
+++ b/crates/rudderctl/src/base.rs
@@ -1,14 +1,14 @@
-//! What a folder held when it was last fetched or submitted.
+//! Base of a settings folder: the revision that it held when it was last fetched or submitted.
 
 use crate::error::CommandError;
 use rudder_store::SettingsRevision;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A hidden file, so that it is no part of the settings.
+/// Name of the base file; hidden, so that it is not read as a settings file.
 const BASE_FILE: &str = ".rudder-base.json";
 
-/// Reads what the folder held; none if it was never fetched.
+/// Reads the base of a folder; `None` if the folder was never fetched.
 pub(crate) fn read_base(folder: &Path) -> Result<Option<SettingsRevision>, CommandError> {
     let path = base_path(folder);
     let damaged =
@@ -21,23 +21,23 @@
     serde_json::from_str(&text).map(Some).map_err(|error| damaged(error.to_string()))
 }
 
-/// Remembers what the folder holds.
+/// Records the base of a folder.
 pub(crate) fn write_base(folder: &Path, base: &SettingsRevision) -> Result<(), CommandError> {
     let text = serde_json::to_string_pretty(base).expect("names and numbers are always JSON");
     write_file(&base_path(folder), &text)
 }
 
-/// Writes a file of the folder.
+/// Writes a file and converts the error.
 pub(crate) fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
     std::fs::write(path, text).map_err(|error| unwritable(path, &error))
 }
 
-/// Removes a file of the folder.
+/// Removes a file and converts the error.
 pub(crate) fn remove_file(path: &Path) -> Result<(), CommandError> {
     std::fs::remove_file(path).map_err(|error| unwritable(path, &error))
 }
 
-/// The error of a path that cannot be written.
+/// Returns the error for a path that cannot be written.
 pub(crate) fn unwritable(path: &Path, error: &io::Error) -> CommandError {
     CommandError::Unwritable { path: path.display().to_string(), reason: error.to_string() }
 }
--- a/crates/rudderctl/src/command/check.rs
+++ b/crates/rudderctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: merge and check a folder without a platform.
+//! `check`: merges and checks a settings folder without a platform.
 
 use crate::error::CommandError;
 use crate::options::CheckOptions;
--- a/crates/rudderctl/src/command/drain.rs
+++ b/crates/rudderctl/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: give a member no new work, by a settings file of its own.
+//! `drain`: stops new work for a member by submitting a settings file for it.
 
 use super::submit::AcceptedReport;
 use crate::error::CommandError;
@@ -21,7 +21,8 @@
     Ok(CommandReport::done(&AcceptedReport::from(outcome)))
 }
 
-/// The name sorts last, so that the file wins over whatever else speaks of the member.
+/// Returns the name of the member's drain file. It sorts last, so that the file overrides all other
+/// files with settings of the member.
 fn drain_file_name(member: &MemberName) -> Result<FileName, FolderError> {
     format!("zz-drain-{member}.toml").parse()
 }
--- a/crates/rudderctl/src/command/explain.rs
+++ b/crates/rudderctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what became of one request, from the logs of all instances.
+//! `explain`: reports the outcome of one request from the logs of all instances.
 
 use crate::error::CommandError;
 use crate::explain::ReportBuilder;
@@ -29,7 +29,7 @@
     let file = path.file_stem().map(|name| name.to_string_lossy()).unwrap_or_default();
     for line in input.split(b'\n') {
         let line = line.map_err(|error| unreadable(path, &error))?;
-        // A line that a crash cut off may end in the middle of a character.
+        // A line truncated by a crash may end within a UTF-8 character.
         builder.add_line(&String::from_utf8_lossy(&line), &file);
     }
     Ok(())
--- a/crates/rudderctl/src/command/fetch.rs
+++ b/crates/rudderctl/src/command/fetch.rs
@@ -1,4 +1,4 @@
-//! `fetch`: write the accepted files into a folder.
+//! `fetch`: writes the accepted settings files into a folder.
 
 use crate::base::{read_base, remove_file, unwritable, write_base, write_file};
 use crate::error::CommandError;
@@ -42,10 +42,10 @@
     Ok(CommandReport::done(&FetchReport { revision: bundle.number, files: names }))
 }
 
-/// The folder's files that were accepted once and are no longer.
+/// Returns the folder's files that were accepted earlier and no longer are.
 ///
-/// Guards against an operator's edits that vanish: a file that is neither as fetched nor as accepted
-/// would be overwritten or removed. Nothing is written then.
+/// Fails if a file differs both from its fetched and from its accepted version, because writing or
+/// removing it would lose an operator's edits. Nothing is written in that case.
 fn outdated_files(
     folder: &Path,
     accepted: &SettingsRevision,
--- a/crates/rudderctl/src/command/instance.rs
+++ b/crates/rudderctl/src/command/instance.rs
@@ -1,4 +1,4 @@
-//! Asking one instance for its status page.
+//! Requests the status page of one instance.
 
 use http::Request;
 use kube::{Client, Config};
@@ -8,10 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An instance answers its status page from memory; slower ones count as unreachable.
+/// Timeout of a status request. Instances serve the page from memory, so slower ones count as
+/// unreachable.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an instance says of itself.
+/// Status that an instance reports.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct InstanceStatus {
     pub(crate) instance: InstanceName,
@@ -22,7 +23,7 @@
     pub(crate) groups: Vec<GroupStatus>,
 }
 
-/// What an instance says of a group.
+/// Status that an instance reports for a database group.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct GroupStatus {
     pub(crate) service: ServiceName,
@@ -30,7 +31,7 @@
     pub(crate) primary: Option<MemberName>,
 }
 
-/// One admin address and what was answered there.
+/// Admin address of an instance and the result of the status request.
 #[derive(Serialize)]
 pub(crate) struct InstanceResponse {
     pub(crate) admin: SocketAddr,
@@ -38,7 +39,7 @@
     pub(crate) outcome: StatusOutcome,
 }
 
-/// Whether an instance answered.
+/// Result of a status request.
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum StatusOutcome {
@@ -46,7 +47,7 @@
     Unreachable(String),
 }
 
-/// Reads the status page at an admin address.
+/// Requests the status page at an admin address.
 pub(crate) async fn query_instance(admin: SocketAddr) -> InstanceResponse {
     let outcome = match tokio::time::timeout(STATUS_TIMEOUT, read_status(admin)).await {
         Ok(Ok(status)) => StatusOutcome::Status(status),
--- a/crates/rudderctl/src/command/mod.rs
+++ b/crates/rudderctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one file each.
+//! Implementations of the commands, one file each.
 
 mod check;
 mod drain;
--- a/crates/rudderctl/src/command/status.rs
+++ b/crates/rudderctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the accepted revision, and what instances have in force.
+//! `status`: shows the accepted revision and the revision in force at each instance.
 
 use super::instance::{InstanceResponse, InstanceStatus, StatusOutcome, query_instance};
 use crate::error::CommandError;
@@ -12,7 +12,7 @@
 
 #[derive(Serialize)]
 struct StatusReport {
-    /// The accepted revision; none when the platform cannot be reached.
+    /// Accepted revision; `None` when the platform cannot be reached.
     accepted: Option<AcceptedRevision>,
     instances: Vec<InstanceResponse>,
 }
--- a/crates/rudderctl/src/command/submit.rs
+++ b/crates/rudderctl/src/command/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`: hand a folder's files to the platform as a new revision.
+//! `submit`: submits a folder's files to the platform as a new revision.
 
 use crate::base::{read_base, write_base};
 use crate::error::CommandError;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What became of a change, for every command that submits one.
+/// Result of a submitted change, for every command that submits one.
 #[derive(Serialize)]
 pub(crate) struct AcceptedReport {
     revision: RevisionNumber,
@@ -52,7 +52,7 @@
     Ok(CommandReport::done(&AcceptedReport::from(outcome)))
 }
 
-/// The folder's files without those that are to be removed.
+/// Reads the folder's files, except those to be removed.
 fn read_files_to_submit(options: &SubmitOptions) -> Result<Vec<SettingsFile>, CommandError> {
     let mut files = read_folder(&options.folder)?;
     files.retain(|file| !options.remove.contains(&file.name));
--- a/crates/rudderctl/src/command/switch.rs
+++ b/crates/rudderctl/src/command/switch.rs
@@ -1,4 +1,7 @@
-//! `switch`: order a planned switch of a service's primary.
+//! `switch`: orders a planned switch of a service's primary.
+//!
+//! The service's keepers, the instances that monitor its group and change its primary, carry out
+//! the order.
 
 use crate::error::CommandError;
 use crate::options::SwitchOptions;
@@ -10,7 +13,7 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// A planned switch takes well under a second.
+/// Interval between polls for the outcome; a planned switch takes well under a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
@@ -44,10 +47,10 @@
     Ok(CommandReport::done(&report))
 }
 
-/// Waits until the order is gone and the platform knows its target as primary.
+/// Waits until the platform records the order's target as primary.
 ///
-/// Keepers remove an order that was carried out or refused, and write the new primary down a moment
-/// later. Calls that fail are made again: an outage must not end the wait.
+/// Keepers remove an order that was carried out or rejected and record the new primary shortly
+/// afterwards. Failed calls are retried, so that an outage does not end the wait.
 async fn await_switch(
     store: &KubeStore,
     options: &SwitchOptions,
@@ -82,7 +85,7 @@
     Ok(object.and_then(|object| serde_json::from_value(object.spec).ok()))
 }
 
-/// The primary that the group's keepers wrote down last.
+/// Reads the primary that the group's keepers recorded last.
 async fn read_primary(
     store: &KubeStore,
     service: &ServiceName,
@@ -106,8 +109,9 @@
     }
 }
 
-/// Guards against a second order for one wish: the answer was lost and the order may stand. The mark
-/// tells it from another operator's. An order that is gone may have been carried out already.
+/// Checks after a lost response whether the order was placed, so that the operator does not place
+/// it twice. The mark distinguishes it from another operator's order. If it is missing, the outcome
+/// is unknown, because it may have been carried out and removed already.
 async fn confirm_order(
     store: &KubeStore,
     service: &ServiceName,
--- a/crates/rudderctl/src/error.rs
+++ b/crates/rudderctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked.
+//! Errors of commands.
 
 use crate::explain::ReportError;
 use crate::output::ExitStatus;
@@ -7,7 +7,7 @@
 use rudder_settings::{FolderError, SettingsProblem, SettingsRefusal};
 use rudder_store::{BundleError, ReadError, StoreError, SubmitError};
 
-/// Why a command did not do what was asked.
+/// Error that ends a command.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum CommandError {
@@ -29,9 +29,9 @@
     NoMember {
         /// The service.
         service: ServiceName,
-        /// The member that was named.
+        /// The member on the command line.
         member: MemberName,
-        /// The members that it has.
+        /// The names of its members.
         known: String,
     },
     /// service {0} is being switched already; wait until that order is carried out or refused
@@ -42,7 +42,7 @@
     NotSwitched {
         /// The service.
         service: ServiceName,
-        /// Its primary, as the platform knows it.
+        /// Its primary, as recorded in the platform.
         primary: String,
     },
     /// the order for {0} still stands; look at the status before ordering again
@@ -51,14 +51,14 @@
     Unwritable {
         /// The file.
         path: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// {path} cannot be read: {reason}
     Unreadable {
         /// The file.
         path: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// {0}
@@ -69,7 +69,7 @@
     DamagedBase {
         /// The file.
         path: String,
-        /// What does not fit.
+        /// The parse or read error.
         reason: String,
     },
 }
@@ -77,7 +77,7 @@
 impl std::error::Error for CommandError {}
 
 impl CommandError {
-    /// How the command ends for this error.
+    /// Returns the exit status for this error.
     pub(crate) fn exit(&self) -> ExitStatus {
         match self {
             Self::Submit(SubmitError::Unavailable)
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The problems of refused settings, one by one.
+    /// Returns the single problems of refused settings.
     pub(crate) fn problems(&self) -> &[SettingsProblem] {
         match self {
             Self::Settings(refusal)
--- a/crates/rudderctl/src/explain/advice.rs
+++ b/crates/rudderctl/src/explain/advice.rs
@@ -1,12 +1,12 @@
-//! What the words of a deciding line mean, and where to look next.
+//! Explanations of the reasons and outcomes in log lines, with hints for the next step.
 
-/// The meaning of a reason or outcome.
+/// Explanation of a reason or outcome.
 struct ReasonMeaning {
     reason: &'static str,
     meaning: &'static str,
 }
 
-/// Sorted by word.
+/// Explanations, sorted by reason for the binary search.
 const MEANINGS: [ReasonMeaning; 17] = [
     ReasonMeaning {
         reason: "all connections are in use",
@@ -87,7 +87,7 @@
     },
 ];
 
-/// What a word means, if it is one of ours.
+/// Returns the explanation of a reason or outcome, if it is known.
 pub(super) fn meaning_of(reason: &str) -> Option<&'static str> {
     let found = MEANINGS.binary_search_by(|known| known.reason.cmp(reason));
     found.ok().map(|index| MEANINGS[index].meaning)
--- a/crates/rudderctl/src/explain/line.rs
+++ b/crates/rudderctl/src/explain/line.rs
@@ -1,10 +1,10 @@
-//! One log line, as instances write it and collectors pass it on.
+//! Parses log lines of instances, with the prefix that a log collector may add.
 
 use jiff::Timestamp;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// A line as instances write it.
+/// Line as an instance writes it, in JSON.
 #[derive(Deserialize)]
 struct JsonLine {
     timestamp: String,
@@ -13,28 +13,28 @@
     kvs: Map<String, Value>,
 }
 
-/// One fact of a line.
+/// Key and value of a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LogField {
     pub(super) name: String,
     pub(super) value: String,
 }
 
-/// A line that could be read.
+/// Parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LogLine {
-    /// When it was written, by the clock of its instance.
+    /// Timestamp, by the clock of the instance that wrote the line.
     pub(super) time: Timestamp,
-    /// Who wrote it: what the collector put before the line, or the name of the file.
+    /// Instance that wrote the line: the collector's prefix or, without one, the name of the file.
     pub(super) source: String,
     pub(super) message: String,
-    /// Sorted by name.
+    /// Fields, sorted by name.
     pub(super) fields: Vec<LogField>,
 }
 
 impl LogLine {
-    /// Reads a line; collectors may have put words before it, of which the last names the instance.
-    /// None if it is no line of an instance.
+    /// Parses a line. The last word of a collector's prefix names the instance. Returns `None` for
+    /// text that no instance wrote.
     pub(super) fn parse(text: &str, file: &str) -> Option<Self> {
         let start = text.find('{')?;
         let json: JsonLine = serde_json::from_str(text[start..].trim_end()).ok()?;
@@ -49,7 +49,8 @@
         })
     }
 
-    /// Whether another line tells of the same, ages apart, which differ between instances.
+    /// Whether another line reports the same event. Durations (`_ms`) are ignored, because they
+    /// differ between instances.
     pub(super) fn is_duplicate_of(&self, other: &Self) -> bool {
         let comparable_fields = |line: &Self| -> Vec<LogField> {
             line.fields.iter().filter(|field| !field.name.ends_with("_ms")).cloned().collect()
@@ -57,7 +58,7 @@
         self.message == other.message && comparable_fields(self) == comparable_fields(other)
     }
 
-    /// The value of a fact.
+    /// Returns the value of a field.
     pub(super) fn field(&self, name: &str) -> Option<&str> {
         let found = self.fields.binary_search_by(|field| field.name.as_str().cmp(name));
         found.ok().map(|index| self.fields[index].value.as_str())
--- a/crates/rudderctl/src/explain/mod.rs
+++ b/crates/rudderctl/src/explain/mod.rs
@@ -1,6 +1,6 @@
-//! What became of one request, from the log lines of all instances.
+//! Reports the outcome of one request from the log lines of all instances.
 //!
-//! Pure: lines come in as text, from wherever they were collected.
+//! Performs no I/O: the command passes in the collected lines as text.
 
 mod advice;
 mod line;
--- a/crates/rudderctl/src/explain/report.rs
+++ b/crates/rudderctl/src/explain/report.rs
@@ -1,4 +1,5 @@
-//! Puts the lines of one request in order, and names the one that decided it.
+//! Report on one request: its log lines in order of time, its outcome, and log lines about the
+//! state of its service and members at that time.
 
 use super::advice::meaning_of;
 use super::line::LogLine;
@@ -7,28 +8,29 @@
 use serde::Serialize;
 use std::fmt;
 
-/// How long before the request's first line changes of belief may have caused its end: a change of
-/// primary takes up to six seconds.
+/// Time before the request's first line from which other lines are included. A change of primary
+/// takes up to six seconds and may have caused the outcome.
 const CONTEXT_BEFORE: SignedDuration = SignedDuration::from_secs(6);
 
-/// How long after its last line: the next record of the primary tells what was kept.
+/// Time after the request's last line up to which other lines are included. The next record of the
+/// primary shows which changes were kept.
 const CONTEXT_AFTER: SignedDuration = SignedDuration::from_secs(3);
 
-/// Lines around a request that are shown; more would hide what matters.
+/// Maximum number of other lines shown; with more, the relevant ones are hard to find.
 const CONTEXT_LINES_MAX: usize = 24;
 
-/// Facts that name the request, or are shown elsewhere.
+/// Fields that are not printed with a line, because the report prints them elsewhere.
 const HIDDEN_FIELDS: [&str; 1] = ["request"];
 
-/// Why there is nothing to tell.
+/// Error of a report that cannot be made.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub(crate) enum ReportError {
     /// none of {lines} log lines names {id}: served unlogged, never received, or its instance died
     RequestNotFound {
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// Lines that could be read.
+        /// The number of lines that could be parsed.
         lines: usize,
     },
     /// there are no log lines of an instance in the input
@@ -37,15 +39,16 @@
 
 impl std::error::Error for ReportError {}
 
-/// A line as it is shown.
+/// Log line in the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct ReportLine {
     time: String,
     source: String,
-    /// Further instances that wrote the same.
+    /// Number of other instances that wrote the same line.
     #[serde(skip_serializing_if = "is_zero")]
     others: usize,
     message: String,
+    /// Fields of the line as `name=value`, without [`HIDDEN_FIELDS`].
     facts: String,
 }
 
@@ -54,16 +57,16 @@
     *count == 0
 }
 
-/// A line that several instances wrote.
+/// Log line that one or more instances wrote.
 struct MergedLine<'a> {
-    /// The first of them.
+    /// Earliest of the lines.
     first: &'a LogLine,
-    /// The other instances, sorted.
+    /// Other instances that wrote it, sorted.
     others: Vec<&'a str>,
 }
 
 impl<'a> MergedLine<'a> {
-    /// Takes in that an instance wrote it, too, or again.
+    /// Adds an instance that wrote the line; ignores repetitions.
     fn add_source(&mut self, source: &'a str) {
         if source == self.first.source {
             return;
@@ -74,22 +77,23 @@
     }
 }
 
-/// What became of a request.
+/// Report on the outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct RequestReport {
     request: String,
-    /// Its lines, in the order of their times.
+    /// Log lines of the request, in order of time.
     lines: Vec<ReportLine>,
-    /// Its end: the outcome, and the reason if the line gives one.
+    /// Outcome in the last line of the request.
     outcome: String,
+    /// Reason in the last line, if it gives one.
     reason: Option<String>,
-    /// What that means.
+    /// Explanation of the reason or, without one, of the outcome.
     meaning: Option<&'static str>,
-    /// What instances came to believe around that time, of the same service.
+    /// Lines about the state of the service and its members, from around the time of the request.
     around: Vec<ReportLine>,
 }
 
-/// Gathers the lines of a request, and those of what instances believed.
+/// Collects the lines of a request, and the lines that belong to no request.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportBuilder {
     request: String,
@@ -99,7 +103,7 @@
 }
 
 impl ReportBuilder {
-    /// Gathers for one request.
+    /// Creates a builder for one request.
     pub(crate) fn new(request: &str) -> Self {
         Self {
             request: request.to_owned(),
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Takes in one line of text; what is no line of an instance is passed over.
+    /// Adds one line of text; skips text that no instance wrote.
     pub(crate) fn add_line(&mut self, text: &str, file: &str) {
         let Some(line) = LogLine::parse(text, file) else { return };
         self.lines_read += 1;
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Tells what became of the request.
+    /// Builds the report.
     pub(crate) fn finish(mut self) -> Result<RequestReport, ReportError> {
         if self.lines_read == 0 {
             return Err(ReportError::NoLogLines);
@@ -139,7 +143,8 @@
         Ok(RequestReport { request: self.request, lines, outcome, reason, meaning, around })
     }
 
-    /// The beliefs of the request's service and of its instances, the latest ones if there are many.
+    /// Returns the other lines about the request's service, and those without a service from its
+    /// instances. If there are too many, the latest ones are returned.
     fn surrounding_lines(&self, from: Timestamp, to: Timestamp) -> Vec<ReportLine> {
         let service = self.request_lines.iter().find_map(|line| line.field("service"));
         let is_related = |line: &&LogLine| match (line.field("service"), service) {
@@ -167,7 +172,7 @@
         merged[skipped..].iter().map(report_line).collect()
     }
 
-    /// Whether a line is about a member that the request was sent to.
+    /// Whether a line names a member that the request was sent to.
     fn shares_member(&self, line: &LogLine) -> bool {
         let member = line.field("member");
         member.is_some() && self.request_lines.iter().any(|known| known.field("member") == member)
--- a/crates/rudderctl/src/explain/report/tests.rs
+++ b/crates/rudderctl/src/explain/report/tests.rs
@@ -1,6 +1,6 @@
 use super::{ReportBuilder, ReportError};
 
-/// A line as an instance writes it, behind the words of a collector.
+/// Returns a line as an instance writes it, behind a collector's prefix.
 fn line(second: u32, instance: &str, message: &str, facts: &str) -> String {
     format!(
         r#" {second}.5 {instance} {{"timestamp":"2026-04-14T22:09:{second:02}.5+00:00","level":"INFO","message":"{message}","kvs":{{{facts}}}}}"#
@@ -53,8 +53,8 @@
 
     let report = builder(&lines).finish().expect("the request is named").to_string();
 
-    let first = report.find("got no answer").expect("it is told");
-    let second = report.find("out of time").expect("it is told");
+    let first = report.find("got no answer").expect("it is reported");
+    let second = report.find("out of time").expect("it is reported");
     assert!(first < second);
     assert!(report.contains("outcome: timed_out"));
 }
--- a/crates/rudderctl/src/main.rs
+++ b/crates/rudderctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! Command-line tool for operators of arbutusrudder.
 
 mod address;
 mod arguments;
--- a/crates/rudderctl/src/options.rs
+++ b/crates/rudderctl/src/options.rs
@@ -1,4 +1,4 @@
-//! What the command line asks for, in checked types.
+//! Options of the commands, parsed and validated.
 
 use crate::output::OutputFormat;
 use rudder_core::{MemberName, ServiceName};
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A command and the form of its answer.
+/// Command and its output format.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlOptions {
     pub(crate) command: ControlCommand,
     pub(crate) format: OutputFormat,
 }
 
-/// A command with what it needs.
+/// Command with its options.
 #[derive(Clone, Debug)]
 pub(crate) enum ControlCommand {
     Check(CheckOptions),
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StatusOptions {
     pub(crate) platform: PlatformOptions,
-    /// Admin addresses of instances.
+    /// Admin addresses of instances to query.
     pub(crate) instances: Vec<SocketAddr>,
 }
 
@@ -68,14 +68,14 @@
     pub(crate) platform: PlatformOptions,
     pub(crate) service: ServiceName,
     pub(crate) target: MemberName,
-    /// How long to wait until the order was carried out; zero only orders.
+    /// Time to wait until the order is carried out; zero places the order without waiting.
     pub(crate) wait: Duration,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct ExplainOptions {
-    /// The id that the caller sent with the request.
+    /// Request id that the caller sent.
     pub(crate) request: String,
-    /// Files of log lines; none for standard input.
+    /// Log files; empty for standard input.
     pub(crate) logs: Vec<PathBuf>,
 }
--- a/crates/rudderctl/src/output.rs
+++ b/crates/rudderctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What a command says, as text or JSON, and the exit code that goes with it.
+//! Output of commands, as text or JSON, and their exit codes.
 
 use crate::error::CommandError;
 use serde::Serialize;
@@ -6,10 +6,10 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// How a command ended, for scripts.
+/// Result class of a command, which scripts read as exit code or JSON label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// Everything was done.
+    /// The command succeeded.
     Done,
     /// The settings or the order are refused; nothing was changed.
     Refused,
@@ -22,7 +22,7 @@
 }
 
 impl ExitStatus {
-    /// The code as the help documents it.
+    /// Returns the exit code that the help documents.
     pub(crate) const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -50,7 +50,7 @@
     }
 }
 
-/// In which form a command answers.
+/// Format of a command's output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
     Text,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a command found or did.
+/// Output of a command and its exit status.
 pub(crate) struct CommandReport {
     text: String,
     json: serde_json::Value,
@@ -71,19 +71,20 @@
 }
 
 impl CommandReport {
-    /// The report of a command that did everything.
+    /// Creates the report of a command that succeeded.
     pub(crate) fn done(report: &(impl Display + Serialize)) -> Self {
         let json = serde_json::to_value(report).expect("reports hold texts and numbers only");
         Self { text: report.to_string(), json, exit: ExitStatus::Done }
     }
 
-    /// The same report, of a command that ended otherwise.
+    /// Returns the report with another exit status.
     pub(crate) fn with_exit(self, exit: ExitStatus) -> Self {
         Self { exit, ..self }
     }
 }
 
-/// Prints what a command answered: reports to standard output, refusals as text to standard error.
+/// Prints a command's result: reports and JSON to standard output, errors in text form to standard
+/// error.
 pub(crate) fn print(
     result: &Result<CommandReport, CommandError>,
     format: OutputFormat,
--- a/crates/rudderctl/src/platform.rs
+++ b/crates/rudderctl/src/platform.rs
@@ -1,11 +1,11 @@
-//! What commands read from the platform.
+//! Reads the accepted settings from the platform.
 
 use crate::error::CommandError;
 use rudder_core::{MemberName, ServiceName};
 use rudder_settings::{FleetSettings, MemberSettings};
 use rudder_store::{KubeStore, PlatformStore, RevisionBundle, poll_revision};
 
-/// The accepted revision with its files.
+/// Reads the accepted revision with its files.
 pub(crate) async fn accepted_bundle(
     store: &dyn PlatformStore,
 ) -> Result<RevisionBundle, CommandError> {
@@ -13,7 +13,7 @@
     bundle.ok_or(CommandError::NothingAccepted)
 }
 
-/// A member of the accepted settings.
+/// Reads the settings of a member from the accepted revision.
 pub(crate) async fn accepted_member(
     store: &KubeStore,
     service: &ServiceName,
--- a/crates/rudderctl/src/run.rs
+++ b/crates/rudderctl/src/run.rs
@@ -1,10 +1,10 @@
-//! Runs a command and prints its answer.
+//! Runs a command and prints its result.
 
 use crate::command;
 use crate::options::{ControlCommand, ControlOptions};
 use crate::output::{ExitStatus, print};
 
-/// Runs what the options ask for.
+/// Runs the selected command.
 pub(crate) fn run(options: &ControlOptions) -> ExitStatus {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/rudderctl/tests/commands.rs
+++ b/crates/rudderctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands as an operator types them, against the platform's stand-in.
+//! Runs the built binary's commands against a stand-in of the platform.
 
 use rudder_standins::{PlatformFaults, PlatformOutage, PlatformStandin};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 connections = 1
 "#;
 
-/// What a command printed, and its exit code.
+/// Output and exit code of a command.
 struct CommandOutput {
     code: i32,
     stdout: String,
@@ -44,7 +44,7 @@
     PlatformStandin::start(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a free port")
 }
 
-/// A folder of its own for each test, with these files.
+/// Creates an empty folder for one test and writes the files into it.
 fn folder(test: &str, files: &[(&str, &str)]) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&folder);
@@ -59,7 +59,7 @@
     path.to_str().expect("the target folder has a plain name")
 }
 
-/// A platform that has accepted [`SERVICE`], and its address.
+/// Starts a platform that has accepted [`SERVICE`], and returns it with its address.
 async fn start_platform_with_settings(test: &str) -> (PlatformStandin, String) {
     let standin = start_platform().await;
     let url = standin.url();
@@ -69,7 +69,7 @@
     (standin, url)
 }
 
-/// Answers every connection at the returned address with this status page.
+/// Starts a server that responds to every connection with `page`, and returns its address.
 async fn status_page(page: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
@@ -134,8 +134,8 @@
     insta::assert_snapshot!(help.stdout);
 }
 
-/// Two operators fetch the same revision, change the same file and submit at the same moment. One
-/// is told that the other was first; without that, one change would vanish and both see success.
+/// Two operators fetch the same revision, change the same file and submit it concurrently. One
+/// submission is rejected; otherwise one change would be lost although both commands succeeded.
 #[tokio::test]
 async fn concurrent_submits_of_one_file_accept_one() {
     let (_standin, url) = start_platform_with_settings("race").await;
@@ -159,8 +159,9 @@
     );
 }
 
-/// Another operator adds a file meanwhile. The own, fetched folder lacks it and holds an older copy
-/// of everything else; submitting it must neither remove nor revert what others did.
+/// After a folder was fetched, another operator adds a file. Submitting the folder, which lacks
+/// that file and holds older copies of the others, must not remove or revert the other operator's
+/// changes.
 #[tokio::test]
 async fn fetched_folder_submits_only_its_own_changes() {
     let (_standin, url) = start_platform_with_settings("own").await;
@@ -179,8 +180,8 @@
     insta::assert_snapshot!(status.stdout);
 }
 
-/// An operator has edited a fetched file, another one changed it meanwhile and removed a second one.
-/// Fetching again must not overwrite the edit; once it is out of the way, the folder follows.
+/// An operator edits a fetched file; another one changes the same file and removes a second one.
+/// Fetching again must not overwrite the edit. After the edit is undone, fetching applies both.
 #[tokio::test]
 async fn fetch_overwrites_no_edits_and_drops_what_others_removed() {
     let (_standin, url) = start_platform_with_settings("fetch").await;
@@ -226,8 +227,8 @@
     assert_eq!(unknown.stderr, "service orders has no member x; it has orders-1, orders-2\n");
 }
 
-/// The order is placed and the answer is lost. The operator must learn that it stands, and a second
-/// order must not slip in beside it.
+/// The order is placed, but the response is lost. The command must report the order as placed, and
+/// a second order must be rejected.
 #[tokio::test]
 async fn switch_survives_a_lost_answer() {
     let (standin, url) = start_platform_with_settings("switch").await;
@@ -242,7 +243,8 @@
     assert_eq!(again.code, 1);
 }
 
-/// No keeper is there to carry the order out. It may still be, so "refused" would not be true.
+/// No keeper runs that could carry out the order. It may be carried out later, so the command must
+/// not report it as refused.
 #[tokio::test]
 async fn unfinished_order_is_an_unknown_outcome() {
     let (_standin, url) = start_platform_with_settings("stands").await;
--- a/crates/rudderctl/tests/in_force.rs
+++ b/crates/rudderctl/tests/in_force.rs
@@ -1,11 +1,11 @@
-//! Accepted settings at running proxies: in force everywhere, and never back.
+//! Distribution of accepted settings to running proxies: they reach all, and none reverts.
 
 use rudder_standins::{Deployment, DeploymentPlan, PlatformFaults, PlatformOutage};
 use std::time::Duration;
 
 const PROXY_COUNT: usize = 3;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A state that has not come after so many looks, a minute, would never come.
+/// Polls before a test fails because an expected state was not reached: one minute.
 const POLLS_MAX: usize = 3000;
 
 async fn deployment() -> Deployment {
@@ -23,16 +23,16 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("never came: {state}");
+    panic!("state not reached: {state}");
 }
 
 fn revisions(deployment: &Deployment) -> Vec<u64> {
     (0..deployment.proxies.len()).map(|index| deployment.proxy(index).revision()).collect()
 }
 
-/// The link between one proxy and the platform is cut, both ways and without a word. Settings that
-/// are accepted meanwhile must reach it all the same, or it goes on sending work to a member that
-/// an operator has drained.
+/// The link between one proxy and the platform fails silently in both directions. Settings that are
+/// accepted meanwhile must still reach the proxy, or it would keep sending work to a member that an
+/// operator has drained.
 #[tokio::test(flavor = "multi_thread")]
 async fn proxy_without_the_platform_gets_settings_from_its_peers() {
     let deployment = deployment().await;
@@ -43,8 +43,8 @@
     wait_until("revision 2 at every proxy", || revisions(&deployment) == [2; PROXY_COUNT]).await;
 }
 
-/// A proxy is replaced while the platform is down for everybody. It has no disk; without its peers
-/// it could serve nobody until the outage ends.
+/// A proxy is replaced while the platform is down. It has no disk, so without settings from its
+/// peers it could not serve callers until the outage ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn proxy_that_starts_in_an_outage_takes_settings_from_a_peer() {
     let mut deployment = deployment().await;
@@ -55,12 +55,12 @@
 
     let added_proxy = deployment.add_proxy().await.unwrap();
 
-    wait_until("revision 2 at the newcomer", || deployment.proxy(added_proxy).revision() == 2)
+    wait_until("revision 2 at the added proxy", || deployment.proxy(added_proxy).revision() == 2)
         .await;
 }
 
-/// An operator orders a switch and waits. The word "switched" must mean that the keepers made that
-/// member primary, not only that the order was written down.
+/// With `--wait`, the output "switched" must mean that the keepers made the member primary, not
+/// only that the order was stored.
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_command_waits_until_the_switch_is_done() {
     let deployment = deployment().await;
@@ -88,8 +88,8 @@
     folder.fleet.services[0].members.iter().map(|member| member.name.to_string()).collect()
 }
 
-/// The platform answers reads from a copy that is two submissions old, to all proxies and for
-/// several polls, and one more proxy starts from it. What operators replaced must not come back.
+/// The platform serves reads from a copy that is two submissions old, for several polls of all
+/// proxies and at the start of another one. No proxy may return to settings that were replaced.
 #[tokio::test(flavor = "multi_thread")]
 async fn old_copy_of_the_platform_reverts_no_proxy() {
     let mut deployment = deployment().await;
@@ -109,6 +109,6 @@
     .await;
 
     assert_eq!(revisions(&deployment)[..PROXY_COUNT], [3; PROXY_COUNT]);
-    wait_until("revision 3 at the newcomer", || deployment.proxy(added_proxy).revision() == 3)
+    wait_until("revision 3 at the added proxy", || deployment.proxy(added_proxy).revision() == 3)
         .await;
 }
