--- a/crates/rudderctl/src/address.rs
+++ b/crates/rudderctl/src/address.rs
@@ -24,13 +24,13 @@
     type Err = AddressError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refusal = || AddressError(text.to_owned());
-        let uri: http::Uri = text.parse().map_err(|_| refusal())?;
+        let address_error = || AddressError(text.to_owned());
+        let uri: http::Uri = text.parse().map_err(|_| address_error())?;
         let known_scheme = matches!(uri.scheme_str(), Some("http" | "https"));
         let no_path = matches!(uri.path(), "" | "/") && uri.query().is_none();
         if known_scheme && no_path && uri.authority().is_some() {
             return Ok(Self(text.to_owned()));
         }
-        Err(refusal())
+        Err(address_error())
     }
 }
--- a/crates/rudderctl/src/arguments.rs
+++ b/crates/rudderctl/src/arguments.rs
@@ -2,7 +2,7 @@
 
 use crate::address::PlatformAddress;
 use crate::options::{
-    CheckOptions, ControlCommand, ControlOptions, DrainOptions, ExplainOptions, FetchOptions,
+    CheckOptions, DrainOptions, ExplainOptions, FetchOptions, OperatorCommand, RunOptions,
     StatusOptions, SubmitOptions, SwitchOptions,
 };
 use crate::output::{ExitStatus, OutputFormat};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Parses the command line and prints help and usage errors.
-pub(crate) fn parse_command_line() -> Result<ControlOptions, ExitStatus> {
+pub(crate) fn parse_command_line() -> Result<RunOptions, ExitStatus> {
     let arguments: Vec<String> =
         std::env::args_os().map(|argument| argument.to_string_lossy().into_owned()).collect();
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -258,7 +258,7 @@
     PlatformOptions { address, namespace, ..PlatformOptions::default() }
 }
 
-impl From<CommandLine> for ControlOptions {
+impl From<CommandLine> for RunOptions {
     fn from(line: CommandLine) -> Self {
         let (command, json) = match line.command {
             CommandArguments::Check(arguments) => arguments.into(),
@@ -273,59 +273,62 @@
     }
 }
 
-impl From<CheckArguments> for (ControlCommand, bool) {
+impl From<CheckArguments> for (OperatorCommand, bool) {
     fn from(arguments: CheckArguments) -> Self {
         let options = CheckOptions { folder: arguments.folder, explain: arguments.explain };
-        (ControlCommand::Check(options), arguments.json)
+        (OperatorCommand::Check(options), arguments.json)
     }
 }
 
-impl From<SubmitArguments> for (ControlCommand, bool) {
+impl From<SubmitArguments> for (OperatorCommand, bool) {
     fn from(arguments: SubmitArguments) -> Self {
         let platform = platform_options(arguments.platform, arguments.namespace);
         let SubmitArguments { folder, remove, above, .. } = arguments;
-        (ControlCommand::Submit(SubmitOptions { folder, platform, remove, above }), arguments.json)
+        (OperatorCommand::Submit(SubmitOptions { folder, platform, remove, above }), arguments.json)
     }
 }
 
-impl From<FetchArguments> for (ControlCommand, bool) {
+impl From<FetchArguments> for (OperatorCommand, bool) {
     fn from(arguments: FetchArguments) -> Self {
         let platform = platform_options(arguments.platform, arguments.namespace);
-        (ControlCommand::Fetch(FetchOptions { folder: arguments.folder, platform }), arguments.json)
+        (
+            OperatorCommand::Fetch(FetchOptions { folder: arguments.folder, platform }),
+            arguments.json,
+        )
     }
 }
 
-impl From<StatusArguments> for (ControlCommand, bool) {
+impl From<StatusArguments> for (OperatorCommand, bool) {
     fn from(arguments: StatusArguments) -> Self {
         let platform = platform_options(arguments.platform, arguments.namespace);
         (
-            ControlCommand::Status(StatusOptions { platform, instances: arguments.admin }),
+            OperatorCommand::Status(StatusOptions { platform, instances: arguments.admin }),
             arguments.json,
         )
     }
 }
 
-impl From<DrainArguments> for (ControlCommand, bool) {
+impl From<DrainArguments> for (OperatorCommand, bool) {
     fn from(arguments: DrainArguments) -> Self {
         let platform = platform_options(arguments.platform, arguments.namespace);
         let DrainArguments { member, service, undo, .. } = arguments;
-        (ControlCommand::Drain(DrainOptions { platform, service, member, undo }), arguments.json)
+        (OperatorCommand::Drain(DrainOptions { platform, service, member, undo }), arguments.json)
     }
 }
 
-impl From<SwitchArguments> for (ControlCommand, bool) {
+impl From<SwitchArguments> for (OperatorCommand, bool) {
     fn from(arguments: SwitchArguments) -> Self {
         let platform = platform_options(arguments.platform, arguments.namespace);
         let wait = Duration::from_secs(arguments.wait);
         let options =
             SwitchOptions { platform, service: arguments.service, target: arguments.to, wait };
-        (ControlCommand::Switch(options), arguments.json)
+        (OperatorCommand::Switch(options), arguments.json)
     }
 }
 
-impl From<ExplainArguments> for (ControlCommand, bool) {
+impl From<ExplainArguments> for (OperatorCommand, bool) {
     fn from(arguments: ExplainArguments) -> Self {
         let options = ExplainOptions { request: arguments.request, logs: arguments.logs };
-        (ControlCommand::Explain(options), arguments.json)
+        (OperatorCommand::Explain(options), arguments.json)
     }
 }
--- a/crates/rudderctl/src/options.rs
+++ b/crates/rudderctl/src/options.rs
@@ -10,14 +10,14 @@
 
 /// Command and its output format.
 #[derive(Clone, Debug)]
-pub(crate) struct ControlOptions {
-    pub(crate) command: ControlCommand,
+pub(crate) struct RunOptions {
+    pub(crate) command: OperatorCommand,
     pub(crate) format: OutputFormat,
 }
 
 /// Command with its options.
 #[derive(Clone, Debug)]
-pub(crate) enum ControlCommand {
+pub(crate) enum OperatorCommand {
     Check(CheckOptions),
     Submit(SubmitOptions),
     Fetch(FetchOptions),
