--- a/crates/rudder-endpoint/src/connection.rs
+++ b/crates/rudder-endpoint/src/connection.rs
@@ -163,7 +163,8 @@
     /// [`ControlError`] when the member rejects the statement or the connection fails.
     pub async fn next_status(&mut self) -> Result<MemberStatus, ControlError> {
         let unreachable = |error: WireError| ControlError::Unreachable(error.to_string());
-        let mut outcome = Err(ControlError::Refused("the member answered no status".to_owned()));
+        let mut outcome =
+            Err(ControlError::Refused("the member returned no status row".to_owned()));
         loop {
             let frame = self.link.next_frame().await.map_err(unreachable)?;
             match frame.tag {
