--- a/crates/rudderctl/src/arguments.rs
+++ b/crates/rudderctl/src/arguments.rs
@@ -234,7 +234,7 @@
     example = "{command_name} 5c0e7a21d94b36f8 entry-1.log entry-2.log",
     example = "collect-logs --last 5m | {command_name} 5c0e7a21d94b36f8",
     note = "Lines are those of arbutusrudder --platform. Without files they are read from standard input.\n\
-        A word before a line names its instance, else the file does.",
+        The last word before a line's JSON names its instance; without one, the file name does.",
     error_code(1, "No line names the request, or a file cannot be read.")
 )]
 struct ExplainArguments {
--- a/crates/rudderctl/src/explain/advice.rs
+++ b/crates/rudderctl/src/explain/advice.rs
@@ -52,7 +52,7 @@
     },
     ReasonMeaning {
         reason: "the log lacks the position asked for",
-        meaning: "the member trails; another one was asked, or none was left in time",
+        meaning: "the member lags; another one was tried, or none was left in time",
     },
     ReasonMeaning {
         reason: "the primary cannot be reached",
@@ -73,8 +73,7 @@
     },
     ReasonMeaning {
         reason: "timed_out",
-        meaning: "members were tried until the time of the statement was over; a read ran nowhere to \
-                  its end",
+        meaning: "members were tried until the statement timed out; a read was completed by no member",
     },
     ReasonMeaning {
         reason: "too much work is waiting",
