--- a/crates/rudder-standins/src/group/handle.rs
+++ b/crates/rudder-standins/src/group/handle.rs
@@ -1,4 +1,4 @@
-//! The handle on a running group.
+//! Handle of a running database group: start, status, control statements and injected faults.
 
 use super::knob::{KnobCommand, MemberKnob};
 use super::member::{GroupMember, GroupShared};
@@ -17,10 +17,10 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// How often a restarted member tries to listen on its address again.
+/// Interval at which a restarted member retries to bind its address.
 const LISTEN_RETRY: Duration = Duration::from_millis(10);
 
-/// A database group of several members, served from this process over loopback or any network.
+/// Database group of several members that run in this process and listen on TCP.
 ///
 /// The group stops when the handle is dropped.
 #[derive(Debug)]
@@ -31,13 +31,13 @@
 }
 
 impl GroupStandin {
-    /// Starts all members. The first one is primary at term 1, the others follow it.
+    /// Starts all members. The first one is the primary of term 1; the others replicate from it.
     ///
     /// Must be called from within a tokio runtime.
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on, or there is no member.
+    /// Fails if an address cannot be bound or the settings name no member.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -78,7 +78,7 @@
         Ok(Self { service: settings.service, members, shared })
     }
 
-    /// The service that the group belongs to.
+    /// Returns the service that the group belongs to.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -93,7 +93,7 @@
         &self.service
     }
 
-    /// The members' names with the addresses that they listen on.
+    /// Returns the members' names and listen addresses.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -107,11 +107,12 @@
         self.members.iter().map(|member| (&member.name, member.address))
     }
 
-    /// A member's report, read without its network or slots.
+    /// Returns a member's status without a network connection or a slot, so also if the member is
+    /// killed or frozen.
     ///
     /// # Errors
     ///
-    /// No member has this name.
+    /// Fails if no member has this name.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -125,11 +126,11 @@
         Ok(find(&self.members, member)?.status())
     }
 
-    /// Runs a control statement on a member, as if it had come over the network.
+    /// Runs a control statement on a member, as if it had been received over the network.
     ///
     /// # Errors
     ///
-    /// No member has this name, or it refuses the statement.
+    /// Fails if no member has this name or the member rejects the statement.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -150,11 +151,11 @@
         member.control(statement).map_err(|error| GroupError::Refused(error.to_string()))
     }
 
-    /// Turns a knob of a member.
+    /// Changes a member's behaviour, for example to inject a fault.
     ///
     /// # Errors
     ///
-    /// No member has this name.
+    /// Fails if no member has this name.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -215,7 +216,7 @@
     member.shared.touch();
 }
 
-/// Turns a knob that came as a statement.
+/// Applies a knob that was received as an SQL statement.
 pub(crate) fn turn_by_sql(
     members: &Arc<[Arc<GroupMember>]>,
     receiver: &Arc<GroupMember>,
@@ -231,7 +232,7 @@
     Ok(())
 }
 
-/// Accepts a member's connections for as long as it lives.
+/// Accepts a member's connections until the member is killed or the group stops.
 async fn listen(
     members: Arc<[Arc<GroupMember>]>,
     index: usize,
@@ -247,7 +248,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // Without this, small answers wait for the client's acknowledgements.
+                    // With Nagle's algorithm, small responses wait for the client's TCP
+                    // acknowledgements.
                     if stream.set_nodelay(true).is_ok() {
                         let client = ClientStream::new(Arc::clone(&member), stream, life.clone());
                         spawn_connection(&members, &member, client, life.clone());
@@ -286,7 +288,7 @@
         tokio::select! {
             biased;
             () = life.cancelled() => {}
-            // A client that vanishes is an everyday matter.
+            // A lost client connection is not an error of the member.
             _ = serving => {}
         }
     });
--- a/crates/rudder-standins/src/group/knob.rs
+++ b/crates/rudder-standins/src/group/knob.rs
@@ -1,55 +1,56 @@
-//! The knobs by which tests and measurements bring about faults.
+//! Runtime changes of a member's behaviour, by which tests and measurements inject faults.
 
 use rudder_core::{ConnectionCount, MemberName, MemberSpeed, SlotCount};
 use std::time::Duration;
 
-/// How the service times of statements are spread around their mean.
+/// Distribution of the service times of statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceSpread {
-    /// Every statement takes the mean.
+    /// Every statement takes the mean time.
     Fixed,
-    /// Exponential, from the group's seeded generator.
+    /// Exponential distribution, drawn from the member's seeded generator.
     Exponential,
 }
 
-/// One change of a member's behaviour.
+/// Change of a member's behaviour.
 ///
-/// Each can be turned on any member by SQL too, as `SELECT standin.lag(200)` for the member that
-/// receives the statement or `SELECT standin.lag('orders-2', 200)` for another one. Times are in
-/// milliseconds and may have a fraction. A killed or frozen member is reached by way of another.
+/// Each change can also be made by SQL: `SELECT standin.lag(200)` changes the member that receives
+/// the statement, `SELECT standin.lag('orders-2', 200)` another member. Times are in milliseconds
+/// and may have a fraction. Send the statement to another member if the target is killed or frozen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberKnob {
-    /// Entries are applied this long after they were received: `lag(ms)`.
+    /// Delay between receiving an entry and applying it: `lag(ms)`.
     ApplyLag(Duration),
-    /// Entries are received this long after they were appended: `link(ms)`.
+    /// Delay between the primary's append of an entry and its receipt: `link(ms)`.
     LinkDelay(Duration),
     /// Stops (true) or resumes (false) receiving entries: `pause()`, `resume()`.
     Paused(bool),
-    /// Closes the listener and resets all connections; log and accepted term last: `kill()`.
+    /// Closes the listener and resets all connections; the log and the accepted term are kept:
+    /// `kill()`.
     Kill,
-    /// Brings a killed member back as a replica that follows nobody: `restart()`.
+    /// Restarts a killed member as a replica without a source of entries: `restart()`.
     Restart,
-    /// Stops (true) or resumes (false) answering; connections stay accepted: `freeze()`,
-    /// `thaw()`.
+    /// Stops (true) or resumes (false) all responses; connections are still accepted:
+    /// `freeze()`, `thaw()`.
     Frozen(bool),
-    /// Cuts (true) or heals (false) replication with all other members, both ways: `cut()`,
-    /// `heal()`.
+    /// Interrupts (true) or restores (false) replication with all other members, in both
+    /// directions: `cut()`, `heal()`.
     Cut(bool),
-    /// Speed of the hardware, by which service times are divided: `speed(percent)`.
+    /// Hardware speed, by which service times are divided: `speed(percent)`.
     Speed(MemberSpeed),
-    /// Mean service time of a statement at full speed, and its spread: `service_time(ms)`,
+    /// Mean service time of a statement at full speed, and its distribution: `service_time(ms)`,
     /// `service_time(ms, 'exponential')`.
     ServiceTime(Duration, ServiceSpread),
-    /// How many statements run at the same time, of those that come from now on:
+    /// Maximum number of concurrent statements, for statements received from now on:
     /// `slots(count)`.
     Slots(SlotCount),
-    /// How many connections are accepted: `connections(count)`.
+    /// Maximum number of connections: `connections(count)`.
     Connections(ConnectionCount),
-    /// How long a new connection takes: `connect_time(ms)`.
+    /// Time that it takes to open a connection: `connect_time(ms)`.
     ConnectTime(Duration),
 }
 
-/// A knob turned by SQL: the member that received the statement, unless one is named.
+/// Knob set by SQL. Without a name it applies to the member that received the statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KnobCommand {
     pub(crate) member: Option<MemberName>,
--- a/crates/rudder-standins/src/group/log.rs
+++ b/crates/rudder-standins/src/group/log.rs
@@ -1,4 +1,4 @@
-//! A member's replication log and the tables that result from it.
+//! Replication log of a member, and the tables that result from applying it.
 
 use crate::group::tables::database::{GroupDatabase, RowEffect};
 use rudder_core::{LogStamp, LogTerm};
@@ -6,19 +6,20 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// A snapshot is kept at every so many entries, so that un-applying replays few of them.
+/// Number of applied entries between two snapshots of the tables. A truncation restores the last
+/// snapshot and replays the entries after it, so this bounds the number of replayed entries.
 const CHECKPOINT_ENTRIES: usize = 1024;
 
-/// One committed transaction, or the empty entry of a promotion.
+/// One committed transaction, or the empty entry that a promotion appends.
 #[derive(Debug)]
 pub(crate) struct LogEntry {
     pub(crate) stamp: LogStamp,
     pub(crate) effects: Vec<RowEffect>,
-    /// When the primary appended it.
+    /// Time at which the primary appended the entry.
     pub(crate) appended: Instant,
 }
 
-/// The entries that a member holds, and the tables as far as they are applied.
+/// Log entries of a member, and the tables as of the last applied entry.
 ///
 /// Positions start at 1, so the entry at position p has index p - 1.
 #[derive(Debug, Default)]
@@ -27,27 +28,27 @@
     applied: usize,
     database: GroupDatabase,
     checkpoints: Vec<(usize, GroupDatabase)>,
-    /// When each entry that is not applied yet was received.
+    /// Receipt times of the entries that are not applied yet.
     waiting: VecDeque<Instant>,
 }
 
 impl MemberLog {
-    /// The stamp of the last entry.
+    /// Returns the stamp of the last entry.
     pub(crate) fn received(&self) -> LogStamp {
         self.stamp_at(self.entries.len())
     }
 
-    /// The stamp of the last entry that the tables show.
+    /// Returns the stamp of the last applied entry.
     pub(crate) fn applied(&self) -> LogStamp {
         self.stamp_at(self.applied)
     }
 
-    /// How many entries the log holds.
+    /// Returns the number of entries in the log.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The tables as applied.
+    /// Returns the tables as of the last applied entry.
     pub(crate) fn database(&self) -> &GroupDatabase {
         &self.database
     }
@@ -58,7 +59,7 @@
         self.entries.get(from..end).unwrap_or_default()
     }
 
-    /// The stamp of the last of the first `count` entries.
+    /// Returns the stamp of the last of the first `count` entries.
     pub(crate) fn stamp_at(&self, count: usize) -> LogStamp {
         match count.checked_sub(1).and_then(|index| self.entries.get(index)) {
             Some(entry) => entry.stamp,
@@ -66,17 +67,18 @@
         }
     }
 
-    /// How many leading entries this log shares with `other`.
+    /// Returns the length of the common prefix of this log and `other`.
     ///
-    /// A term has one primary, which gives each position once; so logs that agree on the stamp
-    /// of one entry agree on all before it, and the search may go from the end.
+    /// A term has only one primary, which assigns each position once. Logs that agree on the stamp
+    /// of one entry therefore agree on all entries before it, so the search starts at the end.
     pub(crate) fn shared_with(&self, other: &MemberLog) -> usize {
         let shorter = self.entries.len().min(other.entries.len());
         let agree = |count: &usize| self.stamp_at(*count) == other.stamp_at(*count);
         (0..=shorter).rev().find(agree).unwrap_or(0)
     }
 
-    /// Appends and applies the primary's own entry; `database` is the result, if already known.
+    /// Appends and applies an entry on the primary. `database` holds the tables after the entry, if
+    /// the caller has computed them.
     pub(crate) fn append_own(
         &mut self,
         term: LogTerm,
@@ -95,18 +97,18 @@
         stamp
     }
 
-    /// Appends an entry of the primary, to be applied later.
+    /// Appends an entry fetched from another member, to be applied later.
     pub(crate) fn receive(&mut self, entry: Arc<LogEntry>, now: Instant) {
         self.entries.push(entry);
         self.waiting.push_back(now);
     }
 
-    /// When the next entry that waits for its application was received.
+    /// Returns the receipt time of the next entry to apply.
     pub(crate) fn next_waiting(&self) -> Option<Instant> {
         self.waiting.front().copied()
     }
 
-    /// Applies the next entry, if one waits.
+    /// Applies the next entry that is not applied yet, if any.
     pub(crate) fn apply_next(&mut self) {
         if self.waiting.pop_front().is_none() {
             return;
@@ -116,14 +118,14 @@
         self.keep_checkpoint();
     }
 
-    /// Applies everything received, as a promotion does before it opens for writes.
+    /// Applies all received entries, as a promotion does before the member accepts writes.
     pub(crate) fn apply_all(&mut self) {
         while !self.waiting.is_empty() {
             self.apply_next();
         }
     }
 
-    /// Drops all entries after the first `count` and un-applies them.
+    /// Removes all entries after the first `count` and reverts their effects.
     pub(crate) fn truncate(&mut self, count: usize) {
         self.entries.truncate(count);
         if self.applied <= count {
--- a/crates/rudder-standins/src/group/member.rs
+++ b/crates/rudder-standins/src/group/member.rs
@@ -1,4 +1,4 @@
-//! One member of the group, as its sessions and its replication share it.
+//! One member of the group, shared by its client sessions and its replication task.
 
 use super::knob::MemberKnob;
 use super::settings::{GroupSettings, MemberSettings};
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Delays and faults of a member's replication.
+/// Delays and injected faults of a member's replication.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicationKnobs {
     pub(crate) apply_lag: Duration,
@@ -24,21 +24,21 @@
     pub(crate) cut: bool,
 }
 
-/// What all members of a group share.
+/// Data shared by all members of a group.
 #[derive(Debug)]
 pub(crate) struct GroupShared {
-    /// Grows with every change that replication may have to act on.
+    /// Counts the changes that replication tasks may have to act on.
     pub(crate) activity: watch::Sender<u64>,
     pub(crate) cache: PlanCache,
     pub(crate) sequence: Arc<AtomicI64>,
     pub(crate) next_pid: AtomicI32,
     pub(crate) password: Option<String>,
-    /// Ends every task of the group.
+    /// Stops every task of the group.
     pub(crate) stop: CancellationToken,
 }
 
 impl GroupShared {
-    /// What a fresh group shares.
+    /// Creates the shared data of a new group.
     pub(crate) fn new(password: Option<String>) -> Self {
         Self {
             activity: watch::Sender::new(0),
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Tells replication that something changed.
+    /// Wakes the replication tasks of all members after a change.
     pub(crate) fn touch(&self) {
         self.activity.send_modify(|count| *count = count.wrapping_add(1));
     }
 }
 
-/// One member.
+/// One member of a database group.
 #[derive(Debug)]
 pub(crate) struct GroupMember {
     pub(crate) name: MemberName,
@@ -71,12 +71,12 @@
     connect_time: Mutex<Duration>,
     frozen: AtomicBool,
     thawed: watch::Sender<bool>,
-    /// Ends when the member is killed; `None` while it is down.
+    /// Cancelled when the member is killed; `None` while it is down.
     life: Mutex<Option<CancellationToken>>,
 }
 
 impl GroupMember {
-    /// A member that is not started yet.
+    /// Creates a member that is not started yet.
     pub(crate) fn new(
         settings: &MemberSettings,
         group: &GroupSettings,
@@ -109,17 +109,17 @@
         }
     }
 
-    /// The member's report.
+    /// Returns the member's status.
     pub(crate) fn status(&self) -> MemberStatus {
         lock(&self.state).status()
     }
 
-    /// Whether the member is a replica.
+    /// Returns whether the member is a replica.
     pub(crate) fn is_replica(&self) -> bool {
         matches!(lock(&self.state).role, GroupRole::Replica(_))
     }
 
-    /// Runs a control statement and answers the status after its effect.
+    /// Runs a control statement and returns the member's status after it.
     pub(crate) fn control(&self, statement: &ControlStatement) -> Result<MemberStatus, SqlError> {
         let status = {
             let mut state = lock(&self.state);
@@ -144,7 +144,7 @@
         Ok(status)
     }
 
-    /// Commits a transaction.
+    /// Commits a transaction and wakes replication if it changed data.
     pub(crate) fn commit(
         &self,
         transaction: crate::group::tables::transaction::OpenTransaction,
@@ -157,32 +157,33 @@
         Ok(stamp)
     }
 
-    /// How long a new connection takes.
+    /// Returns the time that it takes to open a connection.
     pub(crate) fn connect_time(&self) -> Duration {
         *lock(&self.connect_time)
     }
 
-    /// Whether the member answers nothing at present.
+    /// Returns whether the member currently sends no responses.
     pub(crate) fn is_frozen(&self) -> bool {
         self.frozen.load(Ordering::Acquire)
     }
 
-    /// Waits until the member is not frozen.
+    /// Waits while the member is frozen.
     pub(crate) async fn wait_thawed(&self) {
         if !self.is_frozen() {
             return;
         }
         let mut thawed = self.thawed.subscribe();
-        // The sender lives as long as the member, so the wait ends by a thaw only.
+        // The member owns the sender, so the channel cannot close during the wait.
         let _ = thawed.wait_for(|thawed| *thawed).await;
     }
 
-    /// Whether the member is up.
+    /// Returns whether the member is running.
     pub(crate) fn is_alive(&self) -> bool {
         lock(&self.life).is_some()
     }
 
-    /// Marks the member as up; the token ends when it is killed.
+    /// Marks the member as running and returns a token that is cancelled when it is killed; `None`
+    /// if it is already running.
     pub(crate) fn begin_life(&self) -> Option<CancellationToken> {
         let mut life = lock(&self.life);
         if life.is_some() {
@@ -193,7 +194,7 @@
         Some(token)
     }
 
-    /// Ends the member's listener and connections.
+    /// Stops the member's listener and connections.
     pub(crate) fn end_life(&self) {
         if let Some(token) = lock(&self.life).take() {
             token.cancel();
@@ -201,7 +202,7 @@
         self.shared.touch();
     }
 
-    /// Turns a knob that needs no task to be started or ended.
+    /// Applies a knob that neither starts nor stops tasks.
     pub(crate) fn turn(&self, knob: &MemberKnob) {
         log::info!(target: "rudder::standins", member:% = self.name, knob:? = knob; "knob turned");
         match knob {
--- a/crates/rudder-standins/src/group/mod.rs
+++ b/crates/rudder-standins/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a database group: members with terms, a replication log and slots, which speak
-//! PostgreSQL 3.0.
+//! In-process simulator of a replicated database group. Its members have terms, a replication log
+//! and execution slots, and serve the PostgreSQL 3.0 protocol.
 
 mod handle;
 mod knob;
--- a/crates/rudder-standins/src/group/replication.rs
+++ b/crates/rudder-standins/src/group/replication.rs
@@ -1,4 +1,5 @@
-//! Asynchronous replication: one task per member pulls entries and applies them.
+//! Asynchronous replication: one task per member fetches log entries from the member that it
+//! follows and applies them.
 
 use super::log::LogEntry;
 use super::member::{GroupMember, ReplicationKnobs};
@@ -12,31 +13,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Entries taken from the leader at a time.
+/// Maximum number of entries fetched from the leader at a time.
 const FETCH_ENTRIES: usize = 512;
 
-/// Whom a member takes entries from, and under which term.
+/// Member from which entries are fetched, and the term under which they are fetched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FollowKey {
     term: LogTerm,
     leader: MemberName,
 }
 
-/// What travels from the leader to the follower.
+/// Message in flight from the leader to a follower.
 #[derive(Debug)]
 enum FlightItem {
-    /// The log matches the leader's up to so many entries; later ones go.
+    /// Removes all entries after this many, which are the common prefix with the leader's log.
     Truncate(usize),
-    /// The entry that comes after the one with stamp `previous`.
+    /// Entry that directly follows the one with the stamp `previous`.
     Entry { previous: LogStamp, entry: Arc<LogEntry> },
 }
 
-/// The entries on their way to one follower.
+/// Messages in flight to one follower.
 #[derive(Debug, Default)]
 struct EntryFlight {
     key: Option<FollowKey>,
     items: VecDeque<(Instant, FlightItem)>,
-    /// How many entries of the leader's log were sent, once the logs were matched.
+    /// Number of entries of the leader's log that were sent; `None` until the common prefix of the
+    /// two logs is known.
     sent: Option<usize>,
     last_due: Option<Instant>,
 }
@@ -46,7 +48,8 @@
         *self = Self { key, ..Self::default() };
     }
 
-    /// Adds an item, in order though the link delay may have shrunk.
+    /// Adds an item that is due no earlier than the one before it, also if the link delay was
+    /// reduced in the meantime.
     fn push(&mut self, due: Instant, item: FlightItem) {
         let due = self.last_due.map_or(due, |last| last.max(due));
         self.last_due = Some(due);
@@ -54,7 +57,7 @@
     }
 }
 
-/// Keeps a member's log up to date until the group stops.
+/// Replicates to a member until the group stops.
 pub(crate) async fn replicate(members: Arc<[Arc<GroupMember>]>, index: usize) {
     let member = &members[index];
     let stop = member.shared.stop.clone();
@@ -77,7 +80,7 @@
     }
 }
 
-/// Does all that is due and tells when the next is.
+/// Performs all due work and returns the time at which the next work is due.
 fn step(
     members: &[Arc<GroupMember>],
     index: usize,
@@ -103,7 +106,7 @@
     next_apply.into_iter().chain(next_item).min()
 }
 
-/// Sends new entries on their way; tells whether the leader has more than fit.
+/// Puts new entries in flight; returns whether the leader may have more than `FETCH_ENTRIES`.
 fn fetch(
     members: &[Arc<GroupMember>],
     index: usize,
@@ -119,7 +122,8 @@
     let Some(key) = key else { return false };
     let Some(leader) = members.iter().find(|other| other.name == key.leader) else { return false };
     if knobs.cut || lock(&leader.replication).cut {
-        // What travels over a cut link is lost, and so is the connection: match again.
+        // An interrupted link loses the messages in flight and the connection, so the common
+        // prefix has to be determined again.
         flight.reset(Some(key));
         return false;
     }
@@ -130,8 +134,8 @@
         return true;
     }
     let (own, leading) = lock_both(member, leader);
-    // Guards against a superseded primary that still pushes: entries are taken only from a
-    // member whose accepted term is the follower's own.
+    // A superseded primary may still have new entries. Entries are fetched only from a member
+    // whose accepted term equals the follower's.
     if !leading.ships(key.term) {
         return false;
     }
@@ -166,8 +170,8 @@
     }
 }
 
-/// Locks two members' states in the order of their names, so that two followers of each other
-/// cannot wait for each other for good.
+/// Locks the states of two members in the order of their names, so that two members that follow
+/// each other cannot deadlock.
 fn lock_both<'a>(
     own: &'a GroupMember,
     other: &'a GroupMember,
@@ -186,8 +190,8 @@
         return;
     }
     let mut state = lock(&member.state);
-    // Guards against entries that were on their way when the member accepted a greater term:
-    // its report was given under the new term and must not change by an older primary's hand.
+    // Entries in flight when the member accepted a greater term are dropped: the member has
+    // reported its status under the new term, and an older primary must not change it afterwards.
     if follow_key(&state) != flight.key {
         flight.reset(None);
         return;
--- a/crates/rudder-standins/src/group/replication/tests.rs
+++ b/crates/rudder-standins/src/group/replication/tests.rs
@@ -1,4 +1,4 @@
-//! Replication step by step, with times of the tests' own.
+//! Tests of single replication steps at explicit times.
 
 use super::{EntryFlight, deliver, step};
 use crate::group::member::{GroupMember, GroupShared};
@@ -15,7 +15,7 @@
 
 mod succession;
 
-/// A primary and two replicas that are alive but have no listeners.
+/// Creates a primary and two replicas that are running but have no listeners.
 fn members() -> Vec<Arc<GroupMember>> {
     let mut settings = GroupSettings::loopback("orders".parse().unwrap());
     settings.link_delay = LINK_DELAY;
@@ -64,9 +64,9 @@
     assert_eq!(members[1].status().applied, LogStamp::new(1, 1));
 }
 
-/// An entry is on its way when its receiver accepts a greater term and reports that it has
-/// nothing. If the entry still arrived, its writer could count it as held by a majority though
-/// the promotion that asked has not seen it.
+/// A receiver that accepts a greater term reports an empty log while an entry is in flight. If the
+/// entry still arrived, its writer could count it as replicated to a majority although the
+/// promotion that polled this status has not seen it.
 #[test]
 fn entries_in_flight_do_not_outlive_a_fence() {
     let members = members();
@@ -82,8 +82,8 @@
     assert_eq!(received(&members[1]), LogStamp::default());
 }
 
-/// A primary is superseded but goes on, and a member that accepted the new term still names it
-/// as the one to follow. Nothing may be taken from it under that term.
+/// A member that accepted a new term still follows the superseded primary of the old term, which
+/// continues to append. The member must not fetch these entries under the new term.
 #[test]
 fn a_superseded_primary_cannot_push() {
     let members = members();
@@ -114,8 +114,8 @@
     assert_eq!(received(&members[1]), LogStamp::new(1, 1));
 }
 
-/// A follower is far behind, by more entries than are taken at a time. It must get all of them,
-/// also while nothing new happens at the primary.
+/// A follower that lags by more entries than one fetch returns must receive all of them, even if
+/// the primary appends nothing new.
 #[test]
 fn a_follower_catches_up_in_several_parts() {
     let members = members();
@@ -134,8 +134,8 @@
     assert_eq!(members[1].status().applied, LogStamp::new(1, entries));
 }
 
-/// Un-applying goes back over a kept snapshot: a follower that applied many entries of a lost
-/// primary must show the tables as of the last entry it shares with its new leader.
+/// A follower that applied many entries of a lost primary must revert its tables to the last entry
+/// in common with its new leader. The truncation restores a snapshot and replays from there.
 #[test]
 fn truncation_returns_to_the_shared_entry() {
     let members = members();
--- a/crates/rudder-standins/src/group/replication/tests/succession.rs
+++ b/crates/rudder-standins/src/group/replication/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Random schedules of commits, faults and competing promotions: no acknowledged entry is lost.
+//! Random schedules of commits, faults and concurrent promotions must keep acknowledged entries.
 
 use super::{append, lock, members, step};
 use crate::group::member::GroupMember;
@@ -16,13 +16,13 @@
 const SEEDS: u64 = 200;
 const OPERATIONS: usize = 600;
 
-/// A commit with the reports that were asked for after it.
+/// Commit that waits for acknowledgement, and the member statuses polled after it.
 struct PendingCommit {
     stamp: LogStamp,
     reports: Vec<(MemberName, MemberStatus)>,
 }
 
-/// Someone who carries out a promotion, one step at a time.
+/// Promotion in progress, carried out one step at a time.
 struct Promoter {
     term: LogTerm,
     fenced: Vec<(usize, MemberStatus)>,
@@ -91,7 +91,7 @@
         step(&self.members, index, &mut self.flights[index], self.now);
     }
 
-    /// One member's report reaches everybody who waits for an acknowledgement.
+    /// Polls one member's status for all commits that wait for an acknowledgement.
     fn ask_report(&mut self) {
         let index = self.any_member();
         let member = Arc::clone(&self.members[index]);
@@ -120,7 +120,7 @@
         self.promoters.push(Promoter { term, fenced: Vec::new(), leader: None });
     }
 
-    /// Takes the next step of a promotion; a refusal ends it.
+    /// Runs the next step of a promotion; a rejected control statement aborts it.
     fn advance_promotion(&mut self) {
         if self.promoters.is_empty() {
             return;
@@ -172,7 +172,7 @@
         self.members[index].control(&follow).is_ok()
     }
 
-    /// The log of a new primary holds everything that was ever acknowledged.
+    /// Checks that the log of a new primary contains every acknowledged entry.
     fn check_kept(&self, leader: usize) {
         let state = lock(&self.members[leader].state);
         for stamp in &self.acknowledged {
@@ -183,8 +183,8 @@
     }
 }
 
-/// Callers are told that a write is done. Then the primary is cut off, others are promoted, some
-/// promotions compete and some stop half-way. The write must be in the log of each new primary.
+/// After a write was acknowledged, links are interrupted and other members are promoted; some
+/// promotions run concurrently and some abort. Each new primary must have the write in its log.
 #[test]
 fn acknowledged_entries_survive_every_promotion() {
     let mut acknowledged = 0;
@@ -198,6 +198,6 @@
         promotions += schedule.promotions;
     }
 
-    // Schedules in which nothing happened would prove nothing.
+    // Ensures that the schedules acknowledged entries and completed promotions.
     assert!(acknowledged > 1000 && promotions > 500, "{acknowledged} {promotions}");
 }
--- a/crates/rudder-standins/src/group/settings.rs
+++ b/crates/rudder-standins/src/group/settings.rs
@@ -1,4 +1,4 @@
-//! The settings with which a group starts.
+//! Settings with which a group starts.
 
 use super::knob::ServiceSpread;
 use rudder_core::{ConnectionCount, MemberName, MemberSpeed, ServiceName, SlotCount};
@@ -6,56 +6,56 @@
 use std::time::Duration;
 
 rudder_core::plain_data! {
-    /// One member of a group.
+    /// Settings of one member.
     pub struct MemberSettings {
-        /// Its name, by which it is followed.
+        /// Name of the member, as in `follow` control statements.
         pub name: MemberName,
-        /// Where it listens; port 0 takes a free one.
+        /// Listen address; port 0 selects a free port.
         pub listen: SocketAddr,
-        /// Speed of its hardware.
+        /// Speed of the member's hardware.
         pub speed: MemberSpeed,
     }
 }
 
 rudder_core::plain_data! {
-    /// A group and what its members cost.
+    /// Members of a group, and the capacity and delays of each member.
     pub struct GroupSettings {
         /// The service that the group belongs to.
         pub service: ServiceName,
         /// The members; the first one is primary at term 1.
         pub members: Vec<MemberSettings>,
-        /// How many statements a member runs at the same time.
+        /// Maximum number of concurrent statements of a member.
         pub slots: SlotCount,
-        /// How many connections a member accepts.
+        /// Maximum number of connections of a member.
         pub connections: ConnectionCount,
         /// Mean service time of a statement that reads or changes data, at full speed.
         pub service_time: Duration,
-        /// How service times spread around the mean.
+        /// Distribution of service times.
         pub spread: ServiceSpread,
-        /// How long a new connection takes.
+        /// Time that it takes to open a connection.
         pub connect_time: Duration,
-        /// How long an entry travels to a replica.
+        /// Delay between the primary's append of an entry and its receipt by a replica.
         pub link_delay: Duration,
-        /// How long a received entry waits before a replica applies it.
+        /// Delay between receiving an entry and applying it on a replica.
         pub apply_lag: Duration,
-        /// Seed of the service times.
+        /// Seed of the random service times.
         pub seed: u64,
-        /// Password that callers must prove by SCRAM; none means that all are trusted.
+        /// Password for SCRAM authentication; `None` accepts callers without authentication.
         pub password: Option<String>,
     }
 }
 
-/// Speed of the reference member.
+/// Hardware speed of the reference member, in percent.
 const FULL_SPEED: MemberSpeed = MemberSpeed(100);
 
-/// Slots of a member unless given.
+/// Default number of slots of a member.
 const DEFAULT_SLOTS: SlotCount = SlotCount(5);
 
-/// Connections of a member unless given.
+/// Default maximum number of connections of a member.
 const DEFAULT_CONNECTIONS: ConnectionCount = ConnectionCount(1000);
 
 impl GroupSettings {
-    /// A group of members that listen on the given addresses, without delays of any kind.
+    /// Creates settings for members that listen on the given addresses, with all delays zero.
     ///
     /// Members are named after the service: `scores-orders-1` and so on.
     ///
@@ -71,7 +71,8 @@
             .iter()
             .enumerate()
             .filter_map(|(index, listen)| {
-                // A service name of nearly the greatest length leaves no room for the number.
+                // A service name near the maximum length leaves no room for the number; such a
+                // member is left out.
                 let name = format!("{service}-{}", index + 1).parse().ok()?;
                 Some(MemberSettings { name, listen: *listen, speed: FULL_SPEED })
             })
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A group of three members on free loopback ports.
+    /// Creates settings for three members on free loopback ports.
     ///
     /// ```
     /// let settings = rudder_standins::GroupSettings::loopback("orders".parse()?);
--- a/crates/rudder-standins/src/group/slots.rs
+++ b/crates/rudder-standins/src/group/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a member, and the time that statements occupy them.
+//! Execution slots of a member, and the service times for which statements occupy them.
 
 use super::knob::ServiceSpread;
 use rand::rngs::StdRng;
@@ -10,11 +10,11 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// Timers are late by up to a millisecond or two. What a statement waited too long is taken off
-/// later ones, so that the mean stays right; more than this is a stall and is not made up for.
+/// Maximum timer overshoot that is deducted from later service times. Timers fire up to 1 or 2 ms
+/// late, and the deduction keeps the mean exact; a larger delay is a stall and is not compensated.
 const OVERSHOOT_MAX: Duration = Duration::from_millis(20);
 
-/// The mean and spread of service times, and the speed that divides them.
+/// Mean and distribution of service times, and the speed by which they are divided.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceTimes {
     pub(crate) mean: Duration,
@@ -31,7 +31,7 @@
 }
 
 impl SlotGate {
-    /// A gate of so many slots.
+    /// Creates a pool of `slots` slots.
     pub(crate) fn new(slots: usize, times: ServiceTimes, seed: u64) -> Self {
         Self {
             semaphore: Mutex::new(Arc::new(Semaphore::new(slots))),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Changes the number of slots for statements that come from now on.
+    /// Changes the number of slots for statements received from now on.
     pub(crate) fn resize(&self, slots: usize) {
         *lock(&self.semaphore) = Arc::new(Semaphore::new(slots));
     }
@@ -50,21 +50,21 @@
         change(&mut lock(&self.times).0);
     }
 
-    /// A slot, if one is free at once.
+    /// Returns a slot if one is free.
     pub(crate) fn try_enter(&self) -> Option<OwnedSemaphorePermit> {
         let semaphore = Arc::clone(&lock(&self.semaphore));
         semaphore.try_acquire_owned().ok()
     }
 
-    /// A slot, in the order of asking.
+    /// Waits for a slot, in FIFO order.
     pub(crate) async fn enter(&self) -> Option<OwnedSemaphorePermit> {
         let semaphore = Arc::clone(&lock(&self.semaphore));
         semaphore.acquire_owned().await.ok()
     }
 
-    /// How long the next statement occupies its slot.
+    /// Draws the time for which the next statement occupies its slot.
     pub(crate) fn next_time(&self) -> Duration {
-        /// Speeds are in percent.
+        /// Speed of the reference member, in percent.
         const FULL_SPEED: f64 = 100.0;
         let mut guard = lock(&self.times);
         let (times, generator) = &mut *guard;
@@ -79,7 +79,7 @@
         times.mean.mul_f64(scale * factor)
     }
 
-    /// Waits for a service time, on average exactly.
+    /// Waits for a service time, less the overshoot of earlier waits, so that the mean is exact.
     pub(crate) async fn serve(&self, time: Duration) {
         let wanted = i64::try_from(time.as_nanos()).unwrap_or(i64::MAX);
         let owed = self.overshoot_nanos.swap(0, Ordering::Relaxed);
@@ -96,8 +96,8 @@
     }
 }
 
-/// Locks a mutex; its data stay usable though another holder panicked, since every change under
-/// these locks is complete or not begun.
+/// Locks a mutex and ignores poisoning: changes under these locks either complete or do not begin,
+/// so the data is valid even if another holder panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/rudder-standins/src/group/sql/cache.rs
+++ b/crates/rudder-standins/src/group/sql/cache.rs
@@ -1,4 +1,4 @@
-//! A cache from SQL text to its plans.
+//! Cache of parsed SQL texts.
 
 use super::error::SqlError;
 use super::parse::parse_statements;
@@ -6,22 +6,24 @@
 use imbl::OrdMap;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// Texts beyond this number empty the cache: literals in texts would let it grow without bound.
+/// Maximum number of texts; a full cache is cleared. Without a limit, texts with literals would let
+/// it grow without bound.
 const TEXTS_MAX: usize = 16_384;
 
-/// Longer texts, such as large inserts, are not worth keeping.
+/// Maximum length of a cached text in bytes; longer ones, such as large inserts,
+/// are not worth caching.
 const TEXT_BYTES_MAX: usize = 4096;
 
 type PlanTexts = OrdMap<Arc<str>, Arc<[StatementPlan]>>;
 
-/// The parsed form of SQL texts, shared by all sessions of a group.
+/// Plans by SQL text, shared by all sessions of a group.
 #[derive(Debug, Default)]
 pub(crate) struct PlanCache {
     texts: RwLock<PlanTexts>,
 }
 
 impl PlanCache {
-    /// The plans of a text.
+    /// Returns the plans of a text; parses it if it is not cached.
     pub(crate) fn plans(&self, text: &str) -> Result<Arc<[StatementPlan]>, SqlError> {
         {
             let texts = self.texts.read().unwrap_or_else(PoisonError::into_inner);
@@ -36,7 +38,8 @@
         Ok(plans)
     }
 
-    /// Adds a text; what had to go is dropped by the caller, so that nobody waits for that.
+    /// Adds a text. Returns the evicted texts, which the caller drops after the lock is released so
+    /// that no other session waits for it.
     fn keep(&self, text: &str, plans: Arc<[StatementPlan]>) -> PlanTexts {
         let mut texts = self.texts.write().unwrap_or_else(PoisonError::into_inner);
         let mut gone = PlanTexts::new();
--- a/crates/rudder-standins/src/group/sql/error.rs
+++ b/crates/rudder-standins/src/group/sql/error.rs
@@ -1,4 +1,4 @@
-//! The errors that a member answers statements with.
+//! Errors with which a member rejects statements.
 
 use displaydoc::Display;
 use rudder_core::{LogTerm, TERM_REFUSED_SQLSTATE};
@@ -69,7 +69,7 @@
 }
 
 impl SqlError {
-    /// The five characters by which clients tell errors apart.
+    /// Returns the SQLSTATE code of the error.
     pub(crate) fn sqlstate(&self) -> &'static str {
         match self {
             Self::Syntax(_) | Self::ColumnCount(..) => "42601",
--- a/crates/rudder-standins/src/group/sql/mod.rs
+++ b/crates/rudder-standins/src/group/sql/mod.rs
@@ -1,4 +1,4 @@
-//! SQL: values, expressions, plans, and the way from text to plans.
+//! SQL: values, expressions, plans, and the parsing of text into plans.
 
 pub(crate) mod cache;
 pub(crate) mod error;
--- a/crates/rudder-standins/src/group/sql/parse.rs
+++ b/crates/rudder-standins/src/group/sql/parse.rs
@@ -1,4 +1,4 @@
-//! From SQL text to plans.
+//! Parsing of SQL text into plans.
 
 use super::error::SqlError;
 use super::parse_control::parse_call;
@@ -215,7 +215,7 @@
     }
 }
 
-/// The non-negative integer in an expression, for limits.
+/// Converts the expression of a `LIMIT` or `OFFSET`.
 pub(crate) fn limit_scalar(expr: ast::Expr) -> Result<Option<RowScalar>, SqlError> {
     match integer(&expr) {
         Some(number) => Ok(Some(RowScalar::Literal(super::value::SqlValue::Int(number)))),
--- a/crates/rudder-standins/src/group/sql/parse_control.rs
+++ b/crates/rudder-standins/src/group/sql/parse_control.rs
@@ -1,5 +1,5 @@
-//! Control statements and knobs: a `SELECT` of one call of a function of schema `rudder` or
-//! `standin`.
+//! Parsing of control statements and knobs, each a `SELECT` of one function call in schema `rudder`
+//! or `standin`.
 
 use super::error::SqlError;
 use super::parse_scalar::{call_arguments, constant_text, name_text};
@@ -10,7 +10,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The plan, if the query is such a call.
+/// Returns the plan if the query calls a function of schema `rudder` or `standin`.
 pub(crate) fn parse_call(query: &ast::Query) -> Result<Option<StatementPlan>, SqlError> {
     let ast::SetExpr::Select(select) = query.body.as_ref() else { return Ok(None) };
     let [SelectItem::UnnamedExpr(Expr::Function(function))] = select.projection.as_slice() else {
--- a/crates/rudder-standins/src/group/sql/parse_scalar.rs
+++ b/crates/rudder-standins/src/group/sql/parse_scalar.rs
@@ -1,4 +1,4 @@
-//! From parsed expressions and names to the stand-in's own.
+//! Conversion of parsed names, types and expressions.
 
 use super::error::SqlError;
 use super::scalar::{ArithmeticOperator, ComparisonOperator, RowScalar, ScalarFunction};
@@ -6,7 +6,7 @@
 use sqlparser::ast::{self, BinaryOperator, Expr};
 use std::sync::Arc;
 
-/// An identifier: lower case unless it was quoted.
+/// Returns the name of an identifier, in lower case unless it was quoted.
 pub(crate) fn ident_name(ident: &ast::Ident) -> Arc<str> {
     if ident.quote_style.is_some() {
         return ident.value.as_str().into();
@@ -14,18 +14,18 @@
     ident.value.to_ascii_lowercase().into()
 }
 
-/// A dotted name.
+/// Returns the name of an object without the default schema.
 pub(crate) fn object_name(name: &ast::ObjectName) -> Arc<str> {
     table_name(name)
 }
 
-/// A name as it was written, in lower case.
+/// Returns the dotted name as written; unquoted parts are in lower case.
 pub(crate) fn name_text(name: &ast::ObjectName) -> Arc<str> {
     let parts: Vec<_> = name.0.iter().map(part_text).collect();
     parts.join(".").into()
 }
 
-/// A table's name; the default schema is left out.
+/// Returns the name of a table without the default schema `public`.
 pub(crate) fn table_name(name: &ast::ObjectName) -> Arc<str> {
     let text = name_text(name);
     match text.strip_prefix("public.") {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The type of a column or cast.
+/// Returns the type of a column or cast.
 pub(crate) fn sql_type(data_type: &ast::DataType) -> SqlType {
     use ast::DataType as D;
     match data_type {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The integer that an expression spells out.
+/// Returns the value of an integer literal.
 pub(crate) fn integer(expr: &Expr) -> Option<i64> {
     match expr {
         Expr::Value(value) => match &value.value {
@@ -69,7 +69,8 @@
     }
 }
 
-/// The text of a constant in `SET` and the like, where a bare word is a text as well.
+/// Returns the text of a constant in `SET` and similar statements, where an identifier stands for
+/// its own text.
 pub(crate) fn constant_text(expr: &Expr) -> Result<String, SqlError> {
     match expr {
         Expr::Identifier(ident) => Ok(ident.value.clone()),
@@ -156,7 +157,7 @@
     Ok(RowScalar::Literal(value))
 }
 
-/// Parameters are numbered by a 16-bit integer in the protocol.
+/// Maximum number of parameters, which the protocol counts in 16 bits.
 const PARAMETERS_MAX: usize = 65_535;
 
 fn parameter(text: &str) -> Result<RowScalar, SqlError> {
@@ -214,7 +215,7 @@
     Ok(if negated { RowScalar::Not(Box::new(result)) } else { result })
 }
 
-/// The positional arguments of a function call; `*` yields none.
+/// Returns the positional arguments of a function call; `*` yields no argument.
 pub(crate) fn call_arguments(arguments: ast::FunctionArguments) -> Result<Vec<Expr>, SqlError> {
     let ast::FunctionArguments::List(list) = arguments else { return Ok(Vec::new()) };
     list.args
--- a/crates/rudder-standins/src/group/sql/parse_select.rs
+++ b/crates/rudder-standins/src/group/sql/parse_select.rs
@@ -1,4 +1,4 @@
-//! From parsed queries to select plans.
+//! Conversion of parsed queries into select plans.
 
 use super::error::SqlError;
 use super::parse::limit_scalar;
@@ -8,7 +8,7 @@
 use sqlparser::ast::{self, Expr, SelectItem, TableFactor};
 use std::sync::Arc;
 
-/// The heading of a column that has no name of its own.
+/// Heading of a column without a name.
 const UNNAMED_COLUMN: &str = "?column?";
 
 /// Converts a query.
@@ -87,7 +87,7 @@
     }
 }
 
-/// The single plain table of a `FROM`, `UPDATE` or `DELETE`.
+/// Returns the only table of a `FROM`, `UPDATE` or `DELETE`; joins and functions are unsupported.
 pub(crate) fn target_table(table: &ast::TableWithJoins) -> Result<Arc<str>, SqlError> {
     match &table.relation {
         TableFactor::Table { name, args: None, .. } if table.joins.is_empty() => {
--- a/crates/rudder-standins/src/group/sql/parse_table.rs
+++ b/crates/rudder-standins/src/group/sql/parse_table.rs
@@ -1,4 +1,4 @@
-//! From parsed table definitions to schemas.
+//! Conversion of parsed table definitions into schemas.
 
 use super::error::SqlError;
 use super::parse_scalar::{ident_name, scalar, sql_type, table_name};
@@ -24,7 +24,8 @@
     Ok(StatementPlan::CreateTable { schema: Arc::new(schema), if_not_exists: create.if_not_exists })
 }
 
-/// Plain indexes have no effect on answers; unique ones would, and are refused.
+/// Converts `CREATE INDEX`. Plain indexes do not affect results and are ignored; unique indexes
+/// would, and are rejected.
 pub(crate) fn create_index(create: &ast::CreateIndex) -> Result<StatementPlan, SqlError> {
     if create.unique {
         return Err(SqlError::Unsupported("CREATE UNIQUE INDEX (declare UNIQUE)".to_owned()));
--- a/crates/rudder-standins/src/group/sql/plan.rs
+++ b/crates/rudder-standins/src/group/sql/plan.rs
@@ -1,4 +1,4 @@
-//! Statements in the form in which they are run, independent of the tables' present state.
+//! Executable form of statements, independent of the current state of the tables.
 
 use super::scalar::RowScalar;
 use crate::group::knob::KnobCommand;
@@ -6,7 +6,7 @@
 use rudder_core::ControlStatement;
 use std::sync::Arc;
 
-/// One statement.
+/// Executable form of one statement.
 #[derive(Clone, Debug)]
 pub(crate) enum StatementPlan {
     Empty,
@@ -29,7 +29,7 @@
     DiscardAll,
     Deallocate(Option<Arc<str>>),
     Show(Arc<str>),
-    /// Accepted without effect; the text is the command tag.
+    /// Statement that is accepted without effect, with its command tag.
     Ignored(&'static str),
     Notice(Arc<str>),
     CreateTable {
@@ -49,35 +49,35 @@
     CopyOut(CopyPlan),
 }
 
-/// A column of a result: an expression with its heading, or all columns.
+/// Column of a result: an expression with its heading, or all columns of the source.
 #[derive(Clone, Debug)]
 pub(crate) enum ColumnProjection {
     All,
     Scalar(RowScalar, Arc<str>),
 }
 
-/// `INSERT`.
+/// Plan of an `INSERT`.
 #[derive(Clone, Debug)]
 pub(crate) struct InsertPlan {
     pub(crate) table: Arc<str>,
     /// Empty means all columns in order.
     pub(crate) columns: Vec<Arc<str>>,
-    /// `None` in a row stands for the column's default.
+    /// Values by row; `None` is the column's default.
     pub(crate) rows: Vec<Vec<Option<RowScalar>>>,
     pub(crate) on_conflict: ConflictRule,
     pub(crate) returning: Vec<ColumnProjection>,
 }
 
-/// What an insert does with a row that breaks a unique constraint.
+/// Action of an insert for a row that violates a unique constraint.
 #[derive(Clone, Debug)]
 pub(crate) enum ConflictRule {
     Fail,
     Skip,
-    /// Update the row in the way; `excluded.<column>` is written as the row's own new value.
+    /// Update the existing row; `excluded.<column>` refers to the value that was to be inserted.
     Update(Vec<(Arc<str>, RowScalar)>),
 }
 
-/// `UPDATE`.
+/// Plan of an `UPDATE`.
 #[derive(Clone, Debug)]
 pub(crate) struct UpdatePlan {
     pub(crate) table: Arc<str>,
@@ -86,7 +86,7 @@
     pub(crate) returning: Vec<ColumnProjection>,
 }
 
-/// `DELETE`.
+/// Plan of a `DELETE`.
 #[derive(Clone, Debug)]
 pub(crate) struct DeletePlan {
     pub(crate) table: Arc<str>,
@@ -94,7 +94,7 @@
     pub(crate) returning: Vec<ColumnProjection>,
 }
 
-/// An aggregate over the filtered rows.
+/// Aggregate function over the filtered rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AggregateFunction {
     Count,
@@ -103,35 +103,35 @@
     Max,
 }
 
-/// Where the rows of a `SELECT` come from.
+/// Source of the rows of a `SELECT`.
 #[derive(Clone, Debug)]
 pub(crate) enum SelectSource {
-    /// No table: one row.
+    /// No table: a single row without columns.
     Nothing,
     Table(Arc<str>),
     /// `generate_series(first, last)`.
     Series(RowScalar, RowScalar),
 }
 
-/// `SELECT`.
+/// Plan of a `SELECT`.
 #[derive(Clone, Debug)]
 pub(crate) struct SelectPlan {
     pub(crate) source: SelectSource,
     pub(crate) columns: Vec<ColumnProjection>,
-    /// When not empty, these replace `columns`: one row of aggregates.
+    /// Aggregates; if not empty, the result is one row of them and `columns` is empty.
     pub(crate) aggregates: Vec<(AggregateFunction, Option<RowScalar>, Arc<str>)>,
     pub(crate) filter: Option<RowScalar>,
-    /// Expressions with whether they sort downwards.
+    /// Sort expressions, each with whether it sorts in descending order.
     pub(crate) order: Vec<(RowScalar, bool)>,
     pub(crate) limit: Option<RowScalar>,
     pub(crate) offset: Option<RowScalar>,
-    /// The name of what only a primary can do, such as locking rows.
+    /// Name of an operation that only a primary can run, such as locking rows.
     pub(crate) write_name: Option<&'static str>,
-    /// Seconds to wait first, of a `pg_sleep` among the columns.
+    /// Seconds to wait before the statement runs, from a `pg_sleep` among the columns.
     pub(crate) sleep: Option<RowScalar>,
 }
 
-/// `COPY` of a table, in text form.
+/// Plan of a `COPY` of a table in text format.
 #[derive(Clone, Debug)]
 pub(crate) struct CopyPlan {
     pub(crate) table: Arc<str>,
@@ -139,10 +139,10 @@
 }
 
 impl StatementPlan {
-    /// Whether the statement occupies one of the member's slots for its service time.
+    /// Returns whether the statement occupies one of the member's slots for its service time.
     ///
-    /// Only what touches data does: transaction control, settings and control statements cost
-    /// next to nothing on a database.
+    /// Only statements that access data do; transaction control, settings and control statements
+    /// cost almost nothing on a database.
     pub(crate) fn takes_slot(&self) -> bool {
         matches!(
             self,
@@ -158,7 +158,7 @@
         )
     }
 
-    /// The name of a statement that changes or locks data, as refusals give it.
+    /// Returns the name of a statement that changes or locks data, as used in errors.
     pub(crate) fn write_name(&self) -> Option<&'static str> {
         match self {
             Self::CreateTable { .. } => Some("CREATE TABLE"),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Whether the statement ends or leaves a transaction, so that it runs in a failed one too.
+    /// Returns whether the statement may run in a failed transaction block.
     pub(crate) fn runs_in_failed(&self) -> bool {
         matches!(
             self,
--- a/crates/rudder-standins/src/group/sql/scalar.rs
+++ b/crates/rudder-standins/src/group/sql/scalar.rs
@@ -1,4 +1,4 @@
-//! Scalar expressions over one row and the statement's parameters.
+//! Scalar expressions over one row and a statement's parameters.
 
 use super::error::SqlError;
 use super::value::{SqlType, SqlValue};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Operators that take numbers, or texts in the case of `Concat`.
+/// Operators on numbers, or on texts in the case of `Concat`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ArithmeticOperator {
     Add,
@@ -18,7 +18,7 @@
     Concat,
 }
 
-/// Comparisons.
+/// Comparison operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonOperator {
     Equal,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Functions of one row.
+/// Scalar functions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ScalarFunction {
     Version,
@@ -51,27 +51,27 @@
     BackendPid,
     InRecovery,
     Now,
-    /// The number of the transaction, here always 0.
+    /// Transaction number, always 0 here.
     TransactionId,
     Coalesce,
     Length,
     Lower,
     Upper,
     Repeat,
-    /// The next number of the group's only sequence, whatever name is given.
+    /// Next number of the group's only sequence; the given name is ignored.
     NextValue,
-    /// `pg_sleep`: the waiting is done before the statement runs.
+    /// `pg_sleep`; the session waits before the statement runs.
     Sleep,
 }
 
-/// An expression.
+/// Scalar expression.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RowScalar {
     Literal(SqlValue),
-    /// A parameter by index from 0.
+    /// Parameter by its index, starting at 0.
     Parameter(usize),
     Column(Arc<str>),
-    /// A column of the row that an insert proposed, in `ON CONFLICT DO UPDATE`.
+    /// Column of the row that was to be inserted, in `ON CONFLICT DO UPDATE`.
     Excluded(Arc<str>),
     Arithmetic(ArithmeticOperator, Box<RowScalar>, Box<RowScalar>),
     Compare(ComparisonOperator, Box<RowScalar>, Box<RowScalar>),
@@ -84,43 +84,43 @@
     Call(ScalarFunction, Vec<RowScalar>),
 }
 
-/// What an expression is evaluated over.
+/// Row, parameters and session data for the evaluation of an expression.
 #[derive(Clone, Copy)]
 pub(crate) struct ScalarScope<'a> {
     pub(crate) schema: Option<&'a TableSchema>,
     pub(crate) row: &'a [SqlValue],
-    /// The row that an insert proposed; empty elsewhere.
+    /// Row that was to be inserted, in `ON CONFLICT DO UPDATE`; otherwise empty.
     pub(crate) excluded: &'a [SqlValue],
     pub(crate) parameters: &'a [SqlValue],
     pub(crate) session: &'a SessionFacts,
 }
 
-/// What functions may tell about the session and its member.
+/// Session and member data that SQL functions return.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SessionFacts {
     pub(crate) user: String,
     pub(crate) database: String,
     pub(crate) pid: i32,
     pub(crate) replica: bool,
-    /// Numbers for serial columns and for rows without a primary key.
+    /// Sequence for serial columns and for the keys of rows without a primary key.
     pub(crate) sequence: Arc<AtomicI64>,
 }
 
 impl SessionFacts {
-    /// The next number of the group's sequence.
+    /// Returns the next number of the group's sequence.
     pub(crate) fn next_number(&self) -> i64 {
         self.sequence.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
-/// The version that the stand-in reports.
+/// Server version that members report.
 pub(crate) const SERVER_VERSION: &str = "17.0 (rudder stand-in)";
 
-/// Longest text that `repeat` makes, in bytes.
+/// Maximum length of the result of `repeat`, in bytes.
 const REPEAT_BYTES_MAX: usize = 64 << 20;
 
 impl RowScalar {
-    /// The value over `scope`.
+    /// Returns the value of the expression in `scope`.
     pub(crate) fn evaluate(&self, scope: ScalarScope<'_>) -> Result<SqlValue, SqlError> {
         match self {
             Self::Literal(value) => Ok(value.clone()),
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Whether the expression is true over `scope`; null counts as false.
+    /// Returns whether the expression is true in `scope`; null counts as false.
     pub(crate) fn holds(&self, scope: ScalarScope<'_>) -> Result<bool, SqlError> {
         self.evaluate(scope).map(|value| is_true(&value))
     }
 
-    /// The type of the result; `parameters` holds the parameters' types.
+    /// Returns the type of the expression; `parameters` holds the parameters' types.
     pub(crate) fn kind(&self, schema: Option<&TableSchema>, parameters: &[SqlType]) -> SqlType {
         match self {
             Self::Literal(value) => value.natural_type(),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Calls `visit` for this expression and each one inside it.
+    /// Calls `visit` for this expression and each subexpression.
     pub(crate) fn walk(&self, visit: &mut dyn FnMut(&RowScalar)) {
         visit(self);
         match self {
@@ -238,7 +238,8 @@
     schema.column(name).map_or(SqlType::Text, |index| schema.columns[index].kind)
 }
 
-/// `and` and `or` with SQL's three values; `dominant` decides on its own.
+/// Evaluates `AND` and `OR` in SQL's three-valued logic. `dominant` is the value that determines
+/// the result regardless of the other operand: false for `AND`, true for `OR`.
 fn conjunction(
     left: SqlValue,
     right: impl FnOnce() -> Result<SqlValue, SqlError>,
@@ -288,7 +289,7 @@
 ) -> Result<SqlValue, SqlError> {
     let (left, right) = match (left, right) {
         (SqlValue::Null, _) | (_, SqlValue::Null) => return Ok(SqlValue::Null),
-        // A text beside another type is an untyped literal, which takes that type.
+        // A text compared with another type is an untyped literal and takes that type.
         (left @ SqlValue::Text(_), right @ SqlValue::Text(_)) => (left, right),
         (left @ SqlValue::Text(_), right) => (left.coerce(wide_type(&right))?, right),
         (left, right @ SqlValue::Text(_)) => {
@@ -381,7 +382,7 @@
     Ok(SqlValue::text(&text.repeat(count)))
 }
 
-/// The wall clock in milliseconds since 1970, as text.
+/// Returns the wall-clock time in milliseconds since 1970, as text.
 pub(crate) fn now_text() -> SqlValue {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     SqlValue::text(&since.map_or(0, |since| since.as_millis()).to_string())
--- a/crates/rudder-standins/src/group/sql/value.rs
+++ b/crates/rudder-standins/src/group/sql/value.rs
@@ -1,23 +1,23 @@
-//! Values, their types, and the two forms in which they travel.
+//! SQL values, their types, and their text and binary wire formats.
 
 use super::error::SqlError;
 use bytes::{BufMut, BytesMut};
 use std::sync::Arc;
 
-/// The column types that the stand-in knows; any other is taken as text.
+/// Supported column types; any other type is treated as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SqlType {
     Bool,
     Int4,
     Int8,
     Text,
-    /// Known to parameters only, so that `pg_sleep($1)` works; carried as text.
+    /// Supported for parameters only, so that `pg_sleep($1)` works; stored as text.
     Float8,
-    /// The result type of functions that return nothing.
+    /// Result type of functions that return nothing.
     Void,
 }
 
-/// Object ids of types as the database assigns them.
+/// Object ids of types as PostgreSQL assigns them.
 const TYPE_OIDS: [(SqlType, u32); 6] = [
     (SqlType::Bool, 16),
     (SqlType::Int8, 20),
@@ -28,17 +28,17 @@
 ];
 
 impl SqlType {
-    /// The type's object id.
+    /// Returns the type's object id.
     pub(crate) fn oid(self) -> u32 {
         TYPE_OIDS.iter().find(|(kind, _)| *kind == self).map_or(25, |(_, oid)| *oid)
     }
 
-    /// The type with this object id; text for those that the stand-in does not know.
+    /// Returns the type with this object id; text for unsupported types.
     pub(crate) fn from_oid(oid: u32) -> Self {
         TYPE_OIDS.iter().find(|(_, known)| *known == oid).map_or(Self::Text, |(kind, _)| *kind)
     }
 
-    /// The size in bytes, or -1 where it varies.
+    /// Returns the size in bytes, or -1 if it is variable.
     pub(crate) fn size(self) -> i16 {
         match self {
             Self::Bool => 1,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The type's name in messages.
+    /// Returns the type's name for messages.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Bool => "boolean",
@@ -62,7 +62,7 @@
     }
 }
 
-/// One value. Integers of both widths share a representation.
+/// SQL value. Integers of both widths have the same representation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SqlValue {
     Null,
@@ -72,12 +72,12 @@
 }
 
 impl SqlValue {
-    /// A text value.
+    /// Creates a text value.
     pub(crate) fn text(text: &str) -> Self {
         Self::Text(text.into())
     }
 
-    /// The type that a literal of this value has.
+    /// Returns the type that a literal with this value has.
     pub(crate) fn natural_type(&self) -> SqlType {
         match self {
             Self::Bool(_) => SqlType::Bool,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Parses the text form of `kind`.
+    /// Parses a value in the text format of `kind`.
     pub(crate) fn from_text(kind: SqlType, text: &str) -> Result<Self, SqlError> {
         let invalid = || SqlError::InvalidText(kind.name(), text.to_owned());
         match kind {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Parses the binary form of `kind`.
+    /// Parses a value in the binary format of `kind`.
     pub(crate) fn from_binary(kind: SqlType, bytes: &[u8]) -> Result<Self, SqlError> {
         let invalid = || SqlError::Protocol(format!("incorrect binary format for {}", kind.name()));
         match kind {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Converts the value to `kind`, as an assignment or an explicit cast does.
+    /// Converts the value to `kind`, as in an assignment or an explicit cast.
     pub(crate) fn coerce(self, kind: SqlType) -> Result<Self, SqlError> {
         match (self, kind) {
             (Self::Null, _) => Ok(Self::Null),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The value in text form; null as the empty text.
+    /// Returns the value in text format; null is the empty text.
     pub(crate) fn to_text(&self) -> String {
         match self {
             Self::Null => String::new(),
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Appends the field of a data row: its length, then its bytes in the wanted form.
+    /// Appends the value as a field of a data row: its length, then its bytes in the given format.
     pub(crate) fn encode_field(&self, kind: SqlType, binary: bool, out: &mut BytesMut) {
         match self {
             Self::Null => out.put_i32(-1),
@@ -180,7 +180,7 @@
             Self::Bool(flag) => put_field(if *flag { b"t" } else { b"f" }, out),
             Self::Int(number) if binary && kind == SqlType::Int4 => {
                 out.put_i32(4);
-                // Int4 values were range-checked when they were coerced to the column.
+                // Int4 values are range-checked when they are converted to the column's type.
                 out.put_i32(i32::try_from(*number).unwrap_or(i32::MAX));
             }
             Self::Int(number) if binary => {
@@ -201,7 +201,7 @@
 fn put_number(number: i64, out: &mut BytesMut) {
     use std::io::Write;
 
-    /// Enough for the sign and digits of any 64-bit number.
+    /// Maximum length of a 64-bit number in decimal, with its sign.
     const DIGITS_MAX: usize = 20;
     let mut digits = [0_u8; DIGITS_MAX];
     let mut rest = digits.as_mut_slice();
--- a/crates/rudder-standins/src/group/state.rs
+++ b/crates/rudder-standins/src/group/state.rs
@@ -1,16 +1,17 @@
-//! The state of a member that the group's promises rest on: terms, role and log.
+//! Terms, role and log of a member: the state that decides whether acknowledged writes survive a
+//! promotion.
 
 use super::log::MemberLog;
 use crate::group::sql::error::SqlError;
 use crate::group::tables::transaction::OpenTransaction;
 use rudder_core::{LogStamp, LogTerm, MemberName, MemberRole, MemberStatus};
 
-/// What a member does with the log.
+/// Replication role of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum GroupRole {
-    /// Appends entries of this term.
+    /// Appends log entries under this term.
     Primary(LogTerm),
-    /// Takes entries from this member, if any.
+    /// Fetches log entries from this member, if one is set.
     Replica(Option<MemberName>),
 }
 
@@ -23,19 +24,19 @@
 }
 
 impl MemberState {
-    /// The first primary, at term 1, with an empty log.
+    /// Creates the initial primary, at term 1 with an empty log.
     pub(crate) fn first_primary() -> Self {
         let term = LogTerm(1);
         Self { accepted: term, role: GroupRole::Primary(term), log: MemberLog::default() }
     }
 
-    /// A replica at term 1, with an empty log.
+    /// Creates an initial replica, at term 1 with an empty log.
     pub(crate) fn first_replica(leader: MemberName) -> Self {
         let role = GroupRole::Replica(Some(leader));
         Self { accepted: LogTerm(1), role, log: MemberLog::default() }
     }
 
-    /// The member's report.
+    /// Returns the status; a primary whose term is no longer the accepted one counts as a replica.
     pub(crate) fn status(&self) -> MemberStatus {
         let role = match self.role {
             GroupRole::Primary(term) if term == self.accepted => MemberRole::Primary,
@@ -49,19 +50,19 @@
         }
     }
 
-    /// Whether followers of `term` may take entries from this member.
+    /// Returns whether the member is the primary of `term` and `term` is the accepted one.
     pub(crate) fn leads(&self, term: LogTerm) -> bool {
         self.accepted == term && self.role == GroupRole::Primary(term)
     }
 
-    /// Whether followers of `term` may take entries from this member. It need not be primary: in
-    /// a planned switch the target fetches the rest from the fenced old primary, whose log only
-    /// this term's own primary can change from then on.
+    /// Returns whether followers of `term` may fetch entries from this member. The member need not
+    /// be primary: in a planned switch the target fetches the remaining entries from the fenced old
+    /// primary, whose log only the primary of the new term can change from then on.
     pub(crate) fn ships(&self, term: LogTerm) -> bool {
         self.accepted == term
     }
 
-    /// Accepts a term.
+    /// Accepts a term; fails if a greater one was accepted.
     pub(crate) fn fence(&mut self, term: LogTerm) -> Result<(), SqlError> {
         if term < self.accepted {
             return Err(SqlError::TermRefused(self.accepted));
@@ -70,7 +71,8 @@
         Ok(())
     }
 
-    /// Becomes primary of the accepted term.
+    /// Becomes primary of the accepted term: applies all received entries, then appends an empty
+    /// entry under this term.
     pub(crate) fn promote(&mut self, term: LogTerm) -> Result<(), SqlError> {
         if term != self.accepted {
             return Err(SqlError::TermRefused(self.accepted));
@@ -84,22 +86,22 @@
         Ok(())
     }
 
-    /// Accepts a term and takes entries from `leader`.
+    /// Accepts a term and becomes a replica that fetches entries from `leader`.
     pub(crate) fn follow(&mut self, term: LogTerm, leader: MemberName) -> Result<(), SqlError> {
         self.fence(term)?;
         self.role = GroupRole::Replica(Some(leader));
         Ok(())
     }
 
-    /// Comes back after a restart: what was durable lasts, the role does not.
+    /// Restarts the member: accepted term and log are durable, the role is reset.
     pub(crate) fn restart(&mut self) {
         self.role = GroupRole::Replica(None);
     }
 
-    /// Refuses statements that change data where none may be changed.
+    /// Rejects a write on a replica or on a superseded primary.
     ///
-    /// Guards against writes at a superseded primary: it still believes it leads, but its term
-    /// is no longer the accepted one, so nothing may be appended under it.
+    /// A superseded primary still has its old role, but its term is no longer the accepted one,
+    /// so nothing may be appended under it.
     pub(crate) fn check_writable(&self, statement: &'static str) -> Result<LogTerm, SqlError> {
         match self.role {
             GroupRole::Primary(term) if term == self.accepted => Ok(term),
@@ -108,18 +110,18 @@
         }
     }
 
-    /// A transaction over the tables as applied.
+    /// Begins a transaction on a snapshot of the applied tables.
     pub(crate) fn begin(&self) -> OpenTransaction {
         OpenTransaction::new(self.accepted, self.log.applied(), self.log.database().clone())
     }
 
-    /// Commits a transaction; nothing changes if this fails.
+    /// Commits a transaction; a failed commit changes nothing.
     pub(crate) fn commit(&mut self, transaction: OpenTransaction) -> Result<LogStamp, SqlError> {
         if transaction.effects.is_empty() {
             return Ok(self.log.applied());
         }
-        // A member that was demoted since the transaction began refuses like a fenced one: the
-        // changes were made under a term that no longer holds.
+        // A member that was demoted after the transaction began rejects the commit like a fenced
+        // member, since the changes were made under a superseded term.
         let leads = self.leads(self.accepted) && transaction.term == self.accepted;
         if !leads {
             return Err(SqlError::TermRefused(self.accepted));
--- a/crates/rudder-standins/src/group/tables/answer.rs
+++ b/crates/rudder-standins/src/group/tables/answer.rs
@@ -1,4 +1,4 @@
-//! What a statement answers: columns, rows and a command tag.
+//! Result of a statement: columns, rows, a command tag and notices.
 
 use super::database::{RowValues, TableSchema};
 use crate::group::sql::error::SqlError;
@@ -6,14 +6,14 @@
 use crate::group::sql::value::{SqlType, SqlValue};
 use std::sync::Arc;
 
-/// A column of a result.
+/// Column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OutputColumn {
     pub(crate) name: Arc<str>,
     pub(crate) kind: SqlType,
 }
 
-/// A message that accompanies an answer.
+/// Notice sent along with a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NoticeMessage {
     pub(crate) severity: &'static str,
@@ -21,16 +21,16 @@
     pub(crate) text: String,
 }
 
-/// The rows of an answer, made as they are sent where there may be many.
+/// Rows of a result, either stored or generated while they are sent.
 #[derive(Debug)]
 pub(crate) enum RowSource {
-    /// Rows that exist already.
+    /// Rows that are stored in memory.
     Listed(std::vec::IntoIter<Vec<SqlValue>>),
-    /// One row for each number of a series.
+    /// One row for each number of a series, generated on demand since there may be many.
     Series(Box<SeriesRows>),
 }
 
-/// The rows over a series of numbers.
+/// Generator of the rows over a series of numbers.
 #[derive(Debug)]
 pub(crate) struct SeriesRows {
     pub(crate) next: i64,
@@ -42,12 +42,12 @@
 }
 
 impl RowSource {
-    /// No rows.
+    /// Creates a source without rows.
     pub(crate) fn empty() -> Self {
         Self::Listed(Vec::new().into_iter())
     }
 
-    /// The next row.
+    /// Returns the next row.
     pub(crate) fn next_row(&mut self) -> Option<Result<Vec<SqlValue>, SqlError>> {
         match self {
             Self::Listed(rows) => rows.next().map(Ok),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The command tag that ends an answer.
+/// Command tag that ends a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandTag {
     /// A tag without a number.
@@ -85,10 +85,10 @@
     Sent(&'static str),
 }
 
-/// The answer to one statement.
+/// Result of one statement.
 #[derive(Debug)]
 pub(crate) struct StatementAnswer {
-    /// `None` for statements that answer no rows.
+    /// `None` for statements that return no rows.
     pub(crate) columns: Option<Vec<OutputColumn>>,
     pub(crate) rows: RowSource,
     pub(crate) tag: CommandTag,
@@ -96,12 +96,12 @@
 }
 
 impl StatementAnswer {
-    /// An answer without rows.
+    /// Creates a result without rows.
     pub(crate) fn done(tag: CommandTag) -> Self {
         Self { columns: None, rows: RowSource::empty(), tag, notices: Vec::new() }
     }
 
-    /// An answer of rows.
+    /// Creates a result with rows.
     pub(crate) fn rows(columns: Vec<OutputColumn>, rows: Vec<Vec<SqlValue>>) -> Self {
         Self {
             columns: Some(columns),
--- a/crates/rudder-standins/src/group/tables/database.rs
+++ b/crates/rudder-standins/src/group/tables/database.rs
@@ -1,24 +1,24 @@
-//! Tables, rows and row effects, as persistent maps: a snapshot is a cheap clone.
+//! Tables, rows and row changes. Tables are persistent maps, so a snapshot is a cheap clone.
 
 use crate::group::sql::error::SqlError;
 use crate::group::sql::value::{SqlType, SqlValue};
 use imbl::OrdMap;
 use std::sync::Arc;
 
-/// The key of a row: its primary key columns, or a hidden number.
+/// Key of a row: the values of its primary key columns, or a hidden number.
 pub(crate) type RowKey = Vec<SqlValue>;
 
-/// The values of a row in the order of the table's columns.
+/// Values of a row in the order of the table's columns.
 pub(crate) type RowValues = Arc<[SqlValue]>;
 
-/// What a column gets when an insert does not name it.
+/// Value of a column that an insert does not name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ColumnDefault {
     Null,
     Value(SqlValue),
-    /// The next number of the group's sequence.
+    /// Next number of the group's sequence.
     Sequence,
-    /// The wall clock's time as text.
+    /// Current wall-clock time as text.
     Now,
 }
 
@@ -38,18 +38,18 @@
     pub(crate) columns: Vec<usize>,
 }
 
-/// A table's columns and constraints.
+/// Columns and constraints of a table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TableSchema {
     pub(crate) name: Arc<str>,
     pub(crate) columns: Vec<ColumnSchema>,
-    /// The primary key; without one, rows are keyed by a hidden number.
+    /// Primary key; without one, rows are keyed by a hidden number.
     pub(crate) primary: Option<UniqueKey>,
     pub(crate) uniques: Vec<UniqueKey>,
 }
 
 impl TableSchema {
-    /// The index of the column with this name.
+    /// Returns the index of the column with this name.
     pub(crate) fn column(&self, name: &str) -> Result<usize, SqlError> {
         self.columns
             .iter()
@@ -73,7 +73,7 @@
         Self { schema, rows: OrdMap::new(), indexes }
     }
 
-    /// The name of a constraint that a row with this key and these values would break.
+    /// Returns the name of a unique constraint that a row with this key and these values violates.
     pub(crate) fn violation(&self, key: &RowKey, values: &[SqlValue]) -> Option<Arc<str>> {
         for (unique, index) in self.schema.uniques.iter().zip(&self.indexes) {
             let Some(entry) = index_key(unique, values) else { continue };
@@ -113,7 +113,7 @@
     if key.contains(&SqlValue::Null) { None } else { Some(key) }
 }
 
-/// A change of one row or one table, as the log carries it.
+/// Change of one row or one table, as stored in a log entry.
 #[derive(Clone, Debug)]
 pub(crate) enum RowEffect {
     CreateTable(Arc<TableSchema>),
@@ -122,14 +122,14 @@
     Delete { table: Arc<str>, key: RowKey },
 }
 
-/// All tables at one moment.
+/// Snapshot of all tables.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupDatabase {
     tables: OrdMap<Arc<str>, Arc<StoredTable>>,
 }
 
 impl GroupDatabase {
-    /// The table with this name.
+    /// Returns the table with this name.
     pub(crate) fn table(&self, name: &str) -> Result<&Arc<StoredTable>, SqlError> {
         self.tables.get(name).ok_or_else(|| SqlError::UnknownTable(name.to_owned()))
     }
@@ -165,11 +165,10 @@
         Ok(Arc::make_mut(table))
     }
 
-    /// Checks that nobody changed what this effect touches since `base`.
+    /// Checks that the row of this effect has not changed since `base`.
     ///
-    /// Guards against lost updates: of two transactions that read the same row and both change
-    /// it, the second would overwrite the first. Rows are shared between snapshots, so an
-    /// unchanged row is the same allocation.
+    /// This prevents lost updates: if two transactions read and change the same row, the second
+    /// would overwrite the first. Snapshots share rows, so an unchanged row is the same allocation.
     pub(crate) fn check_unchanged(
         &self,
         base: &GroupDatabase,
--- a/crates/rudder-standins/src/group/tables/describe.rs
+++ b/crates/rudder-standins/src/group/tables/describe.rs
@@ -1,4 +1,4 @@
-//! The types of parameters and results, found from a plan and the tables' present columns.
+//! Types of parameters and results, derived from a plan and the current table schemas.
 
 use super::answer::OutputColumn;
 use super::database::{GroupDatabase, TableSchema};
@@ -11,7 +11,7 @@
 use rudder_core::STATUS_COLUMNS;
 use std::sync::Arc;
 
-/// The columns that a plan answers, or `None` if it answers no rows.
+/// Returns the result columns of a plan, or `None` if it returns no rows.
 pub(crate) fn output_columns(
     plan: &StatementPlan,
     database: &GroupDatabase,
@@ -36,17 +36,17 @@
     }
 }
 
-/// The columns of the status row.
+/// Returns the columns of the status row.
 pub(crate) fn status_columns() -> Vec<OutputColumn> {
     STATUS_COLUMNS.iter().map(|name| text_column(name)).collect()
 }
 
-/// A column of texts.
+/// Creates a column of type text.
 pub(crate) fn text_column(name: &str) -> OutputColumn {
     OutputColumn { name: name.into(), kind: SqlType::Text }
 }
 
-/// The schema of the rows of `generate_series`.
+/// Returns the schema of the rows of `generate_series`.
 pub(crate) fn series_schema() -> TableSchema {
     use super::database::{ColumnDefault, ColumnSchema};
     let column = ColumnSchema {
@@ -76,7 +76,7 @@
     projected_columns(returning, Some(schema), parameters).map(Some)
 }
 
-/// The headings and types of projections.
+/// Returns the headings and types of projections.
 pub(crate) fn projected_columns(
     projections: &[ColumnProjection],
     schema: Option<&TableSchema>,
@@ -136,7 +136,7 @@
     Ok(select.aggregates.iter().map(column).collect())
 }
 
-/// The columns of a source.
+/// Returns the schema of a source's rows, or `None` without a table.
 pub(crate) fn source_schema(
     source: &SelectSource,
     database: &GroupDatabase,
@@ -148,7 +148,8 @@
     }
 }
 
-/// The types of a plan's parameters: those the client gave, else those that their use suggests.
+/// Returns the types of a plan's parameters: those given by the client, otherwise those inferred
+/// from the parameter's use.
 pub(crate) fn parameter_types(
     plan: &StatementPlan,
     database: &GroupDatabase,
--- a/crates/rudder-standins/src/group/tables/matching.rs
+++ b/crates/rudder-standins/src/group/tables/matching.rs
@@ -1,4 +1,4 @@
-//! The rows that a filter picks out of a table.
+//! Selection of a table's rows by a filter.
 
 use super::database::{RowKey, RowValues, StoredTable};
 use super::run::RunScope;
@@ -7,7 +7,7 @@
 use crate::group::sql::value::SqlValue;
 use std::sync::Arc;
 
-/// The rows of a table for which a filter holds, found by key where the filter names one.
+/// Returns the rows of a table that match a filter, by key lookup if the filter determines a key.
 pub(crate) fn matching_rows(
     table: &StoredTable,
     filter: Option<&RowScalar>,
@@ -33,8 +33,8 @@
     Ok(found)
 }
 
-/// The key of the only row that can match: all columns of the primary key or of a unique
-/// constraint are compared with constants.
+/// Returns the key of the only row that can match, if the filter compares all columns of the
+/// primary key or of a unique constraint with constants.
 fn exact_key(
     table: &StoredTable,
     filter: &RowScalar,
@@ -72,7 +72,7 @@
     Ok(Some(key))
 }
 
-/// The constant that `column = constant` demands among the parts of a conjunction.
+/// Returns the constant of a `column = constant` term of a conjunction.
 fn pinned_constant<'a>(filter: &'a RowScalar, column: &str) -> Option<&'a RowScalar> {
     match filter {
         RowScalar::And(left, right) => {
--- a/crates/rudder-standins/src/group/tables/mod.rs
+++ b/crates/rudder-standins/src/group/tables/mod.rs
@@ -1,4 +1,4 @@
-//! Tables, transactions over them, and the running of plans.
+//! Tables, transactions on them, and the execution of plans.
 
 pub(crate) mod answer;
 pub(crate) mod database;
--- a/crates/rudder-standins/src/group/tables/run.rs
+++ b/crates/rudder-standins/src/group/tables/run.rs
@@ -1,4 +1,4 @@
-//! Running of plans that read or change data, over a transaction.
+//! Execution of plans that read or change data, within a transaction.
 
 use super::answer::{CommandTag, OutputColumn, RowSource, StatementAnswer};
 use super::database::{RowEffect, RowKey, RowValues, TableSchema};
@@ -13,7 +13,7 @@
 use crate::group::sql::value::{SqlType, SqlValue};
 use std::sync::Arc;
 
-/// What a statement runs with besides the transaction.
+/// Parameters and session data with which a statement runs.
 #[derive(Clone)]
 pub(crate) struct RunScope {
     pub(crate) parameters: Arc<[SqlValue]>,
@@ -22,7 +22,7 @@
 }
 
 impl RunScope {
-    /// The scope of an expression over a row.
+    /// Returns the scope for evaluating an expression over a row.
     pub(crate) fn row<'a>(
         &'a self,
         schema: Option<&'a TableSchema>,
@@ -165,7 +165,7 @@
     Ok((count, returned))
 }
 
-/// The row after `column = expression` assignments.
+/// Returns the row after `column = expression` assignments.
 pub(crate) fn assign(
     schema: &TableSchema,
     assignments: &[(Arc<str>, RowScalar)],
@@ -184,7 +184,7 @@
     Ok(values.into())
 }
 
-/// Puts a row's new values, under a new key if its primary key changed.
+/// Stores a row's new values, under a new key if its primary key changed.
 pub(crate) fn replace_row(
     schema: &TableSchema,
     key: &RowKey,
--- a/crates/rudder-standins/src/group/tables/run_insert.rs
+++ b/crates/rudder-standins/src/group/tables/run_insert.rs
@@ -1,4 +1,4 @@
-//! Running of inserts.
+//! Execution of inserts.
 
 use super::database::{ColumnDefault, RowEffect, RowKey, RowValues, StoredTable, TableSchema};
 use super::run::{RunScope, assign, project, replace_row};
@@ -9,7 +9,7 @@
 use crate::group::sql::value::SqlValue;
 use std::sync::Arc;
 
-/// Inserts the plan's rows; answers how many, and the rows of `RETURNING`.
+/// Inserts the plan's rows; returns their number and the rows of `RETURNING`.
 pub(crate) fn run_insert(
     insert: &InsertPlan,
     transaction: &mut OpenTransaction,
@@ -33,7 +33,7 @@
     Ok((count, returned))
 }
 
-/// The indexes of the columns that values are given for, in order.
+/// Returns the indexes of the columns for which values are given, in order.
 pub(crate) fn target_columns(
     schema: &TableSchema,
     names: &[Arc<str>],
@@ -62,7 +62,8 @@
     complete_row(schema, given, &scope.facts)
 }
 
-/// A full row: given values converted to their columns' types, defaults elsewhere.
+/// Returns a complete row: given values converted to their columns' types, and defaults for the
+/// other columns.
 pub(crate) fn complete_row(
     schema: &TableSchema,
     given: Vec<(usize, SqlValue)>,
@@ -91,7 +92,7 @@
     Ok(row.into())
 }
 
-/// Inserts one row; `None` if a conflict made the insert skip it.
+/// Inserts one row; returns `None` if it was skipped because of a conflict.
 pub(crate) fn insert_row(
     schema: &TableSchema,
     values: RowValues,
@@ -125,7 +126,7 @@
     }
 }
 
-/// The constraint that a new row would break, with the key of the row in the way.
+/// Returns the unique constraint that a new row violates, with the key of the existing row.
 fn obstacle(table: &StoredTable, key: &RowKey, values: &[SqlValue]) -> Option<(Arc<str>, RowKey)> {
     if let Some(primary) = &table.schema.primary
         && table.rows.contains_key(key)
--- a/crates/rudder-standins/src/group/tables/run_select.rs
+++ b/crates/rudder-standins/src/group/tables/run_select.rs
@@ -1,4 +1,4 @@
-//! Running of selects.
+//! Execution of selects.
 
 use super::answer::{OutputColumn, RowSource, SeriesRows, StatementAnswer};
 use super::database::{RowValues, TableSchema};
@@ -67,7 +67,7 @@
     Ok(answer)
 }
 
-/// The integer value of an expression without a row.
+/// Returns the integer value of an expression that refers to no row.
 fn bound(scalar: &RowScalar, scope: &RunScope) -> Result<i64, SqlError> {
     match scalar.evaluate(scope.row(None, &[]))?.coerce(SqlType::Int8)? {
         SqlValue::Int(number) => Ok(number),
--- a/crates/rudder-standins/src/group/tables/transaction.rs
+++ b/crates/rudder-standins/src/group/tables/transaction.rs
@@ -1,23 +1,23 @@
-//! A transaction: a snapshot, the changes made on it, and its savepoints.
+//! Transaction: a snapshot, the changes made to it, and its savepoints.
 
 use super::database::{GroupDatabase, RowEffect};
 use crate::group::sql::error::SqlError;
 use rudder_core::{LogStamp, LogTerm};
 use std::sync::Arc;
 
-/// An open transaction of a session.
+/// Open transaction of a session.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenTransaction {
-    /// The term of the member when the transaction began.
+    /// Accepted term of the member when the transaction began.
     pub(crate) term: LogTerm,
-    /// The stamp of the snapshot.
+    /// Stamp of the last entry applied to the snapshot.
     pub(crate) base_stamp: LogStamp,
     pub(crate) base: GroupDatabase,
-    /// The snapshot with the transaction's own changes.
+    /// Snapshot with the transaction's own changes.
     pub(crate) work: GroupDatabase,
     pub(crate) effects: Vec<RowEffect>,
-    /// Set by `ON CONFLICT`: a unique violation found at commit is a conflict instead, because
-    /// the statement asked not to see violations.
+    /// Set by `ON CONFLICT`: a unique violation found at commit is reported as a serialization
+    /// conflict, because such a statement must not fail with a violation.
     pub(crate) tolerant: bool,
     savepoints: Vec<SavedState>,
 }
@@ -30,7 +30,7 @@
 }
 
 impl OpenTransaction {
-    /// A transaction over a snapshot.
+    /// Begins a transaction on a snapshot.
     pub(crate) fn new(term: LogTerm, base_stamp: LogStamp, base: GroupDatabase) -> Self {
         Self {
             term,
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Makes a change.
+    /// Applies a change and records it.
     pub(crate) fn change(&mut self, effect: RowEffect) -> Result<(), SqlError> {
         self.work.apply(&effect)?;
         self.effects.push(effect);
         Ok(())
     }
 
-    /// Remembers the present state under a name.
+    /// Creates a savepoint.
     pub(crate) fn save(&mut self, name: Arc<str>) {
         let effects = self.effects.len();
         self.savepoints.push(SavedState { name, work: self.work.clone(), effects });
     }
 
-    /// Returns to a remembered state, which stays remembered.
+    /// Rolls back to a savepoint, which stays defined.
     pub(crate) fn return_to(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.saved_index(name)?;
         self.savepoints.truncate(index + 1);
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Forgets a remembered state and those after it.
+    /// Removes a savepoint and all later ones; their changes are kept.
     pub(crate) fn release(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.saved_index(name)?;
         self.savepoints.truncate(index);
--- a/crates/rudder-standins/src/group/wire/block.rs
+++ b/crates/rudder-standins/src/group/wire/block.rs
@@ -1,4 +1,4 @@
-//! Transaction blocks, and the settings that they may take back.
+//! Transaction blocks, and session settings that are reverted when a block ends.
 
 use super::session::{BlockState, ClientSession};
 use crate::group::sql::error::SqlError;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 impl ClientSession {
-    /// Opens a block.
+    /// Opens a transaction block.
     pub(crate) fn begin_block(&mut self, read_only: bool) -> StatementAnswer {
         let answer = StatementAnswer::done(CommandTag::Plain("BEGIN"));
         if self.block != BlockState::None {
@@ -19,7 +19,7 @@
         answer
     }
 
-    /// Commits the block.
+    /// Commits the transaction block, or rolls it back if it failed.
     pub(crate) fn commit_block(&mut self) -> Result<StatementAnswer, SqlError> {
         let answer = StatementAnswer::done(CommandTag::Plain("COMMIT"));
         match self.block {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Gives up the block.
+    /// Rolls back the transaction block.
     pub(crate) fn roll_back(&mut self) -> StatementAnswer {
         let answer = StatementAnswer::done(CommandTag::Plain("ROLLBACK"));
         self.transaction = None;
@@ -61,7 +61,7 @@
         answer.with_notice("WARNING", "25P01", "there is no transaction in progress".to_owned())
     }
 
-    /// Changes or resets a setting.
+    /// Changes a session setting, or resets it if `value` is `None`.
     pub(crate) fn set(
         &mut self,
         name: &str,
@@ -87,7 +87,7 @@
         Ok(answer)
     }
 
-    /// Returns the session to how it began.
+    /// Resets the session to its initial state (`DISCARD ALL`).
     pub(crate) fn discard_all(&mut self) -> Result<StatementAnswer, SqlError> {
         if self.block != BlockState::None {
             return Err(SqlError::Unsupported("DISCARD ALL inside a transaction block".to_owned()));
--- a/crates/rudder-standins/src/group/wire/cancel.rs
+++ b/crates/rudder-standins/src/group/wire/cancel.rs
@@ -1,10 +1,10 @@
-//! The running sessions of a member, by the key with which a client may cancel them.
+//! Sessions of a member, by the key with which a client may cancel their statements.
 
 use crate::group::slots::lock;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// The key that a client got when it connected.
+/// Cancel key that a client receives when it connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CancelKey {
     pub(crate) pid: i32,
@@ -24,7 +24,7 @@
 }
 
 impl CancelRegistry {
-    /// Adds a session; its statements end early when the signal comes.
+    /// Adds a session and returns the signal that cancels its running statement.
     pub(crate) fn add(&self, key: CancelKey) -> Arc<Notify> {
         let signal = Arc::new(Notify::new());
         let mut entries = lock(&self.entries);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Cancels what the session runs now; a session that runs nothing is not affected.
+    /// Cancels the session's running statement; an idle session is not affected.
     pub(crate) fn cancel(&self, key: CancelKey) {
         let entries = lock(&self.entries);
         if let Ok(index) = entries.binary_search_by_key(&key.pid, |entry| entry.key.pid)
--- a/crates/rudder-standins/src/group/wire/client.rs
+++ b/crates/rudder-standins/src/group/wire/client.rs
@@ -1,4 +1,4 @@
-//! The socket of a session: messages in, coalesced writes out.
+//! Client socket of a session: decodes messages and coalesces writes.
 
 use crate::group::member::GroupMember;
 use bytes::BytesMut;
@@ -9,26 +9,26 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// Bytes read at a time.
+/// Minimum free space in the input buffer for each read, in bytes.
 const READ_BYTES: usize = 16 << 10;
 
-/// Output is written once it reaches this size, though more follows.
+/// Size at which buffered output is written although more follows, in bytes.
 const WRITE_BYTES: usize = 64 << 10;
 
-/// A client's connection.
+/// Connection of a client.
 #[derive(Debug)]
 pub(crate) struct ClientStream {
     member: Arc<GroupMember>,
     stream: TcpStream,
     input: BytesMut,
-    /// What waits to be written.
+    /// Encoded messages that are not written yet.
     pub(crate) output: BytesMut,
     context: DecodeContext,
     life: CancellationToken,
 }
 
 impl ClientStream {
-    /// A fresh connection of a member.
+    /// Wraps a newly accepted connection.
     pub(crate) fn new(
         member: Arc<GroupMember>,
         stream: TcpStream,
@@ -44,17 +44,17 @@
         }
     }
 
-    /// Tells the decoder that encryption has been settled.
+    /// Switches the decoder from encryption negotiation to the startup message.
     pub(crate) fn end_negotiation(&mut self) {
         self.context.awaiting_frontend_ssl = false;
     }
 
-    /// Tells the decoder that ordinary messages follow.
+    /// Switches the decoder from the startup message to regular messages.
     pub(crate) fn end_startup(&mut self) {
         self.context.awaiting_frontend_startup = false;
     }
 
-    /// The next message; `None` when the client closed the connection.
+    /// Reads the next message; `None` if the client closed the connection.
     pub(crate) async fn next_message(&mut self) -> io::Result<Option<PgWireFrontendMessage>> {
         loop {
             let decoded = PgWireFrontendMessage::decode(&mut self.input, &self.context)
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The type byte of the next message, without taking it.
+    /// Returns the type byte of the next message without consuming the message.
     pub(crate) async fn peek_type(&mut self) -> io::Result<Option<u8>> {
         while self.input.is_empty() {
             if !self.fill().await? {
@@ -78,14 +78,14 @@
         Ok(self.input.first().copied())
     }
 
-    /// Writes what waits, then reads; false when the client closed the connection.
+    /// Writes the buffered output, then reads; false if the client closed the connection.
     async fn fill(&mut self) -> io::Result<bool> {
         self.flush().await?;
         self.input.reserve(READ_BYTES);
         Ok(self.stream.read_buf(&mut self.input).await? > 0)
     }
 
-    /// Writes what waits. A frozen member writes nothing until it is thawed.
+    /// Writes the buffered output. A frozen member writes nothing until it is thawed.
     pub(crate) async fn flush(&mut self) -> io::Result<()> {
         if self.output.is_empty() {
             return Ok(());
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Writes what waits if it is much.
+    /// Writes the buffered output if it has reached `WRITE_BYTES`.
     pub(crate) async fn flush_large(&mut self) -> io::Result<()> {
         if self.output.len() >= WRITE_BYTES {
             self.flush().await?;
@@ -104,19 +104,19 @@
         Ok(())
     }
 
-    /// Closes the connection in the ordinary way.
+    /// Flushes the output and closes the connection.
     pub(crate) async fn close(&mut self) {
-        // The client may be gone already, which is no matter for the member.
+        // The client may have closed the connection already, so errors are ignored.
         let _ = self.flush().await;
         let _ = self.stream.shutdown().await;
     }
 }
 
 impl Drop for ClientStream {
-    /// A killed member's connections end by a reset, as when its process or machine fails.
+    /// Resets the connection if the member was killed, as a failed process or machine does.
     fn drop(&mut self) {
         if self.life.is_cancelled() {
-            // A socket that is closed already needs no reset.
+            // This fails only if the socket is already closed.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/crates/rudder-standins/src/group/wire/connection.rs
+++ b/crates/rudder-standins/src/group/wire/connection.rs
@@ -1,4 +1,4 @@
-//! A connection from its first byte to its end: encryption, cancel requests, login, messages.
+//! Connection handling: encryption negotiation, cancel requests, login and the message loop.
 
 use super::cancel::CancelKey;
 use super::client::ClientStream;
@@ -20,13 +20,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The protocol version 3.0 as startup messages give it.
+/// Protocol version 3.0 as encoded in startup messages.
 const PROTOCOL_VERSION: i32 = 196_608;
 
-/// Parameters of the startup message that are not settings.
+/// Parameters of the startup message that are not session settings.
 const STARTUP_KEYWORDS: [&str; 4] = ["database", "options", "replication", "user"];
 
-/// Serves one connection until the client leaves.
+/// Serves one connection until the client disconnects.
 pub(crate) async fn serve_connection(
     members: Arc<[Arc<GroupMember>]>,
     member: Arc<GroupMember>,
@@ -57,7 +57,7 @@
     result
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection towards the member's limit until it is dropped.
 struct ConnectionGuard(Arc<GroupMember>);
 
 impl ConnectionGuard {
@@ -75,7 +75,8 @@
     }
 }
 
-/// Refuses encryption and serves a cancel request; answers the startup message, if one comes.
+/// Declines encryption and handles cancel requests; returns the startup message, if one is
+/// received.
 async fn negotiate(member: &GroupMember, client: &mut ClientStream) -> io::Result<Option<Startup>> {
     loop {
         match client.next_message().await? {
@@ -174,7 +175,7 @@
 }
 
 impl ClientSession {
-    /// Answers messages until the client leaves.
+    /// Handles messages until the client disconnects.
     async fn serve(&mut self) -> io::Result<()> {
         loop {
             let message = match self.client.next_message().await {
@@ -190,7 +191,7 @@
             match message {
                 FrontendMessage::Query(query) => self.simple_query(&query.query).await?,
                 FrontendMessage::Terminate(_) => return Ok(()),
-                // What is left of a failed COPY is skipped.
+                // Remaining messages of a failed COPY are ignored.
                 FrontendMessage::CopyData(_)
                 | FrontendMessage::CopyDone(_)
                 | FrontendMessage::CopyFail(_) => {}
--- a/crates/rudder-standins/src/group/wire/copy.rs
+++ b/crates/rudder-standins/src/group/wire/copy.rs
@@ -1,4 +1,4 @@
-//! `COPY` of tables, in text form.
+//! `COPY` of tables in text format.
 
 use super::encode::{put, put_complete};
 use super::session::{BoundParameters, ClientSession, StatementError};
@@ -14,14 +14,14 @@
 use pgwire::messages::copy::{CopyData, CopyDone, CopyInResponse, CopyOutResponse};
 use std::io;
 
-/// The text that stands for null.
+/// Text that represents null.
 const NULL_TEXT: &str = "\\N";
 
-/// The line that some clients send at the end.
+/// End-of-data line that some clients send.
 const END_LINE: &[u8] = b"\\.";
 
 impl ClientSession {
-    /// Takes rows from the client. With `commit`, the implicit transaction ends here.
+    /// Inserts rows sent by the client; with `commit`, also commits the implicit transaction.
     pub(crate) async fn copy_in(
         &mut self,
         copy: &CopyPlan,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Collects the client's data up to its end.
+    /// Receives the client's data until `CopyDone`.
     async fn receive_copy(&mut self) -> Result<Bytes, StatementError> {
         let mut data = BytesMut::new();
         loop {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sends the rows of a table.
+    /// Sends the rows of a table to the client.
     pub(crate) async fn copy_out(&mut self, copy: &CopyPlan) -> Result<(), StatementError> {
         let scope = self.scope(&BoundParameters::none());
         let table = self.open_transaction().work.table(&copy.table)?.clone();
--- a/crates/rudder-standins/src/group/wire/encode.rs
+++ b/crates/rudder-standins/src/group/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Writing of back-end messages.
+//! Encoding of backend messages.
 
 use crate::group::sql::error::SqlError;
 use crate::group::sql::value::{SqlType, SqlValue};
@@ -40,12 +40,12 @@
     ]
 }
 
-/// Appends the end of a request.
+/// Appends `ReadyForQuery`, which ends the response to a request.
 pub(crate) fn put_ready(status: TransactionStatus, out: &mut BytesMut) {
     put(&ReadyForQuery::new(status), out);
 }
 
-/// Appends the end of a statement; `sent` is the number of rows that went out.
+/// Appends `CommandComplete`; `sent` is the number of rows that were sent.
 pub(crate) fn put_complete(tag: CommandTag, sent: u64, out: &mut BytesMut) {
     let text = match tag {
         CommandTag::Plain(name) => name.to_owned(),
@@ -55,7 +55,7 @@
     put(&CommandComplete::new(text), out);
 }
 
-/// Whether the column at `index` travels in binary form.
+/// Returns whether the column at `index` has the binary format.
 pub(crate) fn is_binary(formats: &[i16], index: usize) -> bool {
     match formats {
         [] => false,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Appends the description of a result, or that there is none.
+/// Appends the description of a result's columns, or `NoData` for a statement without a result.
 pub(crate) fn put_columns(columns: Option<&[OutputColumn]>, formats: &[i16], out: &mut BytesMut) {
     let Some(columns) = columns else { return put(&NoData::new(), out) };
     let fields = columns.iter().enumerate().map(|(index, column)| {
@@ -75,7 +75,7 @@
     put(&RowDescription::new(fields.collect()), out);
 }
 
-/// Appends the types of parameters.
+/// Appends the types of a statement's parameters.
 pub(crate) fn put_parameters(kinds: &[SqlType], out: &mut BytesMut) {
     let oids = kinds.iter().map(|kind| kind.oid()).collect();
     put(&ParameterDescription::new(oids), out);
@@ -83,7 +83,7 @@
 
 /// Appends a data row.
 ///
-/// Rows are most of the traffic, so they are written straight into the buffer; the length is
+/// Rows are most of the traffic, so they are encoded directly into the buffer; the length is
 /// filled in afterwards.
 pub(crate) fn put_row(
     row: &[SqlValue],
--- a/crates/rudder-standins/src/group/wire/extended.rs
+++ b/crates/rudder-standins/src/group/wire/extended.rs
@@ -1,4 +1,4 @@
-//! The extended query protocol: prepared statements, portals, batches.
+//! Extended query protocol: prepared statements, portals and batches.
 
 use super::encode::{is_binary, put, put_columns, put_complete, put_error, put_parameters};
 use super::session::{BlockState, BoundParameters, ClientSession, StatementError};
@@ -31,7 +31,7 @@
     }
 }
 
-/// A statement with its parameters, and its answer once it runs.
+/// Prepared statement with bound parameters, and its result once it has run.
 #[derive(Debug)]
 pub(crate) struct QueryPortal {
     statement: Arc<PreparedStatement>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Forgets one statement, or all.
+    /// Removes one statement, or all if no name is given.
     pub(crate) fn deallocate(&mut self, name: Option<&str>) -> Result<(), SqlError> {
         let Some(name) = name else {
             self.entries.clear();
@@ -121,21 +121,21 @@
         }
     }
 
-    /// Closes all portals, as the end of a transaction does.
+    /// Closes all portals, as at the end of a transaction.
     pub(crate) fn clear(&mut self) {
         self.entries.clear();
     }
 }
 
 impl ClientSession {
-    /// Answers a message of the extended protocol.
+    /// Handles a message of the extended protocol.
     pub(crate) async fn extended_message(&mut self, message: FrontendMessage) -> io::Result<()> {
         if let FrontendMessage::Sync(_) = message {
             self.sync();
             return Ok(());
         }
-        // After an error the rest of the batch must not run: its statements were sent in the
-        // belief that the earlier ones succeeded.
+        // After an error the rest of the batch must not run, since the client sent it on the
+        // assumption that the earlier statements succeed.
         if self.skipping {
             return Ok(());
         }
@@ -178,7 +178,7 @@
         self.ready();
     }
 
-    /// The tables as the next statement would see them.
+    /// Returns the tables as visible to the next statement.
     fn visible_tables(&self) -> GroupDatabase {
         match &self.transaction {
             Some(transaction) => transaction.work.clone(),
@@ -247,7 +247,7 @@
 
     fn close(&mut self, close: &Close) {
         let name = close.name.as_deref().unwrap_or_default();
-        // Closing what does not exist is not an error in this protocol.
+        // In this protocol it is no error to close a statement or portal that does not exist.
         if close.target_type == TARGET_TYPE_BYTE_STATEMENT {
             let _ = self.statements.deallocate(Some(name));
         } else {
@@ -296,10 +296,11 @@
         Ok(())
     }
 
-    /// Whether the batch ends after this message, so that its only statement may commit at once.
+    /// Returns whether the batch ends after this message, so that its only statement may run and
+    /// commit in one step.
     ///
-    /// Waiting for the next message cannot deadlock: a client that awaits the answer must send
-    /// `Sync` or `Flush`.
+    /// Waiting for the next message cannot deadlock: a client that waits for the response must have
+    /// sent `Sync` or `Flush`.
     async fn ends_batch(&mut self) -> io::Result<bool> {
         if self.block != BlockState::None || self.transaction.is_some() {
             return Ok(false);
--- a/crates/rudder-standins/src/group/wire/login.rs
+++ b/crates/rudder-standins/src/group/wire/login.rs
@@ -1,4 +1,4 @@
-//! Proof of a password by SCRAM.
+//! Password authentication by SCRAM-SHA-256.
 
 use super::client::ClientStream;
 use super::encode::put;
@@ -11,10 +11,10 @@
 use pgwire::messages::startup::{Authentication, PasswordMessageFamily};
 use std::io;
 
-/// Bytes of salt, as the database itself uses.
+/// Length of the salt in bytes, as PostgreSQL uses.
 const SALT_BYTES: usize = 16;
 
-/// Lets the client prove that it knows the password; the password itself never travels.
+/// Authenticates the client by SCRAM, which does not transmit the password.
 pub(crate) async fn prove_password(
     client: &mut ClientStream,
     password: &str,
--- a/crates/rudder-standins/src/group/wire/mod.rs
+++ b/crates/rudder-standins/src/group/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Sessions with clients, over PostgreSQL 3.0.
+//! Client sessions over the PostgreSQL 3.0 protocol.
 
 pub(crate) mod block;
 pub(crate) mod cancel;
--- a/crates/rudder-standins/src/group/wire/session.rs
+++ b/crates/rudder-standins/src/group/wire/session.rs
@@ -1,4 +1,4 @@
-//! A session: its transaction state, and the running of single statements.
+//! Client session: transaction state and execution of single statements.
 
 use super::cancel::CancelKey;
 use super::client::ClientStream;
@@ -24,20 +24,20 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Whether the client opened a transaction block.
+/// State of the session's transaction block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BlockState {
-    /// Statements commit on their own, or at the end of their message or batch.
+    /// No block: statements commit at the end of their message or batch.
     None,
     Open,
-    /// A statement failed: only the end of the block, or a return to a savepoint, is accepted.
+    /// A statement failed: only the end of the block or a rollback to a savepoint is accepted.
     Failed,
 }
 
-/// Why a session could not go on with a statement.
+/// Failure of a statement or of its connection.
 #[derive(Debug)]
 pub(crate) enum StatementError {
-    /// The statement failed; the session goes on.
+    /// The statement failed; the session continues.
     Sql(SqlError),
     /// The connection failed.
     Connection(io::Error),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A statement's values of parameters with their types.
+/// Parameter values of a statement, with their types.
 #[derive(Clone, Debug)]
 pub(crate) struct BoundParameters {
     pub(crate) values: Arc<[SqlValue]>,
@@ -63,7 +63,7 @@
 }
 
 impl BoundParameters {
-    /// No parameters.
+    /// Creates an empty list of parameters.
     pub(crate) fn none() -> Self {
         Self { values: Arc::new([]), kinds: Arc::new([]) }
     }
@@ -79,22 +79,22 @@
     pub(crate) key: CancelKey,
     pub(crate) cancel: Arc<Notify>,
     pub(crate) settings: SessionSettings,
-    /// Settings to return to if the block is rolled back.
+    /// Settings before the block, restored by a rollback.
     pub(crate) settings_before: Option<SessionSettings>,
-    /// Settings to return to when the block ends in any way, from `SET LOCAL`.
+    /// Settings without the `SET LOCAL` changes of the block, restored by a commit.
     pub(crate) settings_local: Option<SessionSettings>,
     pub(crate) transaction: Option<OpenTransaction>,
     pub(crate) block: BlockState,
-    /// Whether the block was opened for reading only.
+    /// Whether the block was opened read-only.
     pub(crate) read_only: bool,
     pub(crate) statements: StatementTable,
     pub(crate) portals: PortalTable,
-    /// After an error in a batch, everything up to its end is skipped.
+    /// Set by an error in a batch: all messages up to `Sync` are ignored.
     pub(crate) skipping: bool,
 }
 
 impl ClientSession {
-    /// The status that ends each request.
+    /// Returns the transaction status for `ReadyForQuery`.
     pub(crate) fn status(&self) -> TransactionStatus {
         match self.block {
             BlockState::None => TransactionStatus::Idle,
@@ -103,13 +103,13 @@
         }
     }
 
-    /// Ends a request.
+    /// Appends `ReadyForQuery`.
     pub(crate) fn ready(&mut self) {
         put_ready(self.status(), &mut self.client.output);
     }
 
-    /// Runs one statement. `alone` says that nothing else belongs to its implicit transaction,
-    /// so that it may run and commit in one step.
+    /// Runs one statement. `alone` states that no other statement belongs to its implicit
+    /// transaction, so that it may run and commit in one step.
     pub(crate) async fn run(
         &mut self,
         plan: &StatementPlan,
@@ -119,8 +119,8 @@
         if self.block == BlockState::Failed && !plan.runs_in_failed() {
             return Err(SqlError::Aborted.into());
         }
-        // The member may have been frozen while the session waited for the client; what a frozen
-        // member is asked must not take effect before it wakes.
+        // The member may have been frozen while the session waited for the client. A statement
+        // sent to a frozen member must not take effect before it is thawed.
         self.member.wait_thawed().await;
         if plan.takes_slot() {
             self.occupy_and_run(plan, parameters, alone).await
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Records that a statement failed.
+    /// Aborts the implicit transaction or marks the block as failed, after a statement failed.
     pub(crate) fn fail(&mut self) {
         match self.block {
             BlockState::None => self.transaction = None,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Commits what belongs to the implicit transaction, at the end of a message or batch.
+    /// Commits the implicit transaction, at the end of a message or batch.
     pub(crate) fn end_implicit(&mut self) -> Result<(), SqlError> {
         if self.block != BlockState::None {
             return Ok(());
@@ -186,7 +186,7 @@
         Ok(answer)
     }
 
-    /// Waits for `work` unless the client cancels the statement or its timeout passes.
+    /// Waits for `work` until the client cancels the statement or its timeout expires.
     async fn cancellable<T>(&self, work: impl Future<Output = T>) -> Result<T, SqlError> {
         let timeout = self.settings.statement_timeout();
         let timer = async {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// What statements run with.
+    /// Creates the scope in which statements run.
     pub(crate) fn scope(&self, parameters: &BoundParameters) -> RunScope {
         RunScope {
             parameters: Arc::clone(&parameters.values),
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Runs and commits a single statement under the member's lock, so that it sees and changes
-    /// the newest rows and cannot conflict.
+    /// Runs and commits a single statement under the member's lock, so that it reads and changes
+    /// the latest rows and cannot conflict.
     fn run_and_commit(
         &mut self,
         plan: &StatementPlan,
@@ -254,7 +254,7 @@
         Ok(answer)
     }
 
-    /// The open transaction, begun now if there is none.
+    /// Returns the open transaction; begins one if there is none.
     pub(crate) fn open_transaction(&mut self) -> &mut OpenTransaction {
         let fresh = match self.transaction.take() {
             Some(transaction) => transaction,
@@ -263,12 +263,12 @@
         self.transaction.insert(fresh)
     }
 
-    /// A transaction over the newest rows, apart from the session's own.
+    /// Begins a transaction on the latest rows, independent of the session's open one.
     fn snapshot(&self) -> OpenTransaction {
         lock(&self.member.state).begin()
     }
 
-    /// Notes whether the member is a replica, for the functions that tell it.
+    /// Updates the member's role in the session data, for functions such as `pg_is_in_recovery`.
     fn note_role(&mut self) {
         let replica = self.member.is_replica();
         if replica != self.facts.replica {
@@ -331,7 +331,7 @@
         }
     }
 
-    /// The value of a setting, or of what `SHOW` tells besides settings.
+    /// Returns the value of a setting or of a status that `SHOW` reports.
     fn shown(&self, name: &str) -> Result<&str, SqlError> {
         let flag = match name {
             "transaction_read_only" => self.read_only || self.member.is_replica(),
@@ -341,14 +341,14 @@
         Ok(if flag { "on" } else { "off" })
     }
 
-    /// Tells the client of changed settings.
+    /// Reports changed settings to the client.
     pub(crate) fn report(&mut self, reports: impl IntoIterator<Item = (String, String)>) {
         for (name, value) in reports {
             put(&ParameterStatus::new(name, value), &mut self.client.output);
         }
     }
 
-    /// Sends an answer's notices.
+    /// Sends the notices of a result.
     pub(crate) fn send_notices(&mut self, answer: &StatementAnswer) {
         for notice in &answer.notices {
             put_notice(notice, &mut self.client.output);
@@ -369,7 +369,7 @@
     StatementAnswer::rows(status_columns(), vec![row])
 }
 
-/// How long a `pg_sleep` among the columns waits.
+/// Returns the duration of a `pg_sleep` among the columns.
 fn sleep_time(plan: &StatementPlan, scope: &RunScope) -> Result<Duration, SqlError> {
     let StatementPlan::Select(select) = plan else { return Ok(Duration::ZERO) };
     let Some(sleep) = &select.sleep else { return Ok(Duration::ZERO) };
--- a/crates/rudder-standins/src/group/wire/session_settings.rs
+++ b/crates/rudder-standins/src/group/wire/session_settings.rs
@@ -1,11 +1,11 @@
-//! The settings of a session: `SET`, `RESET`, `SHOW`.
+//! Session settings: `SET`, `RESET` and `SHOW`.
 
 use crate::group::sql::error::SqlError;
 use crate::group::sql::scalar::SERVER_VERSION;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings with their defaults and whether changes are reported to the client, by name.
+/// Known settings sorted by name: name, default, and whether changes are reported to the client.
 const KNOWN_SETTINGS: [(&str, &str, bool); 18] = [
     ("application_name", "", true),
     ("client_encoding", "UTF8", true),
@@ -27,26 +27,26 @@
     ("transaction_isolation", "repeatable read", false),
 ];
 
-/// The names under which some settings are reported, where they differ from the lower-case one.
+/// Names of reported settings whose reported form is not lower case.
 const REPORTED_NAMES: [(&str, &str); 3] =
     [("datestyle", "DateStyle"), ("intervalstyle", "IntervalStyle"), ("timezone", "TimeZone")];
 
-/// The settings that a session changed, sorted by name.
+/// Settings that a session changed, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SessionSettings {
-    /// What `RESET` returns to, from the startup message.
+    /// Values of the startup message, restored by `RESET`.
     initial: Vec<(Arc<str>, Arc<str>)>,
     current: Vec<(Arc<str>, Arc<str>)>,
 }
 
 impl SessionSettings {
-    /// Settings as the startup message gave them.
+    /// Creates the settings given in the startup message.
     pub(crate) fn new(mut initial: Vec<(Arc<str>, Arc<str>)>) -> Self {
         initial.sort();
         Self { current: initial.clone(), initial }
     }
 
-    /// The value of a setting.
+    /// Returns the value of a setting.
     pub(crate) fn get(&self, name: &str) -> Result<&str, SqlError> {
         if let Ok(index) = find(&self.current, name) {
             return Ok(&self.current[index].1);
@@ -56,7 +56,7 @@
             .ok_or_else(|| SqlError::UnknownParameter(name.to_owned()))
     }
 
-    /// How long a statement may wait and run; none if it may take any time.
+    /// Returns the statement timeout, which includes the wait for a slot; `None` if it is disabled.
     pub(crate) fn statement_timeout(&self) -> Option<Duration> {
         let text = self.get("statement_timeout").ok()?;
         let digits = text.trim_end_matches(|character: char| !character.is_ascii_digit());
@@ -69,9 +69,10 @@
         if timeout.is_zero() { None } else { Some(timeout) }
     }
 
-    /// Changes a setting, or resets it; answers the report that the client must get, if any.
+    /// Changes a setting, or resets it if `value` is `None`; returns the name and value to report
+    /// to the client, if any.
     ///
-    /// Names with a dot belong to extensions and are accepted as they come.
+    /// Names with a dot belong to extensions and are always accepted.
     pub(crate) fn set(
         &mut self,
         name: &str,
@@ -95,13 +96,13 @@
         Ok(Some((reported_name(name), self.get(name)?.to_owned())))
     }
 
-    /// Returns to the settings of the startup message.
+    /// Restores the settings of the startup message; returns the changes to report.
     pub(crate) fn reset_all(&mut self) -> Vec<(String, String)> {
         let before = std::mem::replace(&mut self.current, self.initial.clone());
         self.changes_since(&before)
     }
 
-    /// Returns to earlier settings, as the end of a transaction does.
+    /// Restores earlier settings, as at the end of a transaction; returns the changes to report.
     pub(crate) fn restore(&mut self, earlier: Self) -> Vec<(String, String)> {
         let before = std::mem::replace(self, earlier);
         self.changes_since(&before.current)
@@ -120,7 +121,7 @@
             .collect()
     }
 
-    /// All settings that are reported to clients.
+    /// Returns all settings that are reported to clients.
     pub(crate) fn reports(&self) -> Vec<(String, String)> {
         let reported = KNOWN_SETTINGS.iter().filter(|(_, _, reported)| *reported);
         reported
--- a/crates/rudder-standins/src/group/wire/simple.rs
+++ b/crates/rudder-standins/src/group/wire/simple.rs
@@ -1,4 +1,4 @@
-//! The simple query protocol.
+//! Simple query protocol.
 
 use super::encode::{put, put_columns, put_complete, put_error, put_row};
 use super::session::{BoundParameters, ClientSession, StatementError};
@@ -9,7 +9,7 @@
 use std::io;
 
 impl ClientSession {
-    /// Answers a `Query` message: its statements are one implicit transaction.
+    /// Handles a `Query` message, whose statements form one implicit transaction.
     pub(crate) async fn simple_query(&mut self, text: &str) -> io::Result<()> {
         match self.simple_statements(text).await {
             Ok(()) => {}
@@ -39,8 +39,8 @@
         Ok(())
     }
 
-    /// Sends an answer; the implicit transaction is committed before its last statement is
-    /// reported complete.
+    /// Sends a result. The implicit transaction is committed before its last statement is reported
+    /// as complete.
     async fn send_simple(
         &mut self,
         plan: &StatementPlan,
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Sends up to `count` rows of an answer and tells how many went out.
+    /// Sends up to `count` rows of a result and returns the number of rows sent.
     pub(crate) async fn send_rows(
         &mut self,
         answer: &mut StatementAnswer,
@@ -80,7 +80,7 @@
         Ok(sent)
     }
 
-    /// Answers a message that breaks the protocol; the connection ends after it.
+    /// Reports a protocol violation; the caller then closes the connection.
     pub(crate) fn refuse(&mut self, error: &SqlError) {
         put_error("FATAL", error, &mut self.client.output);
     }
