--- a/crates/rudder-standins/src/group/handle.rs
+++ b/crates/rudder-standins/src/group/handle.rs
@@ -69,9 +69,9 @@
         }
         let members: Arc<[Arc<GroupMember>]> = members.into();
         for (index, listener) in listeners.into_iter().enumerate() {
-            if let Some(life) = members[index].begin_life() {
-                let listening = listen(Arc::clone(&members), index, Some(listener), life);
-                tokio::spawn(listening);
+            if let Some(run_token) = members[index].mark_started() {
+                let listen_task = listen(Arc::clone(&members), index, Some(listener), run_token);
+                tokio::spawn(listen_task);
             }
             tokio::spawn(replicate(Arc::clone(&members), index));
         }
@@ -168,7 +168,7 @@
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn turn(&self, member: &MemberName, knob: MemberKnob) -> Result<(), GroupError> {
-        turn_knob(&self.members, find(&self.members, member)?, &knob);
+        apply_knob(&self.members, find(&self.members, member)?, &knob);
         Ok(())
     }
 }
@@ -200,24 +200,24 @@
         .ok_or_else(|| GroupError::UnknownMember(name.clone()))
 }
 
-fn turn_knob(members: &Arc<[Arc<GroupMember>]>, member: &Arc<GroupMember>, knob: &MemberKnob) {
+fn apply_knob(members: &Arc<[Arc<GroupMember>]>, member: &Arc<GroupMember>, knob: &MemberKnob) {
     match knob {
-        MemberKnob::Kill => member.end_life(),
+        MemberKnob::Kill => member.mark_stopped(),
         MemberKnob::Restart => restart(members, member),
-        knob => member.turn(knob),
+        knob => member.apply_knob(knob),
     }
 }
 
 fn restart(members: &Arc<[Arc<GroupMember>]>, member: &Arc<GroupMember>) {
-    let Some(life) = member.begin_life() else { return };
+    let Some(run_token) = member.mark_started() else { return };
     lock(&member.state).restart();
     let Some(index) = members.iter().position(|other| Arc::ptr_eq(other, member)) else { return };
-    tokio::spawn(listen(Arc::clone(members), index, None, life));
-    member.shared.touch();
+    tokio::spawn(listen(Arc::clone(members), index, None, run_token));
+    member.shared.notify_replication();
 }
 
 /// Applies a knob that was received as an SQL statement.
-pub(crate) fn turn_by_sql(
+pub(crate) fn apply_knob_command(
     members: &Arc<[Arc<GroupMember>]>,
     receiver: &Arc<GroupMember>,
     command: &KnobCommand,
@@ -228,7 +228,7 @@
             find(members, name).map_err(|error| SqlError::InvalidControl(error.to_string()))?
         }
     };
-    turn_knob(members, member, &command.knob);
+    apply_knob(members, member, &command.knob);
     Ok(())
 }
 
@@ -237,13 +237,13 @@
     members: Arc<[Arc<GroupMember>]>,
     index: usize,
     listener: Option<TcpListener>,
-    life: CancellationToken,
+    run_token: CancellationToken,
 ) {
     let member = Arc::clone(&members[index]);
-    let accepting = async {
+    let accept_loop = async {
         let listener = match listener {
             Some(listener) => listener,
-            None => listen_again(member.address).await,
+            None => rebind_listener(member.address).await,
         };
         loop {
             match listener.accept().await {
@@ -251,8 +251,9 @@
                     // With Nagle's algorithm, small responses wait for the client's TCP
                     // acknowledgements.
                     if stream.set_nodelay(true).is_ok() {
-                        let client = ClientStream::new(Arc::clone(&member), stream, life.clone());
-                        spawn_connection(&members, &member, client, life.clone());
+                        let client =
+                            ClientStream::new(Arc::clone(&member), stream, run_token.clone());
+                        spawn_connection(&members, &member, client, run_token.clone());
                     }
                 }
                 Err(error) => {
@@ -263,12 +264,12 @@
         }
     };
     tokio::select! {
-        () = life.cancelled() => {}
-        () = accepting => {}
+        () = run_token.cancelled() => {}
+        () = accept_loop => {}
     }
 }
 
-async fn listen_again(address: SocketAddr) -> TcpListener {
+async fn rebind_listener(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
@@ -281,15 +282,15 @@
     members: &Arc<[Arc<GroupMember>]>,
     member: &Arc<GroupMember>,
     client: ClientStream,
-    life: CancellationToken,
+    run_token: CancellationToken,
 ) {
-    let serving = serve_connection(Arc::clone(members), Arc::clone(member), client);
+    let connection_task = serve_connection(Arc::clone(members), Arc::clone(member), client);
     tokio::spawn(async move {
         tokio::select! {
             biased;
-            () = life.cancelled() => {}
+            () = run_token.cancelled() => {}
             // A lost client connection is not an error of the member.
-            _ = serving => {}
+            _ = connection_task => {}
         }
     });
 }
--- a/crates/rudder-standins/src/group/log.rs
+++ b/crates/rudder-standins/src/group/log.rs
@@ -8,7 +8,7 @@
 
 /// Number of applied entries between two snapshots of the tables. A truncation restores the last
 /// snapshot and replays the entries after it, so this bounds the number of replayed entries.
-const CHECKPOINT_ENTRIES: usize = 1024;
+const CHECKPOINT_INTERVAL: usize = 1024;
 
 /// One committed transaction, or the empty entry that a promotion appends.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     database: GroupDatabase,
     checkpoints: Vec<(usize, GroupDatabase)>,
     /// Receipt times of the entries that are not applied yet.
-    waiting: VecDeque<Instant>,
+    receipt_times: VecDeque<Instant>,
 }
 
 impl MemberLog {
@@ -71,7 +71,7 @@
     ///
     /// A term has only one primary, which assigns each position once. Logs that agree on the stamp
     /// of one entry therefore agree on all entries before it, so the search starts at the end.
-    pub(crate) fn shared_with(&self, other: &MemberLog) -> usize {
+    pub(crate) fn common_prefix(&self, other: &MemberLog) -> usize {
         let shorter = self.entries.len().min(other.entries.len());
         let agree = |count: &usize| self.stamp_at(*count) == other.stamp_at(*count);
         (0..=shorter).rev().find(agree).unwrap_or(0)
@@ -79,7 +79,7 @@
 
     /// Appends and applies an entry on the primary. `database` holds the tables after the entry, if
     /// the caller has computed them.
-    pub(crate) fn append_own(
+    pub(crate) fn append_as_primary(
         &mut self,
         term: LogTerm,
         effects: Vec<RowEffect>,
@@ -93,34 +93,34 @@
         }
         self.entries.push(Arc::new(entry));
         self.applied = self.entries.len();
-        self.keep_checkpoint();
+        self.save_checkpoint();
         stamp
     }
 
     /// Appends an entry fetched from another member, to be applied later.
     pub(crate) fn receive(&mut self, entry: Arc<LogEntry>, now: Instant) {
         self.entries.push(entry);
-        self.waiting.push_back(now);
+        self.receipt_times.push_back(now);
     }
 
     /// Returns the receipt time of the next entry to apply.
-    pub(crate) fn next_waiting(&self) -> Option<Instant> {
-        self.waiting.front().copied()
+    pub(crate) fn next_unapplied(&self) -> Option<Instant> {
+        self.receipt_times.front().copied()
     }
 
     /// Applies the next entry that is not applied yet, if any.
     pub(crate) fn apply_next(&mut self) {
-        if self.waiting.pop_front().is_none() {
+        if self.receipt_times.pop_front().is_none() {
             return;
         }
         apply_entry(&mut self.database, &self.entries[self.applied]);
         self.applied += 1;
-        self.keep_checkpoint();
+        self.save_checkpoint();
     }
 
     /// Applies all received entries, as a promotion does before the member accepts writes.
     pub(crate) fn apply_all(&mut self) {
-        while !self.waiting.is_empty() {
+        while !self.receipt_times.is_empty() {
             self.apply_next();
         }
     }
@@ -129,10 +129,10 @@
     pub(crate) fn truncate(&mut self, count: usize) {
         self.entries.truncate(count);
         if self.applied <= count {
-            self.waiting.truncate(count - self.applied);
+            self.receipt_times.truncate(count - self.applied);
             return;
         }
-        self.waiting.clear();
+        self.receipt_times.clear();
         self.checkpoints.retain(|(applied, _)| *applied <= count);
         let (start, mut database) = self.checkpoints.last().cloned().unwrap_or_default();
         for entry in &self.entries[start..] {
@@ -142,8 +142,8 @@
         self.applied = count;
     }
 
-    fn keep_checkpoint(&mut self) {
-        if self.applied.is_multiple_of(CHECKPOINT_ENTRIES) {
+    fn save_checkpoint(&mut self) {
+        if self.applied.is_multiple_of(CHECKPOINT_INTERVAL) {
             self.checkpoints.push((self.applied, self.database.clone()));
         }
     }
--- a/crates/rudder-standins/src/group/member.rs
+++ b/crates/rudder-standins/src/group/member.rs
@@ -2,7 +2,7 @@
 
 use super::knob::MemberKnob;
 use super::settings::{GroupSettings, MemberSettings};
-use super::slots::{ServiceTimes, SlotGate, lock};
+use super::slots::{ServiceTimes, SlotPool, lock};
 use super::state::{GroupRole, MemberState};
 use crate::group::sql::cache::PlanCache;
 use crate::group::sql::error::SqlError;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct GroupShared {
     /// Counts the changes that replication tasks may have to act on.
-    pub(crate) activity: watch::Sender<u64>,
+    pub(crate) change_count: watch::Sender<u64>,
     pub(crate) cache: PlanCache,
     pub(crate) sequence: Arc<AtomicI64>,
     pub(crate) next_pid: AtomicI32,
@@ -41,7 +41,7 @@
     /// Creates the shared data of a new group.
     pub(crate) fn new(password: Option<String>) -> Self {
         Self {
-            activity: watch::Sender::new(0),
+            change_count: watch::Sender::new(0),
             cache: PlanCache::default(),
             sequence: Arc::new(AtomicI64::new(0)),
             next_pid: AtomicI32::new(1),
@@ -51,8 +51,8 @@
     }
 
     /// Wakes the replication tasks of all members after a change.
-    pub(crate) fn touch(&self) {
-        self.activity.send_modify(|count| *count = count.wrapping_add(1));
+    pub(crate) fn notify_replication(&self) {
+        self.change_count.send_modify(|count| *count = count.wrapping_add(1));
     }
 }
 
@@ -63,8 +63,8 @@
     pub(crate) address: SocketAddr,
     pub(crate) shared: Arc<GroupShared>,
     pub(crate) state: Mutex<MemberState>,
-    pub(crate) slots: SlotGate,
-    pub(crate) cancels: CancelRegistry,
+    pub(crate) slots: SlotPool,
+    pub(crate) cancel_registry: CancelRegistry,
     pub(crate) replication: Mutex<ReplicationKnobs>,
     pub(crate) connections: AtomicU32,
     pub(crate) connections_max: AtomicU32,
@@ -72,7 +72,7 @@
     frozen: AtomicBool,
     thawed: watch::Sender<bool>,
     /// Cancelled when the member is killed; `None` while it is down.
-    life: Mutex<Option<CancellationToken>>,
+    run_token: Mutex<Option<CancellationToken>>,
 }
 
 impl GroupMember {
@@ -92,8 +92,8 @@
             address,
             shared,
             state: Mutex::new(state),
-            slots: SlotGate::new(group.slots.0 as usize, times, seed),
-            cancels: CancelRegistry::default(),
+            slots: SlotPool::new(group.slots.0 as usize, times, seed),
+            cancel_registry: CancelRegistry::default(),
             replication: Mutex::new(ReplicationKnobs {
                 apply_lag: group.apply_lag,
                 link_delay: group.link_delay,
@@ -105,7 +105,7 @@
             connect_time: Mutex::new(group.connect_time),
             frozen: AtomicBool::new(false),
             thawed: watch::Sender::new(true),
-            life: Mutex::new(None),
+            run_token: Mutex::new(None),
         }
     }
 
@@ -140,7 +140,7 @@
             role:% = status.role, received:% = status.received;
             "control statement"
         );
-        self.shared.touch();
+        self.shared.notify_replication();
         Ok(status)
     }
 
@@ -152,7 +152,7 @@
         let changes = !transaction.effects.is_empty();
         let stamp = lock(&self.state).commit(transaction)?;
         if changes {
-            self.shared.touch();
+            self.shared.notify_replication();
         }
         Ok(stamp)
     }
@@ -178,32 +178,32 @@
     }
 
     /// Returns whether the member is running.
-    pub(crate) fn is_alive(&self) -> bool {
-        lock(&self.life).is_some()
+    pub(crate) fn is_running(&self) -> bool {
+        lock(&self.run_token).is_some()
     }
 
     /// Marks the member as running and returns a token that is cancelled when it is killed; `None`
     /// if it is already running.
-    pub(crate) fn begin_life(&self) -> Option<CancellationToken> {
-        let mut life = lock(&self.life);
-        if life.is_some() {
+    pub(crate) fn mark_started(&self) -> Option<CancellationToken> {
+        let mut run_token = lock(&self.run_token);
+        if run_token.is_some() {
             return None;
         }
         let token = self.shared.stop.child_token();
-        *life = Some(token.clone());
+        *run_token = Some(token.clone());
         Some(token)
     }
 
     /// Stops the member's listener and connections.
-    pub(crate) fn end_life(&self) {
-        if let Some(token) = lock(&self.life).take() {
+    pub(crate) fn mark_stopped(&self) {
+        if let Some(token) = lock(&self.run_token).take() {
             token.cancel();
         }
-        self.shared.touch();
+        self.shared.notify_replication();
     }
 
     /// Applies a knob that neither starts nor stops tasks.
-    pub(crate) fn turn(&self, knob: &MemberKnob) {
+    pub(crate) fn apply_knob(&self, knob: &MemberKnob) {
         log::info!(target: "rudder::standins", member:% = self.name, knob:? = knob; "knob turned");
         match knob {
             MemberKnob::ApplyLag(lag) => lock(&self.replication).apply_lag = *lag,
@@ -214,8 +214,8 @@
                 self.frozen.store(*frozen, Ordering::Release);
                 self.thawed.send_replace(!frozen);
             }
-            MemberKnob::Speed(speed) => self.slots.adjust(|times| times.speed = *speed),
-            MemberKnob::ServiceTime(mean, spread) => self.slots.adjust(|times| {
+            MemberKnob::Speed(speed) => self.slots.update_times(|times| times.speed = *speed),
+            MemberKnob::ServiceTime(mean, spread) => self.slots.update_times(|times| {
                 times.mean = *mean;
                 times.spread = *spread;
             }),
@@ -226,6 +226,6 @@
             MemberKnob::ConnectTime(time) => *lock(&self.connect_time) = *time,
             MemberKnob::Kill | MemberKnob::Restart => {}
         }
-        self.shared.touch();
+        self.shared.notify_replication();
     }
 }
--- a/crates/rudder-standins/src/group/replication.rs
+++ b/crates/rudder-standins/src/group/replication.rs
@@ -61,45 +61,45 @@
 pub(crate) async fn replicate(members: Arc<[Arc<GroupMember>]>, index: usize) {
     let member = &members[index];
     let stop = member.shared.stop.clone();
-    let mut activity = member.shared.activity.subscribe();
+    let mut change_count = member.shared.change_count.subscribe();
     let mut flight = EntryFlight::default();
     loop {
-        activity.borrow_and_update();
-        let wake = step(&members, index, &mut flight, Instant::now());
+        change_count.borrow_and_update();
+        let next_due = run_step(&members, index, &mut flight, Instant::now());
         let timer = async {
-            match wake {
+            match next_due {
                 Some(due) => tokio::time::sleep_until(due).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             () = stop.cancelled() => return,
-            _ = activity.changed() => {}
+            _ = change_count.changed() => {}
             () = timer => {}
         }
     }
 }
 
 /// Performs all due work and returns the time at which the next work is due.
-fn step(
+fn run_step(
     members: &[Arc<GroupMember>],
     index: usize,
     flight: &mut EntryFlight,
     now: Instant,
 ) -> Option<Instant> {
     let member = &members[index];
-    if !member.is_alive() || member.is_frozen() {
+    if !member.is_running() || member.is_frozen() {
         flight.reset(None);
         return None;
     }
     let knobs = lock(&member.replication).clone();
-    let mut more = false;
+    let mut has_more = false;
     if !knobs.paused {
-        more = fetch(members, index, flight, &knobs, now);
+        has_more = fetch(members, index, flight, &knobs, now);
         deliver(member, flight, now);
     }
     let next_apply = apply(member, &knobs, now);
-    if more && flight.items.len() < FETCH_ENTRIES {
+    if has_more && flight.items.len() < FETCH_ENTRIES {
         return Some(now);
     }
     let next_item = flight.items.front().filter(|_| !knobs.paused).map(|(due, _)| *due);
@@ -127,31 +127,31 @@
         flight.reset(Some(key));
         return false;
     }
-    if !leader.is_alive() || leader.is_frozen() {
+    if !leader.is_running() || leader.is_frozen() {
         return false;
     }
     if flight.items.len() >= FETCH_ENTRIES {
         return true;
     }
-    let (own, leading) = lock_both(member, leader);
+    let (own, leader_state) = lock_both(member, leader);
     // A superseded primary may still have new entries. Entries are fetched only from a member
     // whose accepted term equals the follower's.
-    if !leading.ships(key.term) {
+    if !leader_state.serves_entries(key.term) {
         return false;
     }
     let sent = match flight.sent {
         Some(sent) => sent,
         None => {
-            let shared = own.log.shared_with(&leading.log);
-            if shared < own.log.len() {
-                flight.push(now + knobs.link_delay, FlightItem::Truncate(shared));
+            let common = own.log.common_prefix(&leader_state.log);
+            if common < own.log.len() {
+                flight.push(now + knobs.link_delay, FlightItem::Truncate(common));
             }
             flight.last_due = Some(now + knobs.link_delay);
-            shared
+            common
         }
     };
-    let mut previous = leading.log.stamp_at(sent);
-    let entries = leading.log.entries_after(sent, FETCH_ENTRIES);
+    let mut previous = leader_state.log.stamp_at(sent);
+    let entries = leader_state.log.entries_after(sent, FETCH_ENTRIES);
     for entry in entries {
         let due = (entry.appended + knobs.link_delay).max(now);
         flight.push(due, FlightItem::Entry { previous, entry: Arc::clone(entry) });
@@ -214,7 +214,7 @@
 
 fn apply(member: &GroupMember, knobs: &ReplicationKnobs, now: Instant) -> Option<Instant> {
     let mut state = lock(&member.state);
-    while let Some(received) = state.log.next_waiting() {
+    while let Some(received) = state.log.next_unapplied() {
         let due = received + knobs.apply_lag;
         if due > now {
             return Some(due);
--- a/crates/rudder-standins/src/group/replication/tests.rs
+++ b/crates/rudder-standins/src/group/replication/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of single replication steps at explicit times.
 
-use super::{EntryFlight, deliver, step};
+use super::{EntryFlight, deliver, run_step};
 use crate::group::member::{GroupMember, GroupShared};
 use crate::group::settings::GroupSettings;
 use crate::group::slots::lock;
@@ -29,7 +29,7 @@
         };
         let own = &settings.members[index];
         let member = GroupMember::new(own, &settings, own.listen, state, Arc::clone(&shared), 1);
-        member.begin_life().unwrap();
+        member.mark_started().unwrap();
         Arc::new(member)
     };
     (0..3).map(member).collect()
@@ -38,7 +38,7 @@
 fn append(member: &GroupMember) {
     let mut state = lock(&member.state);
     let term = state.accepted;
-    state.log.append_own(term, Vec::new(), None);
+    state.log.append_as_primary(term, Vec::new(), None);
 }
 
 fn received(member: &GroupMember) -> LogStamp {
@@ -46,17 +46,17 @@
 }
 
 #[test]
-fn entries_come_after_the_link_delay_and_apply_after_the_lag() {
+fn entries_arrive_after_link_delay_and_apply_after_lag() {
     let members = members();
     append(&members[0]);
     let mut flight = EntryFlight::default();
     let start = Instant::now();
 
-    let due = step(&members, 1, &mut flight, start).unwrap();
+    let due = run_step(&members, 1, &mut flight, start).unwrap();
     let before = received(&members[1]);
-    let apply_due = step(&members, 1, &mut flight, due).unwrap();
+    let apply_due = run_step(&members, 1, &mut flight, due).unwrap();
     let between = members[1].status();
-    step(&members, 1, &mut flight, apply_due);
+    run_step(&members, 1, &mut flight, apply_due);
 
     assert!(due >= start + LINK_DELAY && apply_due == due + APPLY_LAG);
     assert_eq!((before, between.received), (LogStamp::default(), LogStamp::new(1, 1)));
@@ -68,16 +68,16 @@
 /// entry still arrived, its writer could count it as replicated to a majority although the
 /// promotion that polled this status has not seen it.
 #[test]
-fn entries_in_flight_do_not_outlive_a_fence() {
+fn fence_drops_entries_in_flight() {
     let members = members();
     append(&members[0]);
     let mut flight = EntryFlight::default();
-    let due = step(&members, 1, &mut flight, Instant::now()).unwrap();
+    let due = run_step(&members, 1, &mut flight, Instant::now()).unwrap();
     assert_eq!(flight.items.len(), 1);
 
     members[1].control(&ControlStatement::Fence(LogTerm(2))).unwrap();
     deliver(&members[1], &mut flight, due);
-    step(&members, 1, &mut flight, due);
+    run_step(&members, 1, &mut flight, due);
 
     assert_eq!(received(&members[1]), LogStamp::default());
 }
@@ -85,30 +85,30 @@
 /// A member that accepted a new term still follows the superseded primary of the old term, which
 /// continues to append. The member must not fetch these entries under the new term.
 #[test]
-fn a_superseded_primary_cannot_push() {
+fn superseded_primary_cannot_replicate() {
     let members = members();
     append(&members[0]);
     let old = members[0].name.clone();
     members[1].control(&ControlStatement::Follow(LogTerm(2), old)).unwrap();
     let mut flight = EntryFlight::default();
 
-    let wake = step(&members, 1, &mut flight, Instant::now());
+    let next_due = run_step(&members, 1, &mut flight, Instant::now());
 
-    assert_eq!((wake, flight.items.len()), (None, 0));
+    assert_eq!((next_due, flight.items.len()), (None, 0));
 }
 
 #[test]
-fn a_cut_link_loses_what_is_on_its_way_and_sends_it_again() {
+fn cut_link_drops_and_resends_entries_in_flight() {
     let members = members();
     append(&members[0]);
     let mut flight = EntryFlight::default();
-    let due = step(&members, 1, &mut flight, Instant::now()).unwrap();
+    let due = run_step(&members, 1, &mut flight, Instant::now()).unwrap();
 
     lock(&members[0].replication).cut = true;
-    let cut = step(&members, 1, &mut flight, due);
+    let cut = run_step(&members, 1, &mut flight, due);
     lock(&members[0].replication).cut = false;
-    let again = step(&members, 1, &mut flight, due).unwrap();
-    step(&members, 1, &mut flight, again);
+    let again = run_step(&members, 1, &mut flight, due).unwrap();
+    run_step(&members, 1, &mut flight, again);
 
     assert_eq!(cut, None);
     assert_eq!(received(&members[1]), LogStamp::new(1, 1));
@@ -117,7 +117,7 @@
 /// A follower that lags by more entries than one fetch returns must receive all of them, even if
 /// the primary appends nothing new.
 #[test]
-fn a_follower_catches_up_in_several_parts() {
+fn follower_catches_up_in_several_fetches() {
     let members = members();
     let entries = 3 * super::FETCH_ENTRIES as u64 + 7;
     for _ in 0..entries {
@@ -126,9 +126,9 @@
     lock(&members[1].replication).apply_lag = Duration::ZERO;
     let mut flight = EntryFlight::default();
 
-    let mut wake = step(&members, 1, &mut flight, Instant::now());
-    while let Some(due) = wake {
-        wake = step(&members, 1, &mut flight, due);
+    let mut next_due = run_step(&members, 1, &mut flight, Instant::now());
+    while let Some(due) = next_due {
+        next_due = run_step(&members, 1, &mut flight, due);
     }
 
     assert_eq!(members[1].status().applied, LogStamp::new(1, entries));
@@ -137,7 +137,7 @@
 /// A follower that applied many entries of a lost primary must revert its tables to the last entry
 /// in common with its new leader. The truncation restores a snapshot and replays from there.
 #[test]
-fn truncation_returns_to_the_shared_entry() {
+fn truncation_reverts_to_common_entry() {
     let members = members();
     for _ in 0..3000 {
         append(&members[0]);
--- a/crates/rudder-standins/src/group/replication/tests/succession.rs
+++ b/crates/rudder-standins/src/group/replication/tests/succession.rs
@@ -1,6 +1,6 @@
 //! Random schedules of commits, faults and concurrent promotions must keep acknowledged entries.
 
-use super::{append, lock, members, step};
+use super::{append, lock, members, run_step};
 use crate::group::member::GroupMember;
 use crate::group::replication::EntryFlight;
 use rand::rngs::StdRng;
@@ -19,11 +19,11 @@
 /// Commit that waits for acknowledgement, and the member statuses polled after it.
 struct PendingCommit {
     stamp: LogStamp,
-    reports: Vec<(MemberName, MemberStatus)>,
+    statuses: Vec<(MemberName, MemberStatus)>,
 }
 
 /// Promotion in progress, carried out one step at a time.
-struct Promoter {
+struct PromotionAttempt {
     term: LogTerm,
     fenced: Vec<(usize, MemberStatus)>,
     leader: Option<usize>,
@@ -36,7 +36,7 @@
     now: Instant,
     commits: Vec<PendingCommit>,
     acknowledged: Vec<LogStamp>,
-    promoters: Vec<Promoter>,
+    attempts: Vec<PromotionAttempt>,
     promotions: usize,
 }
 
@@ -55,7 +55,7 @@
             now: Instant::now(),
             commits: Vec::new(),
             acknowledged: Vec::new(),
-            promoters: Vec::new(),
+            attempts: Vec::new(),
             promotions: 0,
         }
     }
@@ -64,11 +64,11 @@
         self.generator.random_range(0..self.members.len())
     }
 
-    fn operate(&mut self) {
+    fn run_operation(&mut self) {
         match self.generator.random_range(0..100) {
             0..20 => self.commit(),
             20..55 => self.replicate(),
-            55..80 => self.ask_report(),
+            55..80 => self.poll_status(),
             80..84 => self.toggle_cut(),
             84..86 => self.begin_promotion(),
             _ => self.advance_promotion(),
@@ -81,30 +81,31 @@
         if lock(&member.state).check_writable("INSERT").is_ok() {
             append(&member);
             let stamp = member.status().received;
-            self.commits.push(PendingCommit { stamp, reports: Vec::new() });
+            self.commits.push(PendingCommit { stamp, statuses: Vec::new() });
         }
     }
 
     fn replicate(&mut self) {
         let index = self.any_member();
         self.now += Duration::from_millis(self.generator.random_range(0..8));
-        step(&self.members, index, &mut self.flights[index], self.now);
+        run_step(&self.members, index, &mut self.flights[index], self.now);
     }
 
     /// Polls one member's status for all commits that wait for an acknowledgement.
-    fn ask_report(&mut self) {
+    fn poll_status(&mut self) {
         let index = self.any_member();
         let member = Arc::clone(&self.members[index]);
         let status = member.status();
         for commit in &mut self.commits {
-            commit.reports.retain(|(name, _)| *name != member.name);
-            commit.reports.push((member.name.clone(), status));
+            commit.statuses.retain(|(name, _)| *name != member.name);
+            commit.statuses.push((member.name.clone(), status));
         }
         let count = self.members.len();
-        let verdict = |commit: &PendingCommit| judge_commit(commit.stamp, count, &commit.reports);
-        let done = self.commits.iter().filter(|commit| verdict(commit) == AckVerdict::Acknowledged);
+        let decision = |commit: &PendingCommit| judge_commit(commit.stamp, count, &commit.statuses);
+        let done =
+            self.commits.iter().filter(|commit| decision(commit) == AckVerdict::Acknowledged);
         self.acknowledged.extend(done.map(|commit| commit.stamp));
-        self.commits.retain(|commit| verdict(commit) == AckVerdict::Waiting);
+        self.commits.retain(|commit| decision(commit) == AckVerdict::Waiting);
     }
 
     fn toggle_cut(&mut self) {
@@ -115,70 +116,70 @@
 
     fn begin_promotion(&mut self) {
         let highest = self.members.iter().map(|member| member.status().accepted).max().unwrap();
-        let planned = self.promoters.iter().map(|promoter| promoter.term).max();
+        let planned = self.attempts.iter().map(|attempt| attempt.term).max();
         let term = LogTerm(highest.max(planned.unwrap_or_default()).0 + 1);
-        self.promoters.push(Promoter { term, fenced: Vec::new(), leader: None });
+        self.attempts.push(PromotionAttempt { term, fenced: Vec::new(), leader: None });
     }
 
     /// Runs the next step of a promotion; a rejected control statement aborts it.
     fn advance_promotion(&mut self) {
-        if self.promoters.is_empty() {
+        if self.attempts.is_empty() {
             return;
         }
-        let chosen = self.generator.random_range(0..self.promoters.len());
-        let mut promoter = self.promoters.swap_remove(chosen);
+        let chosen = self.generator.random_range(0..self.attempts.len());
+        let mut attempt = self.attempts.swap_remove(chosen);
         let index = self.any_member();
-        let goes_on = match promoter.leader {
-            Some(leader) => self.point(&promoter, index, leader),
-            None if promoter.fenced.len() < majority_of(self.members.len()) => {
-                self.fence(&mut promoter, index)
+        let continues = match attempt.leader {
+            Some(leader) => self.redirect(&attempt, index, leader),
+            None if attempt.fenced.len() < majority_of(self.members.len()) => {
+                self.fence(&mut attempt, index)
             }
-            None => self.promote(&mut promoter),
+            None => self.promote(&mut attempt),
         };
-        if goes_on {
-            self.promoters.push(promoter);
+        if continues {
+            self.attempts.push(attempt);
         }
     }
 
-    fn fence(&self, promoter: &mut Promoter, index: usize) -> bool {
-        match self.members[index].control(&ControlStatement::Fence(promoter.term)) {
+    fn fence(&self, attempt: &mut PromotionAttempt, index: usize) -> bool {
+        match self.members[index].control(&ControlStatement::Fence(attempt.term)) {
             Ok(status) => {
-                promoter.fenced.retain(|(fenced, _)| *fenced != index);
-                promoter.fenced.push((index, status));
+                attempt.fenced.retain(|(fenced, _)| *fenced != index);
+                attempt.fenced.push((index, status));
                 true
             }
             Err(_) => false,
         }
     }
 
-    fn promote(&mut self, promoter: &mut Promoter) -> bool {
-        let best = promoter.fenced.iter().max_by_key(|(_, status)| status.received);
+    fn promote(&mut self, attempt: &mut PromotionAttempt) -> bool {
+        let best = attempt.fenced.iter().max_by_key(|(_, status)| status.received);
         let (leader, _) = *best.unwrap();
-        if self.members[leader].control(&ControlStatement::Promote(promoter.term)).is_err() {
+        if self.members[leader].control(&ControlStatement::Promote(attempt.term)).is_err() {
             return false;
         }
-        promoter.leader = Some(leader);
+        attempt.leader = Some(leader);
         self.promotions += 1;
-        self.check_kept(leader);
+        self.check_no_loss(leader);
         true
     }
 
-    fn point(&self, promoter: &Promoter, index: usize, leader: usize) -> bool {
+    fn redirect(&self, attempt: &PromotionAttempt, index: usize, leader: usize) -> bool {
         if index == leader {
             return true;
         }
         let name = self.members[leader].name.clone();
-        let follow = ControlStatement::Follow(promoter.term, name);
+        let follow = ControlStatement::Follow(attempt.term, name);
         self.members[index].control(&follow).is_ok()
     }
 
     /// Checks that the log of a new primary contains every acknowledged entry.
-    fn check_kept(&self, leader: usize) {
+    fn check_no_loss(&self, leader: usize) {
         let state = lock(&self.members[leader].state);
         for stamp in &self.acknowledged {
             let LogPosition(position) = stamp.position;
-            let kept = state.log.stamp_at(usize::try_from(position).unwrap());
-            assert_eq!(kept, *stamp, "an acknowledged entry was lost");
+            let found = state.log.stamp_at(usize::try_from(position).unwrap());
+            assert_eq!(found, *stamp, "an acknowledged entry was lost");
         }
     }
 }
@@ -192,7 +193,7 @@
     for seed in 0..SEEDS {
         let mut schedule = Schedule::new(seed);
         for _ in 0..OPERATIONS {
-            schedule.operate();
+            schedule.run_operation();
         }
         acknowledged += schedule.acknowledged.len();
         promotions += schedule.promotions;
--- a/crates/rudder-standins/src/group/slots.rs
+++ b/crates/rudder-standins/src/group/slots.rs
@@ -24,13 +24,13 @@
 
 /// Slots and service times of one member.
 #[derive(Debug)]
-pub(crate) struct SlotGate {
+pub(crate) struct SlotPool {
     semaphore: Mutex<Arc<Semaphore>>,
     times: Mutex<(ServiceTimes, StdRng)>,
     overshoot_nanos: AtomicI64,
 }
 
-impl SlotGate {
+impl SlotPool {
     /// Creates a pool of `slots` slots.
     pub(crate) fn new(slots: usize, times: ServiceTimes, seed: u64) -> Self {
         Self {
@@ -46,24 +46,24 @@
     }
 
     /// Changes the service times.
-    pub(crate) fn adjust(&self, change: impl FnOnce(&mut ServiceTimes)) {
+    pub(crate) fn update_times(&self, change: impl FnOnce(&mut ServiceTimes)) {
         change(&mut lock(&self.times).0);
     }
 
     /// Returns a slot if one is free.
-    pub(crate) fn try_enter(&self) -> Option<OwnedSemaphorePermit> {
+    pub(crate) fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         let semaphore = Arc::clone(&lock(&self.semaphore));
         semaphore.try_acquire_owned().ok()
     }
 
     /// Waits for a slot, in FIFO order.
-    pub(crate) async fn enter(&self) -> Option<OwnedSemaphorePermit> {
+    pub(crate) async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
         let semaphore = Arc::clone(&lock(&self.semaphore));
         semaphore.acquire_owned().await.ok()
     }
 
     /// Draws the time for which the next statement occupies its slot.
-    pub(crate) fn next_time(&self) -> Duration {
+    pub(crate) fn next_service_time(&self) -> Duration {
         /// Speed of the reference member, in percent.
         const FULL_SPEED: f64 = 100.0;
         let mut guard = lock(&self.times);
@@ -80,12 +80,12 @@
     }
 
     /// Waits for a service time, less the overshoot of earlier waits, so that the mean is exact.
-    pub(crate) async fn serve(&self, time: Duration) {
-        let wanted = i64::try_from(time.as_nanos()).unwrap_or(i64::MAX);
-        let owed = self.overshoot_nanos.swap(0, Ordering::Relaxed);
-        let rest = wanted - owed;
-        let Ok(nanos) = u64::try_from(rest) else {
-            self.overshoot_nanos.fetch_add(-rest, Ordering::Relaxed);
+    pub(crate) async fn wait_service_time(&self, time: Duration) {
+        let service_nanos = i64::try_from(time.as_nanos()).unwrap_or(i64::MAX);
+        let overshoot = self.overshoot_nanos.swap(0, Ordering::Relaxed);
+        let remaining = service_nanos - overshoot;
+        let Ok(nanos) = u64::try_from(remaining) else {
+            self.overshoot_nanos.fetch_add(-remaining, Ordering::Relaxed);
             return;
         };
         let start = Instant::now();
--- a/crates/rudder-standins/src/group/sql/cache.rs
+++ b/crates/rudder-standins/src/group/sql/cache.rs
@@ -33,20 +33,20 @@
         }
         let plans: Arc<[StatementPlan]> = parse_statements(text)?.into();
         if text.len() <= TEXT_BYTES_MAX {
-            drop(self.keep(text, Arc::clone(&plans)));
+            drop(self.insert(text, Arc::clone(&plans)));
         }
         Ok(plans)
     }
 
     /// Adds a text. Returns the evicted texts, which the caller drops after the lock is released so
     /// that no other session waits for it.
-    fn keep(&self, text: &str, plans: Arc<[StatementPlan]>) -> PlanTexts {
+    fn insert(&self, text: &str, plans: Arc<[StatementPlan]>) -> PlanTexts {
         let mut texts = self.texts.write().unwrap_or_else(PoisonError::into_inner);
-        let mut gone = PlanTexts::new();
+        let mut evicted = PlanTexts::new();
         if texts.len() >= TEXTS_MAX {
-            gone = std::mem::take(&mut *texts);
+            evicted = std::mem::take(&mut *texts);
         }
         texts.insert(text.into(), plans);
-        gone
+        evicted
     }
 }
--- a/crates/rudder-standins/src/group/sql/parse.rs
+++ b/crates/rudder-standins/src/group/sql/parse.rs
@@ -19,10 +19,10 @@
 pub(crate) fn parse_statements(text: &str) -> Result<Vec<StatementPlan>, SqlError> {
     let statements = Parser::parse_sql(&PostgreSqlDialect {}, text)
         .map_err(|error| SqlError::Syntax(error.to_string()))?;
-    statements.into_iter().map(plan_of).collect()
+    statements.into_iter().map(statement_plan).collect()
 }
 
-fn plan_of(statement: ast::Statement) -> Result<StatementPlan, SqlError> {
+fn statement_plan(statement: ast::Statement) -> Result<StatementPlan, SqlError> {
     use ast::Statement as S;
     match statement {
         S::Query(query) => match parse_call(&query)? {
@@ -57,9 +57,9 @@
         S::ShowVariable { variable } => Ok(show_plan(&variable)),
         S::CreateTable(create) => create_table(&create),
         S::CreateIndex(create) => create_index(&create),
-        S::CreateSchema { .. } => Ok(StatementPlan::Ignored("CREATE SCHEMA")),
-        S::Analyze(_) => Ok(StatementPlan::Ignored("ANALYZE")),
-        S::Vacuum(_) => Ok(StatementPlan::Ignored("VACUUM")),
+        S::CreateSchema { .. } => Ok(StatementPlan::NoOp("CREATE SCHEMA")),
+        S::Analyze(_) => Ok(StatementPlan::NoOp("ANALYZE")),
+        S::Vacuum(_) => Ok(StatementPlan::NoOp("VACUUM")),
         S::Drop { object_type: ast::ObjectType::Table, if_exists, names, .. } => {
             let names = names.iter().map(table_name).collect();
             Ok(StatementPlan::DropTable { names, if_exists })
@@ -112,7 +112,7 @@
         }),
         ast::Set::SetTransaction { .. }
         | ast::Set::SetRole { .. }
-        | ast::Set::SetSessionAuthorization(_) => Ok(StatementPlan::Ignored("SET")),
+        | ast::Set::SetSessionAuthorization(_) => Ok(StatementPlan::NoOp("SET")),
         other => Err(SqlError::Unsupported(other.to_string())),
     }
 }
--- a/crates/rudder-standins/src/group/sql/parse_scalar.rs
+++ b/crates/rudder-standins/src/group/sql/parse_scalar.rs
@@ -86,7 +86,7 @@
 /// Converts an expression.
 pub(crate) fn scalar(expr: Expr) -> Result<RowScalar, SqlError> {
     match expr {
-        Expr::Identifier(ident) => Ok(word(&ident)),
+        Expr::Identifier(ident) => Ok(bare_identifier(&ident)),
         Expr::CompoundIdentifier(parts) => compound(&parts),
         Expr::Value(value) => literal(&value.value),
         Expr::Nested(inner) => scalar(*inner),
@@ -115,7 +115,7 @@
     }
 }
 
-fn word(ident: &ast::Ident) -> RowScalar {
+fn bare_identifier(ident: &ast::Ident) -> RowScalar {
     match ident_name(ident).as_ref() {
         "current_user" | "session_user" | "user" => {
             RowScalar::Call(ScalarFunction::CurrentUser, Vec::new())
@@ -131,9 +131,9 @@
     let Some((last, qualifiers)) = parts.split_last() else {
         return Err(SqlError::Syntax("an empty name".to_owned()));
     };
-    let proposed = qualifiers.iter().any(|part| part.value.eq_ignore_ascii_case("excluded"));
+    let is_excluded = qualifiers.iter().any(|part| part.value.eq_ignore_ascii_case("excluded"));
     let name = ident_name(last);
-    Ok(if proposed { RowScalar::Excluded(name) } else { RowScalar::Column(name) })
+    Ok(if is_excluded { RowScalar::Excluded(name) } else { RowScalar::Column(name) })
 }
 
 fn literal(value: &ast::Value) -> Result<RowScalar, SqlError> {
@@ -231,7 +231,7 @@
 fn call(function: ast::Function) -> Result<RowScalar, SqlError> {
     use ScalarFunction as F;
     let name = name_text(&function.name);
-    let known = match name.strip_prefix("pg_catalog.").unwrap_or(&name) {
+    let function_kind = match name.strip_prefix("pg_catalog.").unwrap_or(&name) {
         "version" => F::Version,
         "current_database" | "current_catalog" => F::CurrentDatabase,
         "current_user" | "session_user" | "user" => F::CurrentUser,
@@ -250,5 +250,5 @@
     };
     let arguments: Result<Vec<_>, _> =
         call_arguments(function.args)?.into_iter().map(scalar).collect();
-    Ok(RowScalar::Call(known, arguments?))
+    Ok(RowScalar::Call(function_kind, arguments?))
 }
--- a/crates/rudder-standins/src/group/sql/parse_select.rs
+++ b/crates/rudder-standins/src/group/sql/parse_select.rs
@@ -62,15 +62,15 @@
     exprs
         .into_iter()
         .map(|order| {
-            let down = matches!(order.options.sort, Some(ast::OrderBySort::Desc));
-            Ok((scalar(order.expr)?, down))
+            let descending = matches!(order.options.sort, Some(ast::OrderBySort::Desc));
+            Ok((scalar(order.expr)?, descending))
         })
         .collect()
 }
 
 fn select_source(from: &[ast::TableWithJoins]) -> Result<SelectSource, SqlError> {
     match from {
-        [] => Ok(SelectSource::Nothing),
+        [] => Ok(SelectSource::NoTable),
         [table] => match (&table.relation, table.joins.is_empty()) {
             (TableFactor::Table { name, args: Some(args), .. }, true) => {
                 let exprs =
--- a/crates/rudder-standins/src/group/sql/parse_table.rs
+++ b/crates/rudder-standins/src/group/sql/parse_table.rs
@@ -30,7 +30,7 @@
     if create.unique {
         return Err(SqlError::Unsupported("CREATE UNIQUE INDEX (declare UNIQUE)".to_owned()));
     }
-    Ok(StatementPlan::Ignored("CREATE INDEX"))
+    Ok(StatementPlan::NoOp("CREATE INDEX"))
 }
 
 fn column_schema(column: &ast::ColumnDef) -> Result<ColumnSchema, SqlError> {
--- a/crates/rudder-standins/src/group/sql/plan.rs
+++ b/crates/rudder-standins/src/group/sql/plan.rs
@@ -30,7 +30,7 @@
     Deallocate(Option<Arc<str>>),
     Show(Arc<str>),
     /// Statement that is accepted without effect, with its command tag.
-    Ignored(&'static str),
+    NoOp(&'static str),
     Notice(Arc<str>),
     CreateTable {
         schema: Arc<TableSchema>,
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum SelectSource {
     /// No table: a single row without columns.
-    Nothing,
+    NoTable,
     Table(Arc<str>),
     /// `generate_series(first, last)`.
     Series(RowScalar, RowScalar),
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether the statement may run in a failed transaction block.
-    pub(crate) fn runs_in_failed(&self) -> bool {
+    pub(crate) fn allowed_in_failed_block(&self) -> bool {
         matches!(
             self,
             Self::Commit
--- a/crates/rudder-standins/src/group/sql/scalar.rs
+++ b/crates/rudder-standins/src/group/sql/scalar.rs
@@ -92,12 +92,12 @@
     /// Row that was to be inserted, in `ON CONFLICT DO UPDATE`; otherwise empty.
     pub(crate) excluded: &'a [SqlValue],
     pub(crate) parameters: &'a [SqlValue],
-    pub(crate) session: &'a SessionFacts,
+    pub(crate) session: &'a SessionInfo,
 }
 
 /// Session and member data that SQL functions return.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SessionFacts {
+pub(crate) struct SessionInfo {
     pub(crate) user: String,
     pub(crate) database: String,
     pub(crate) pid: i32,
@@ -106,7 +106,7 @@
     pub(crate) sequence: Arc<AtomicI64>,
 }
 
-impl SessionFacts {
+impl SessionInfo {
     /// Returns the next number of the group's sequence.
     pub(crate) fn next_number(&self) -> i64 {
         self.sequence.fetch_add(1, Ordering::Relaxed) + 1
@@ -136,10 +136,10 @@
                 compare(*operator, left.evaluate(scope)?, right.evaluate(scope)?)
             }
             Self::And(left, right) => {
-                conjunction(left.evaluate(scope)?, || right.evaluate(scope), false)
+                evaluate_logical(left.evaluate(scope)?, || right.evaluate(scope), false)
             }
             Self::Or(left, right) => {
-                conjunction(left.evaluate(scope)?, || right.evaluate(scope), true)
+                evaluate_logical(left.evaluate(scope)?, || right.evaluate(scope), true)
             }
             Self::Not(inner) => Ok(match inner.evaluate(scope)? {
                 SqlValue::Null => SqlValue::Null,
@@ -160,7 +160,7 @@
     /// Returns the type of the expression; `parameters` holds the parameters' types.
     pub(crate) fn kind(&self, schema: Option<&TableSchema>, parameters: &[SqlType]) -> SqlType {
         match self {
-            Self::Literal(value) => value.natural_type(),
+            Self::Literal(value) => value.literal_type(),
             Self::Parameter(index) => parameters.get(*index).copied().unwrap_or(SqlType::Text),
             Self::Column(name) | Self::Excluded(name) => column_kind(name, schema),
             Self::Arithmetic(ArithmeticOperator::Concat, ..) => SqlType::Text,
@@ -240,7 +240,7 @@
 
 /// Evaluates `AND` and `OR` in SQL's three-valued logic. `dominant` is the value that determines
 /// the result regardless of the other operand: false for `AND`, true for `OR`.
-fn conjunction(
+fn evaluate_logical(
     left: SqlValue,
     right: impl FnOnce() -> Result<SqlValue, SqlError>,
     dominant: bool,
@@ -291,23 +291,23 @@
         (SqlValue::Null, _) | (_, SqlValue::Null) => return Ok(SqlValue::Null),
         // A text compared with another type is an untyped literal and takes that type.
         (left @ SqlValue::Text(_), right @ SqlValue::Text(_)) => (left, right),
-        (left @ SqlValue::Text(_), right) => (left.coerce(wide_type(&right))?, right),
+        (left @ SqlValue::Text(_), right) => (left.coerce(comparison_type(&right))?, right),
         (left, right @ SqlValue::Text(_)) => {
-            let kind = wide_type(&left);
+            let kind = comparison_type(&left);
             (left, right.coerce(kind)?)
         }
         (left, right) => (left, right),
     };
     if std::mem::discriminant(&left) != std::mem::discriminant(&right) {
         return Err(SqlError::TypeMismatch(
-            left.natural_type().name(),
-            right.natural_type().name(),
+            left.literal_type().name(),
+            right.literal_type().name(),
         ));
     }
     Ok(SqlValue::Bool(operator.holds(left.cmp(&right))))
 }
 
-fn wide_type(value: &SqlValue) -> SqlType {
+fn comparison_type(value: &SqlValue) -> SqlType {
     match value {
         SqlValue::Bool(_) => SqlType::Bool,
         SqlValue::Int(_) => SqlType::Int8,
--- a/crates/rudder-standins/src/group/sql/value.rs
+++ b/crates/rudder-standins/src/group/sql/value.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the type that a literal with this value has.
-    pub(crate) fn natural_type(&self) -> SqlType {
+    pub(crate) fn literal_type(&self) -> SqlType {
         match self {
             Self::Bool(_) => SqlType::Bool,
             Self::Int(number) if i32::try_from(*number).is_ok() => SqlType::Int4,
--- a/crates/rudder-standins/src/group/state.rs
+++ b/crates/rudder-standins/src/group/state.rs
@@ -51,14 +51,14 @@
     }
 
     /// Returns whether the member is the primary of `term` and `term` is the accepted one.
-    pub(crate) fn leads(&self, term: LogTerm) -> bool {
+    pub(crate) fn is_primary_of(&self, term: LogTerm) -> bool {
         self.accepted == term && self.role == GroupRole::Primary(term)
     }
 
     /// Returns whether followers of `term` may fetch entries from this member. The member need not
     /// be primary: in a planned switch the target fetches the remaining entries from the fenced old
     /// primary, whose log only the primary of the new term can change from then on.
-    pub(crate) fn ships(&self, term: LogTerm) -> bool {
+    pub(crate) fn serves_entries(&self, term: LogTerm) -> bool {
         self.accepted == term
     }
 
@@ -82,7 +82,7 @@
         }
         self.log.apply_all();
         self.role = GroupRole::Primary(term);
-        self.log.append_own(term, Vec::new(), None);
+        self.log.append_as_primary(term, Vec::new(), None);
         Ok(())
     }
 
@@ -122,13 +122,13 @@
         }
         // A member that was demoted after the transaction began rejects the commit like a fenced
         // member, since the changes were made under a superseded term.
-        let leads = self.leads(self.accepted) && transaction.term == self.accepted;
-        if !leads {
+        let may_commit = self.is_primary_of(self.accepted) && transaction.term == self.accepted;
+        if !may_commit {
             return Err(SqlError::TermRefused(self.accepted));
         }
         if transaction.base_stamp == self.log.applied() {
-            let database = Some(transaction.work);
-            return Ok(self.log.append_own(self.accepted, transaction.effects, database));
+            let database = Some(transaction.current);
+            return Ok(self.log.append_as_primary(self.accepted, transaction.effects, database));
         }
         let mut database = self.log.database().clone();
         let merged = transaction
@@ -139,8 +139,12 @@
             transaction.effects.iter().try_for_each(|effect| database.apply(effect))
         });
         match merged {
-            Ok(()) => Ok(self.log.append_own(self.accepted, transaction.effects, Some(database))),
-            Err(SqlError::UniqueViolation(_)) if transaction.tolerant => Err(SqlError::Conflict),
+            Ok(()) => {
+                Ok(self.log.append_as_primary(self.accepted, transaction.effects, Some(database)))
+            }
+            Err(SqlError::UniqueViolation(_)) if transaction.has_conflict_rule => {
+                Err(SqlError::Conflict)
+            }
             Err(SqlError::UnknownTable(_) | SqlError::DuplicateTable(_)) => Err(SqlError::Conflict),
             Err(error) => Err(error),
         }
--- a/crates/rudder-standins/src/group/tables/database.rs
+++ b/crates/rudder-standins/src/group/tables/database.rs
@@ -177,11 +177,11 @@
         let (RowEffect::Put { table, key, .. } | RowEffect::Delete { table, key }) = effect else {
             return Ok(());
         };
-        let now = self.tables.get(table).and_then(|table| table.rows.get(key));
-        let then = base.tables.get(table).and_then(|table| table.rows.get(key));
-        match (then, now) {
+        let current = self.tables.get(table).and_then(|table| table.rows.get(key));
+        let previous = base.tables.get(table).and_then(|table| table.rows.get(key));
+        match (previous, current) {
             (None, None) => Ok(()),
-            (Some(then), Some(now)) if Arc::ptr_eq(then, now) => Ok(()),
+            (Some(previous), Some(current)) if Arc::ptr_eq(previous, current) => Ok(()),
             (None, Some(_)) => Err(self.insert_conflict(table)),
             _ => Err(SqlError::Conflict),
         }
--- a/crates/rudder-standins/src/group/tables/describe.rs
+++ b/crates/rudder-standins/src/group/tables/describe.rs
@@ -1,7 +1,7 @@
 //! Types of parameters and results, derived from a plan and the current table schemas.
 
-use super::answer::OutputColumn;
 use super::database::{GroupDatabase, TableSchema};
+use super::result::OutputColumn;
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::{
     AggregateFunction, ColumnProjection, ConflictRule, SelectPlan, SelectSource, StatementPlan,
@@ -142,7 +142,7 @@
     database: &GroupDatabase,
 ) -> Result<Option<Arc<TableSchema>>, SqlError> {
     match source {
-        SelectSource::Nothing => Ok(None),
+        SelectSource::NoTable => Ok(None),
         SelectSource::Table(name) => Ok(Some(Arc::clone(&database.table(name)?.schema))),
         SelectSource::Series(..) => Ok(Some(Arc::new(series_schema()))),
     }
@@ -155,13 +155,13 @@
     database: &GroupDatabase,
     given: &[u32],
 ) -> Vec<SqlType> {
-    let mut found = ParameterTypes::default();
-    found.visit_plan(plan, database);
-    let count = found.kinds.len().max(given.len());
+    let mut inferred = ParameterTypes::default();
+    inferred.visit_plan(plan, database);
+    let count = inferred.kinds.len().max(given.len());
     (0..count)
         .map(|index| match given.get(index) {
             Some(&oid) if oid != 0 => SqlType::from_oid(oid),
-            _ => found.kinds.get(index).copied().flatten().unwrap_or(SqlType::Text),
+            _ => inferred.kinds.get(index).copied().flatten().unwrap_or(SqlType::Text),
         })
         .collect()
 }
@@ -172,7 +172,7 @@
 }
 
 impl ParameterTypes {
-    fn note(&mut self, scalar: &RowScalar, kind: Option<SqlType>) {
+    fn record(&mut self, scalar: &RowScalar, kind: Option<SqlType>) {
         if let RowScalar::Parameter(index) = scalar {
             if self.kinds.len() <= *index {
                 self.kinds.resize(index + 1, None);
@@ -189,7 +189,7 @@
                 for row in &insert.rows {
                     for (index, value) in row.iter().enumerate() {
                         let Some(value) = value else { continue };
-                        self.note(value, insert_kind(schema, &insert.columns, index));
+                        self.record(value, target_kind(schema, &insert.columns, index));
                         self.visit(value, schema);
                     }
                 }
@@ -218,8 +218,8 @@
         let schema = source_schema(&select.source, database).ok().flatten();
         let schema = schema.as_deref();
         if let SelectSource::Series(first, last) = &select.source {
-            self.note(first, Some(SqlType::Int8));
-            self.note(last, Some(SqlType::Int8));
+            self.record(first, Some(SqlType::Int8));
+            self.record(last, Some(SqlType::Int8));
             self.visit_all([first, last].into_iter(), schema);
         }
         self.visit_projections(&select.columns, schema);
@@ -230,7 +230,7 @@
         self.visit_all(select.filter.iter(), schema);
         self.visit_all(select.order.iter().map(|(scalar, _)| scalar), schema);
         for bound in select.limit.iter().chain(&select.offset) {
-            self.note(bound, Some(SqlType::Int8));
+            self.record(bound, Some(SqlType::Int8));
             self.visit(bound, schema);
         }
     }
@@ -241,7 +241,7 @@
         schema: Option<&TableSchema>,
     ) {
         for (name, scalar) in assignments {
-            self.note(scalar, Some(RowScalar::Column(Arc::clone(name)).kind(schema, &[])));
+            self.record(scalar, Some(RowScalar::Column(Arc::clone(name)).kind(schema, &[])));
             self.visit(scalar, schema);
         }
     }
@@ -270,40 +270,40 @@
 
     fn visit(&mut self, scalar: &RowScalar, schema: Option<&TableSchema>) {
         scalar.walk(&mut |part| match part {
-            RowScalar::Parameter(_) => self.note(part, None),
+            RowScalar::Parameter(_) => self.record(part, None),
             RowScalar::Compare(_, left, right) | RowScalar::Arithmetic(_, left, right) => {
-                self.note(left, sibling_kind(right, schema));
-                self.note(right, sibling_kind(left, schema));
+                self.record(left, operand_kind(right, schema));
+                self.record(right, operand_kind(left, schema));
             }
             RowScalar::InList(needle, items) => {
                 for item in items {
-                    self.note(item, sibling_kind(needle, schema));
+                    self.record(item, operand_kind(needle, schema));
                 }
             }
-            RowScalar::Cast(inner, kind) => self.note(inner, Some(*kind)),
+            RowScalar::Cast(inner, kind) => self.record(inner, Some(*kind)),
             RowScalar::And(left, right) | RowScalar::Or(left, right) => {
-                self.note(left, Some(SqlType::Bool));
-                self.note(right, Some(SqlType::Bool));
+                self.record(left, Some(SqlType::Bool));
+                self.record(right, Some(SqlType::Bool));
             }
             RowScalar::Call(ScalarFunction::Sleep, arguments) => {
-                self.note(&arguments[0], Some(SqlType::Float8));
+                self.record(&arguments[0], Some(SqlType::Float8));
             }
             RowScalar::Call(ScalarFunction::Repeat, arguments) if arguments.len() == 2 => {
-                self.note(&arguments[1], Some(SqlType::Int4));
+                self.record(&arguments[1], Some(SqlType::Int4));
             }
             _ => {}
         });
     }
 }
 
-fn sibling_kind(sibling: &RowScalar, schema: Option<&TableSchema>) -> Option<SqlType> {
-    match sibling {
+fn operand_kind(operand: &RowScalar, schema: Option<&TableSchema>) -> Option<SqlType> {
+    match operand {
         RowScalar::Parameter(_) => None,
         other => Some(other.kind(schema, &[])),
     }
 }
 
-fn insert_kind(
+fn target_kind(
     schema: Option<&TableSchema>,
     columns: &[Arc<str>],
     index: usize,
--- a/crates/rudder-standins/src/group/tables/matching.rs
+++ b/crates/rudder-standins/src/group/tables/matching.rs
@@ -16,44 +16,44 @@
     let Some(filter) = filter else {
         return Ok(table.rows.iter().map(|(key, row)| (key.clone(), Arc::clone(row))).collect());
     };
-    let mut found = Vec::new();
-    if let Some(key) = exact_key(table, filter, scope)? {
+    let mut matches = Vec::new();
+    if let Some(key) = lookup_key(table, filter, scope)? {
         if let Some(row) = table.rows.get(&key)
             && filter.holds(scope.row(Some(&table.schema), row))?
         {
-            found.push((key, Arc::clone(row)));
+            matches.push((key, Arc::clone(row)));
         }
-        return Ok(found);
+        return Ok(matches);
     }
     for (key, row) in &table.rows {
         if filter.holds(scope.row(Some(&table.schema), row))? {
-            found.push((key.clone(), Arc::clone(row)));
+            matches.push((key.clone(), Arc::clone(row)));
         }
     }
-    Ok(found)
+    Ok(matches)
 }
 
 /// Returns the key of the only row that can match, if the filter compares all columns of the
 /// primary key or of a unique constraint with constants.
-fn exact_key(
+fn lookup_key(
     table: &StoredTable,
     filter: &RowScalar,
     scope: &RunScope,
 ) -> Result<Option<RowKey>, SqlError> {
     if let Some(primary) = &table.schema.primary
-        && let Some(key) = pinned_values(table, &primary.columns, filter, scope)?
+        && let Some(key) = equality_values(table, &primary.columns, filter, scope)?
     {
         return Ok(Some(key));
     }
     for (unique, index) in table.schema.uniques.iter().zip(&table.indexes) {
-        if let Some(entry) = pinned_values(table, &unique.columns, filter, scope)? {
+        if let Some(entry) = equality_values(table, &unique.columns, filter, scope)? {
             return Ok(index.get(&entry).cloned());
         }
     }
     Ok(None)
 }
 
-fn pinned_values(
+fn equality_values(
     table: &StoredTable,
     columns: &[usize],
     filter: &RowScalar,
@@ -62,7 +62,7 @@
     let mut key = RowKey::with_capacity(columns.len());
     for &column in columns {
         let column = &table.schema.columns[column];
-        let Some(constant) = pinned_constant(filter, &column.name) else { return Ok(None) };
+        let Some(constant) = equality_constant(filter, &column.name) else { return Ok(None) };
         let value = constant.evaluate(scope.row(None, &[]))?;
         match value.coerce(column.kind) {
             Ok(SqlValue::Null) | Err(_) => return Ok(None),
@@ -73,10 +73,10 @@
 }
 
 /// Returns the constant of a `column = constant` term of a conjunction.
-fn pinned_constant<'a>(filter: &'a RowScalar, column: &str) -> Option<&'a RowScalar> {
+fn equality_constant<'a>(filter: &'a RowScalar, column: &str) -> Option<&'a RowScalar> {
     match filter {
         RowScalar::And(left, right) => {
-            pinned_constant(left, column).or_else(|| pinned_constant(right, column))
+            equality_constant(left, column).or_else(|| equality_constant(right, column))
         }
         RowScalar::Compare(ComparisonOperator::Equal, left, right) => {
             match (left.as_ref(), right.as_ref()) {
--- a/crates/rudder-standins/src/group/tables/mod.rs
+++ b/crates/rudder-standins/src/group/tables/mod.rs
@@ -1,9 +1,9 @@
 //! Tables, transactions on them, and the execution of plans.
 
-pub(crate) mod answer;
 pub(crate) mod database;
 pub(crate) mod describe;
 pub(crate) mod matching;
+pub(crate) mod result;
 pub(crate) mod run;
 pub(crate) mod run_insert;
 pub(crate) mod run_select;
--- a/crates/rudder-standins/src/group/tables/answer.rs
+++ b/crates/rudder-standins/src/group/tables/result.rs
@@ -2,7 +2,7 @@
 
 use super::database::{RowValues, TableSchema};
 use crate::group::sql::error::SqlError;
-use crate::group::sql::scalar::{RowScalar, ScalarScope, SessionFacts};
+use crate::group::sql::scalar::{RowScalar, ScalarScope, SessionInfo};
 use crate::group::sql::value::{SqlType, SqlValue};
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) enum RowSource {
     /// Rows that are stored in memory.
-    Listed(std::vec::IntoIter<Vec<SqlValue>>),
+    Stored(std::vec::IntoIter<Vec<SqlValue>>),
     /// One row for each number of a series, generated on demand since there may be many.
     Series(Box<SeriesRows>),
 }
@@ -38,19 +38,19 @@
     pub(crate) schema: Arc<TableSchema>,
     pub(crate) columns: Vec<RowScalar>,
     pub(crate) parameters: Arc<[SqlValue]>,
-    pub(crate) facts: Arc<SessionFacts>,
+    pub(crate) info: Arc<SessionInfo>,
 }
 
 impl RowSource {
     /// Creates a source without rows.
     pub(crate) fn empty() -> Self {
-        Self::Listed(Vec::new().into_iter())
+        Self::Stored(Vec::new().into_iter())
     }
 
     /// Returns the next row.
     pub(crate) fn next_row(&mut self) -> Option<Result<Vec<SqlValue>, SqlError>> {
         match self {
-            Self::Listed(rows) => rows.next().map(Ok),
+            Self::Stored(rows) => rows.next().map(Ok),
             Self::Series(series) => series.next_row(),
         }
     }
@@ -68,7 +68,7 @@
             row: &row,
             excluded: &[],
             parameters: &self.parameters,
-            session: &self.facts,
+            session: &self.info,
         };
         Some(self.columns.iter().map(|column| column.evaluate(scope)).collect())
     }
@@ -87,7 +87,7 @@
 
 /// Result of one statement.
 #[derive(Debug)]
-pub(crate) struct StatementAnswer {
+pub(crate) struct StatementResult {
     /// `None` for statements that return no rows.
     pub(crate) columns: Option<Vec<OutputColumn>>,
     pub(crate) rows: RowSource,
@@ -95,7 +95,7 @@
     pub(crate) notices: Vec<NoticeMessage>,
 }
 
-impl StatementAnswer {
+impl StatementResult {
     /// Creates a result without rows.
     pub(crate) fn done(tag: CommandTag) -> Self {
         Self { columns: None, rows: RowSource::empty(), tag, notices: Vec::new() }
@@ -105,7 +105,7 @@
     pub(crate) fn rows(columns: Vec<OutputColumn>, rows: Vec<Vec<SqlValue>>) -> Self {
         Self {
             columns: Some(columns),
-            rows: RowSource::Listed(rows.into_iter()),
+            rows: RowSource::Stored(rows.into_iter()),
             tag: CommandTag::Sent("SELECT"),
             notices: Vec::new(),
         }
--- a/crates/rudder-standins/src/group/tables/run.rs
+++ b/crates/rudder-standins/src/group/tables/run.rs
@@ -1,15 +1,15 @@
 //! Execution of plans that read or change data, within a transaction.
 
-use super::answer::{CommandTag, OutputColumn, RowSource, StatementAnswer};
 use super::database::{RowEffect, RowKey, RowValues, TableSchema};
 use super::describe::output_columns;
 use super::matching::matching_rows;
+use super::result::{CommandTag, OutputColumn, RowSource, StatementResult};
 use super::run_insert::run_insert;
 use super::run_select::run_select;
 use super::transaction::OpenTransaction;
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::{ColumnProjection, DeletePlan, StatementPlan, UpdatePlan};
-use crate::group::sql::scalar::{RowScalar, ScalarScope, SessionFacts};
+use crate::group::sql::scalar::{RowScalar, ScalarScope, SessionInfo};
 use crate::group::sql::value::{SqlType, SqlValue};
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 pub(crate) struct RunScope {
     pub(crate) parameters: Arc<[SqlValue]>,
     pub(crate) kinds: Arc<[SqlType]>,
-    pub(crate) facts: Arc<SessionFacts>,
+    pub(crate) info: Arc<SessionInfo>,
 }
 
 impl RunScope {
@@ -33,7 +33,7 @@
             row,
             excluded: &[],
             parameters: &self.parameters,
-            session: &self.facts,
+            session: &self.info,
         }
     }
 }
@@ -43,24 +43,24 @@
     plan: &StatementPlan,
     transaction: &mut OpenTransaction,
     scope: &RunScope,
-) -> Result<StatementAnswer, SqlError> {
+) -> Result<StatementResult, SqlError> {
     match plan {
         StatementPlan::Select(select) => {
-            let columns = output_columns(plan, &transaction.work, &scope.kinds)?;
+            let columns = output_columns(plan, &transaction.current, &scope.kinds)?;
             run_select(select, columns.unwrap_or_default(), transaction, scope)
         }
         StatementPlan::Insert(insert) => {
-            let columns = output_columns(plan, &transaction.work, &scope.kinds)?;
+            let columns = output_columns(plan, &transaction.current, &scope.kinds)?;
             let (count, rows) = run_insert(insert, transaction, scope)?;
             Ok(changed("INSERT 0", count, columns, rows))
         }
         StatementPlan::Update(update) => {
-            let columns = output_columns(plan, &transaction.work, &scope.kinds)?;
+            let columns = output_columns(plan, &transaction.current, &scope.kinds)?;
             let (count, rows) = run_update(update, transaction, scope)?;
             Ok(changed("UPDATE", count, columns, rows))
         }
         StatementPlan::Delete(delete) => {
-            let columns = output_columns(plan, &transaction.work, &scope.kinds)?;
+            let columns = output_columns(plan, &transaction.current, &scope.kinds)?;
             let (count, rows) = run_delete(delete, transaction, scope)?;
             Ok(changed("DELETE", count, columns, rows))
         }
@@ -78,10 +78,10 @@
     count: u64,
     columns: Option<Vec<OutputColumn>>,
     rows: Vec<Vec<SqlValue>>,
-) -> StatementAnswer {
-    StatementAnswer {
+) -> StatementResult {
+    StatementResult {
         columns,
-        rows: RowSource::Listed(rows.into_iter()),
+        rows: RowSource::Stored(rows.into_iter()),
         tag: CommandTag::Counted(tag, count),
         notices: Vec::new(),
     }
@@ -91,43 +91,43 @@
     schema: &Arc<TableSchema>,
     if_not_exists: bool,
     transaction: &mut OpenTransaction,
-) -> Result<StatementAnswer, SqlError> {
+) -> Result<StatementResult, SqlError> {
     let tag = CommandTag::Plain("CREATE TABLE");
-    if if_not_exists && transaction.work.table(&schema.name).is_ok() {
+    if if_not_exists && transaction.current.table(&schema.name).is_ok() {
         let text = format!("relation \"{}\" already exists, skipping", schema.name);
-        return Ok(StatementAnswer::done(tag).with_notice("NOTICE", "42P07", text));
+        return Ok(StatementResult::done(tag).with_notice("NOTICE", "42P07", text));
     }
     transaction.change(RowEffect::CreateTable(Arc::clone(schema)))?;
-    Ok(StatementAnswer::done(tag))
+    Ok(StatementResult::done(tag))
 }
 
 fn run_drop(
     names: &[Arc<str>],
     if_exists: bool,
     transaction: &mut OpenTransaction,
-) -> Result<StatementAnswer, SqlError> {
-    let mut answer = StatementAnswer::done(CommandTag::Plain("DROP TABLE"));
+) -> Result<StatementResult, SqlError> {
+    let mut result = StatementResult::done(CommandTag::Plain("DROP TABLE"));
     for name in names {
-        if if_exists && transaction.work.table(name).is_err() {
+        if if_exists && transaction.current.table(name).is_err() {
             let text = format!("table \"{name}\" does not exist, skipping");
-            answer = answer.with_notice("NOTICE", "00000", text);
+            result = result.with_notice("NOTICE", "00000", text);
             continue;
         }
         transaction.change(RowEffect::DropTable(Arc::clone(name)))?;
     }
-    Ok(answer)
+    Ok(result)
 }
 
 fn run_truncate(
     names: &[Arc<str>],
     transaction: &mut OpenTransaction,
-) -> Result<StatementAnswer, SqlError> {
+) -> Result<StatementResult, SqlError> {
     for name in names {
-        let schema = Arc::clone(&transaction.work.table(name)?.schema);
+        let schema = Arc::clone(&transaction.current.table(name)?.schema);
         transaction.change(RowEffect::DropTable(Arc::clone(name)))?;
         transaction.change(RowEffect::CreateTable(schema))?;
     }
-    Ok(StatementAnswer::done(CommandTag::Plain("TRUNCATE TABLE")))
+    Ok(StatementResult::done(CommandTag::Plain("TRUNCATE TABLE")))
 }
 
 /// Evaluates projections over one row.
@@ -150,11 +150,11 @@
     transaction: &mut OpenTransaction,
     scope: &RunScope,
 ) -> Result<(u64, Vec<Vec<SqlValue>>), SqlError> {
-    let table = Arc::clone(transaction.work.table(&update.table)?);
+    let table = Arc::clone(transaction.current.table(&update.table)?);
     let mut returned = Vec::new();
-    let found = matching_rows(&table, update.filter.as_ref(), scope)?;
-    let count = found.len() as u64;
-    for (key, row) in found {
+    let matches = matching_rows(&table, update.filter.as_ref(), scope)?;
+    let count = matches.len() as u64;
+    for (key, row) in matches {
         let row_scope = scope.row(Some(&table.schema), &row);
         let values = assign(&table.schema, &update.assignments, row_scope)?;
         replace_row(&table.schema, &key, &values, transaction)?;
@@ -197,7 +197,7 @@
         None => key.clone(),
     };
     if new_key != *key {
-        if transaction.work.table(&table)?.rows.contains_key(&new_key) {
+        if transaction.current.table(&table)?.rows.contains_key(&new_key) {
             let name = schema.primary.as_ref().map_or("", |primary| &primary.name);
             return Err(SqlError::UniqueViolation(name.to_owned()));
         }
@@ -212,11 +212,11 @@
     transaction: &mut OpenTransaction,
     scope: &RunScope,
 ) -> Result<(u64, Vec<Vec<SqlValue>>), SqlError> {
-    let table = Arc::clone(transaction.work.table(&delete.table)?);
+    let table = Arc::clone(transaction.current.table(&delete.table)?);
     let mut returned = Vec::new();
-    let found = matching_rows(&table, delete.filter.as_ref(), scope)?;
-    let count = found.len() as u64;
-    for (key, row) in found {
+    let matches = matching_rows(&table, delete.filter.as_ref(), scope)?;
+    let count = matches.len() as u64;
+    for (key, row) in matches {
         transaction.change(RowEffect::Delete { table: Arc::clone(&delete.table), key })?;
         if !delete.returning.is_empty() {
             returned.push(project(&delete.returning, scope.row(Some(&table.schema), &row))?);
--- a/crates/rudder-standins/src/group/tables/run_insert.rs
+++ b/crates/rudder-standins/src/group/tables/run_insert.rs
@@ -5,7 +5,7 @@
 use super::transaction::OpenTransaction;
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::{ConflictRule, InsertPlan};
-use crate::group::sql::scalar::{RowScalar, SessionFacts, now_text};
+use crate::group::sql::scalar::{RowScalar, SessionInfo, now_text};
 use crate::group::sql::value::SqlValue;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     transaction: &mut OpenTransaction,
     scope: &RunScope,
 ) -> Result<(u64, Vec<Vec<SqlValue>>), SqlError> {
-    let schema = Arc::clone(&transaction.work.table(&insert.table)?.schema);
+    let schema = Arc::clone(&transaction.current.table(&insert.table)?.schema);
     let targets = target_columns(&schema, &insert.columns)?;
     let mut count = 0;
     let mut returned = Vec::new();
@@ -59,7 +59,7 @@
             given.push((column, scalar.evaluate(scope.row(None, &[]))?));
         }
     }
-    complete_row(schema, given, &scope.facts)
+    complete_row(schema, given, &scope.info)
 }
 
 /// Returns a complete row: given values converted to their columns' types, and defaults for the
@@ -67,7 +67,7 @@
 pub(crate) fn complete_row(
     schema: &TableSchema,
     given: Vec<(usize, SqlValue)>,
-    facts: &SessionFacts,
+    info: &SessionInfo,
 ) -> Result<RowValues, SqlError> {
     let mut values: Vec<Option<SqlValue>> = vec![None; schema.columns.len()];
     for (column, value) in given {
@@ -80,7 +80,7 @@
             None => match &column.default {
                 ColumnDefault::Null => SqlValue::Null,
                 ColumnDefault::Value(value) => value.clone(),
-                ColumnDefault::Sequence => SqlValue::Int(facts.next_number()),
+                ColumnDefault::Sequence => SqlValue::Int(info.next_number()),
                 ColumnDefault::Now => now_text(),
             },
         };
@@ -102,11 +102,11 @@
 ) -> Result<Option<RowValues>, SqlError> {
     let key: RowKey = match &schema.primary {
         Some(primary) => primary.columns.iter().map(|&column| values[column].clone()).collect(),
-        None => vec![SqlValue::Int(scope.facts.next_number())],
+        None => vec![SqlValue::Int(scope.info.next_number())],
     };
-    transaction.tolerant |= !matches!(rule, ConflictRule::Fail);
-    let table = Arc::clone(transaction.work.table(&schema.name)?);
-    let Some((name, owner)) = obstacle(&table, &key, &values) else {
+    transaction.has_conflict_rule |= !matches!(rule, ConflictRule::Fail);
+    let table = Arc::clone(transaction.current.table(&schema.name)?);
+    let Some((name, owner)) = find_conflict(&table, &key, &values) else {
         let name = Arc::clone(&schema.name);
         let put = RowEffect::Put { table: name, key, values: Arc::clone(&values) };
         transaction.change(put)?;
@@ -127,7 +127,11 @@
 }
 
 /// Returns the unique constraint that a new row violates, with the key of the existing row.
-fn obstacle(table: &StoredTable, key: &RowKey, values: &[SqlValue]) -> Option<(Arc<str>, RowKey)> {
+fn find_conflict(
+    table: &StoredTable,
+    key: &RowKey,
+    values: &[SqlValue],
+) -> Option<(Arc<str>, RowKey)> {
     if let Some(primary) = &table.schema.primary
         && table.rows.contains_key(key)
     {
--- a/crates/rudder-standins/src/group/tables/run_select.rs
+++ b/crates/rudder-standins/src/group/tables/run_select.rs
@@ -1,9 +1,9 @@
 //! Execution of selects.
 
-use super::answer::{OutputColumn, RowSource, SeriesRows, StatementAnswer};
 use super::database::{RowValues, TableSchema};
 use super::describe::{series_schema, source_schema};
 use super::matching::matching_rows;
+use super::result::{OutputColumn, RowSource, SeriesRows, StatementResult};
 use super::run::{RunScope, project};
 use super::transaction::OpenTransaction;
 use crate::group::sql::error::SqlError;
@@ -18,29 +18,30 @@
     columns: Vec<OutputColumn>,
     transaction: &OpenTransaction,
     scope: &RunScope,
-) -> Result<StatementAnswer, SqlError> {
-    let schema = source_schema(&select.source, &transaction.work)?;
+) -> Result<StatementResult, SqlError> {
+    let schema = source_schema(&select.source, &transaction.current)?;
     let schema = schema.as_ref();
-    let plain = select.filter.is_none()
+    let streams_rows = select.filter.is_none()
         && select.order.is_empty()
         && select.limit.is_none()
         && select.offset.is_none()
         && select.aggregates.is_empty();
-    if let (SelectSource::Series(first, last), Some(schema), true) = (&select.source, schema, plain)
+    if let (SelectSource::Series(first, last), Some(schema), true) =
+        (&select.source, schema, streams_rows)
     {
         return run_series(select, (first, last), schema, columns, scope);
     }
     let mut rows = source_rows(select, transaction, scope)?;
     if !select.aggregates.is_empty() {
-        let row = aggregate(select, schema.map(Arc::as_ref), &rows, scope)?;
-        return Ok(StatementAnswer::rows(columns, vec![row]));
+        let row = aggregate_rows(select, schema.map(Arc::as_ref), &rows, scope)?;
+        return Ok(StatementResult::rows(columns, vec![row]));
     }
     sort_rows(select, schema.map(Arc::as_ref), &mut rows, scope)?;
-    cut_rows(select, &mut rows, scope)?;
+    limit_rows(select, &mut rows, scope)?;
     let project_row =
         |row: &RowValues| project(&select.columns, scope.row(schema.map(Arc::as_ref), row));
     let projected: Result<Vec<_>, _> = rows.iter().map(project_row).collect();
-    Ok(StatementAnswer::rows(columns, projected?))
+    Ok(StatementResult::rows(columns, projected?))
 }
 
 fn run_series(
@@ -49,7 +50,7 @@
     schema: &Arc<TableSchema>,
     columns: Vec<OutputColumn>,
     scope: &RunScope,
-) -> Result<StatementAnswer, SqlError> {
+) -> Result<StatementResult, SqlError> {
     let scalar_of = |projection: &ColumnProjection| match projection {
         ColumnProjection::All => RowScalar::Column("generate_series".into()),
         ColumnProjection::Scalar(scalar, _) => scalar.clone(),
@@ -60,11 +61,11 @@
         schema: Arc::clone(schema),
         columns: select.columns.iter().map(scalar_of).collect(),
         parameters: Arc::clone(&scope.parameters),
-        facts: Arc::clone(&scope.facts),
+        info: Arc::clone(&scope.info),
     };
-    let mut answer = StatementAnswer::rows(columns, Vec::new());
-    answer.rows = RowSource::Series(Box::new(series));
-    Ok(answer)
+    let mut result = StatementResult::rows(columns, Vec::new());
+    result.rows = RowSource::Series(Box::new(series));
+    Ok(result)
 }
 
 /// Returns the integer value of an expression that refers to no row.
@@ -82,7 +83,7 @@
 ) -> Result<Vec<RowValues>, SqlError> {
     let mut rows = Vec::new();
     match &select.source {
-        SelectSource::Nothing => {
+        SelectSource::NoTable => {
             let row = scope.row(None, &[]);
             if select.filter.as_ref().map_or(Ok(true), |filter| filter.holds(row))? {
                 rows.push(Arc::new([]) as RowValues);
@@ -99,7 +100,7 @@
             }
         }
         SelectSource::Table(name) => {
-            let table = transaction.work.table(name)?;
+            let table = transaction.current.table(name)?;
             let found = matching_rows(table, select.filter.as_ref(), scope)?;
             rows.extend(found.into_iter().map(|(_, row)| row));
         }
@@ -125,10 +126,10 @@
         keyed.push((keys, row));
     }
     keyed.sort_by(|(left, _), (right, _)| {
-        for ((left, right), (_, down)) in left.iter().zip(right).zip(&select.order) {
+        for ((left, right), (_, descending)) in left.iter().zip(right).zip(&select.order) {
             let ordering = left.cmp(right);
             if ordering.is_ne() {
-                return if *down { ordering.reverse() } else { ordering };
+                return if *descending { ordering.reverse() } else { ordering };
             }
         }
         std::cmp::Ordering::Equal
@@ -137,7 +138,7 @@
     Ok(())
 }
 
-fn cut_rows(
+fn limit_rows(
     select: &SelectPlan,
     rows: &mut Vec<RowValues>,
     scope: &RunScope,
@@ -152,7 +153,7 @@
     Ok(())
 }
 
-fn aggregate(
+fn aggregate_rows(
     select: &SelectPlan,
     schema: Option<&TableSchema>,
     rows: &[RowValues],
@@ -170,12 +171,15 @@
                 values.push(value);
             }
         }
-        results.push(fold(*function, values)?);
+        results.push(evaluate_aggregate(*function, values)?);
     }
     Ok(results)
 }
 
-fn fold(function: AggregateFunction, values: Vec<SqlValue>) -> Result<SqlValue, SqlError> {
+fn evaluate_aggregate(
+    function: AggregateFunction,
+    values: Vec<SqlValue>,
+) -> Result<SqlValue, SqlError> {
     Ok(match function {
         AggregateFunction::Count => SqlValue::Int(i64::try_from(values.len()).unwrap_or(i64::MAX)),
         AggregateFunction::Min => values.into_iter().min().unwrap_or(SqlValue::Null),
--- a/crates/rudder-standins/src/group/tables/transaction.rs
+++ b/crates/rudder-standins/src/group/tables/transaction.rs
@@ -14,18 +14,18 @@
     pub(crate) base_stamp: LogStamp,
     pub(crate) base: GroupDatabase,
     /// Snapshot with the transaction's own changes.
-    pub(crate) work: GroupDatabase,
+    pub(crate) current: GroupDatabase,
     pub(crate) effects: Vec<RowEffect>,
     /// Set by `ON CONFLICT`: a unique violation found at commit is reported as a serialization
     /// conflict, because such a statement must not fail with a violation.
-    pub(crate) tolerant: bool,
-    savepoints: Vec<SavedState>,
+    pub(crate) has_conflict_rule: bool,
+    savepoints: Vec<SavepointState>,
 }
 
 #[derive(Clone, Debug)]
-struct SavedState {
+struct SavepointState {
     name: Arc<str>,
-    work: GroupDatabase,
+    current: GroupDatabase,
     effects: usize,
 }
 
@@ -35,45 +35,45 @@
         Self {
             term,
             base_stamp,
-            work: base.clone(),
+            current: base.clone(),
             base,
             effects: Vec::new(),
-            tolerant: false,
+            has_conflict_rule: false,
             savepoints: Vec::new(),
         }
     }
 
     /// Applies a change and records it.
     pub(crate) fn change(&mut self, effect: RowEffect) -> Result<(), SqlError> {
-        self.work.apply(&effect)?;
+        self.current.apply(&effect)?;
         self.effects.push(effect);
         Ok(())
     }
 
     /// Creates a savepoint.
-    pub(crate) fn save(&mut self, name: Arc<str>) {
+    pub(crate) fn create_savepoint(&mut self, name: Arc<str>) {
         let effects = self.effects.len();
-        self.savepoints.push(SavedState { name, work: self.work.clone(), effects });
+        self.savepoints.push(SavepointState { name, current: self.current.clone(), effects });
     }
 
     /// Rolls back to a savepoint, which stays defined.
-    pub(crate) fn return_to(&mut self, name: &str) -> Result<(), SqlError> {
-        let index = self.saved_index(name)?;
+    pub(crate) fn roll_back_to(&mut self, name: &str) -> Result<(), SqlError> {
+        let index = self.savepoint_index(name)?;
         self.savepoints.truncate(index + 1);
         let saved = &self.savepoints[index];
-        self.work = saved.work.clone();
+        self.current = saved.current.clone();
         self.effects.truncate(saved.effects);
         Ok(())
     }
 
     /// Removes a savepoint and all later ones; their changes are kept.
-    pub(crate) fn release(&mut self, name: &str) -> Result<(), SqlError> {
-        let index = self.saved_index(name)?;
+    pub(crate) fn release_savepoint(&mut self, name: &str) -> Result<(), SqlError> {
+        let index = self.savepoint_index(name)?;
         self.savepoints.truncate(index);
         Ok(())
     }
 
-    fn saved_index(&self, name: &str) -> Result<usize, SqlError> {
+    fn savepoint_index(&self, name: &str) -> Result<usize, SqlError> {
         self.savepoints
             .iter()
             .rposition(|saved| saved.name.as_ref() == name)
--- a/crates/rudder-standins/src/group/wire/block.rs
+++ b/crates/rudder-standins/src/group/wire/block.rs
@@ -2,63 +2,63 @@
 
 use super::session::{BlockState, ClientSession};
 use crate::group::sql::error::SqlError;
-use crate::group::tables::answer::{CommandTag, StatementAnswer};
+use crate::group::tables::result::{CommandTag, StatementResult};
 use std::sync::Arc;
 
 impl ClientSession {
     /// Opens a transaction block.
-    pub(crate) fn begin_block(&mut self, read_only: bool) -> StatementAnswer {
-        let answer = StatementAnswer::done(CommandTag::Plain("BEGIN"));
+    pub(crate) fn begin_block(&mut self, read_only: bool) -> StatementResult {
+        let result = StatementResult::done(CommandTag::Plain("BEGIN"));
         if self.block != BlockState::None {
             let text = "there is already a transaction in progress".to_owned();
-            return answer.with_notice("WARNING", "25001", text);
+            return result.with_notice("WARNING", "25001", text);
         }
         self.block = BlockState::Open;
         self.read_only = read_only;
-        self.settings_before = Some(self.settings.clone());
-        answer
+        self.settings_at_begin = Some(self.settings.clone());
+        result
     }
 
     /// Commits the transaction block, or rolls it back if it failed.
-    pub(crate) fn commit_block(&mut self) -> Result<StatementAnswer, SqlError> {
-        let answer = StatementAnswer::done(CommandTag::Plain("COMMIT"));
+    pub(crate) fn commit_block(&mut self) -> Result<StatementResult, SqlError> {
+        let result = StatementResult::done(CommandTag::Plain("COMMIT"));
         match self.block {
             BlockState::None => {
                 self.end_implicit()?;
                 let text = "there is no transaction in progress".to_owned();
-                Ok(answer.with_notice("WARNING", "25P01", text))
+                Ok(result.with_notice("WARNING", "25P01", text))
             }
             BlockState::Failed => Ok(self.roll_back()),
             BlockState::Open => {
                 self.close_block();
                 let committed = self.end_implicit();
-                let before = self.settings_before.take();
-                let local = self.settings_local.take();
+                let before = self.settings_at_begin.take();
+                let local = self.settings_without_local.take();
                 let earlier = if committed.is_ok() { local } else { before };
                 if let Some(earlier) = earlier {
                     let reports = self.settings.restore(earlier);
-                    self.report(reports);
+                    self.report_settings(reports);
                 }
-                committed.map(|()| answer)
+                committed.map(|()| result)
             }
         }
     }
 
     /// Rolls back the transaction block.
-    pub(crate) fn roll_back(&mut self) -> StatementAnswer {
-        let answer = StatementAnswer::done(CommandTag::Plain("ROLLBACK"));
+    pub(crate) fn roll_back(&mut self) -> StatementResult {
+        let result = StatementResult::done(CommandTag::Plain("ROLLBACK"));
         self.transaction = None;
         let open = self.block != BlockState::None;
         self.close_block();
-        self.settings_local = None;
-        if let Some(earlier) = self.settings_before.take() {
+        self.settings_without_local = None;
+        if let Some(earlier) = self.settings_at_begin.take() {
             let reports = self.settings.restore(earlier);
-            self.report(reports);
+            self.report_settings(reports);
         }
         if open {
-            return answer;
+            return result;
         }
-        answer.with_notice("WARNING", "25P01", "there is no transaction in progress".to_owned())
+        result.with_notice("WARNING", "25P01", "there is no transaction in progress".to_owned())
     }
 
     /// Changes a session setting, or resets it if `value` is `None`.
@@ -67,36 +67,36 @@
         name: &str,
         value: Option<&Arc<str>>,
         local: bool,
-    ) -> Result<StatementAnswer, SqlError> {
-        let answer =
-            StatementAnswer::done(CommandTag::Plain(if value.is_some() { "SET" } else { "RESET" }));
+    ) -> Result<StatementResult, SqlError> {
+        let result =
+            StatementResult::done(CommandTag::Plain(if value.is_some() { "SET" } else { "RESET" }));
         if local && self.block == BlockState::None {
             let text = "SET LOCAL can only be used in transaction blocks".to_owned();
-            return Ok(answer.with_notice("WARNING", "25P01", text));
+            return Ok(result.with_notice("WARNING", "25P01", text));
         }
         let before = self.settings.clone();
         let report = self.settings.set(name, value)?;
-        if local && self.settings_local.is_none() {
-            self.settings_local = Some(before);
-        } else if let Some(kept) = &mut self.settings_local
+        if local && self.settings_without_local.is_none() {
+            self.settings_without_local = Some(before);
+        } else if let Some(kept) = &mut self.settings_without_local
             && !local
         {
             kept.set(name, value)?;
         }
-        self.report(report);
-        Ok(answer)
+        self.report_settings(report);
+        Ok(result)
     }
 
     /// Resets the session to its initial state (`DISCARD ALL`).
-    pub(crate) fn discard_all(&mut self) -> Result<StatementAnswer, SqlError> {
+    pub(crate) fn discard_all(&mut self) -> Result<StatementResult, SqlError> {
         if self.block != BlockState::None {
             return Err(SqlError::Unsupported("DISCARD ALL inside a transaction block".to_owned()));
         }
         self.statements.deallocate(None)?;
         self.portals.clear();
         let reports = self.settings.reset_all();
-        self.report(reports);
-        Ok(StatementAnswer::done(CommandTag::Plain("DISCARD ALL")))
+        self.report_settings(reports);
+        Ok(StatementResult::done(CommandTag::Plain("DISCARD ALL")))
     }
 
     fn close_block(&mut self) {
--- a/crates/rudder-standins/src/group/wire/client.rs
+++ b/crates/rudder-standins/src/group/wire/client.rs
@@ -24,7 +24,7 @@
     /// Encoded messages that are not written yet.
     pub(crate) output: BytesMut,
     context: DecodeContext,
-    life: CancellationToken,
+    run_token: CancellationToken,
 }
 
 impl ClientStream {
@@ -32,11 +32,11 @@
     pub(crate) fn new(
         member: Arc<GroupMember>,
         stream: TcpStream,
-        life: CancellationToken,
+        run_token: CancellationToken,
     ) -> Self {
         Self {
             member,
-            life,
+            run_token,
             stream,
             input: BytesMut::with_capacity(READ_BYTES),
             output: BytesMut::with_capacity(READ_BYTES),
@@ -62,7 +62,7 @@
             if decoded.is_some() {
                 return Ok(decoded);
             }
-            if !self.fill().await? {
+            if !self.read_more().await? {
                 return Ok(None);
             }
         }
@@ -71,7 +71,7 @@
     /// Returns the type byte of the next message without consuming the message.
     pub(crate) async fn peek_type(&mut self) -> io::Result<Option<u8>> {
         while self.input.is_empty() {
-            if !self.fill().await? {
+            if !self.read_more().await? {
                 return Ok(None);
             }
         }
@@ -79,7 +79,7 @@
     }
 
     /// Writes the buffered output, then reads; false if the client closed the connection.
-    async fn fill(&mut self) -> io::Result<bool> {
+    async fn read_more(&mut self) -> io::Result<bool> {
         self.flush().await?;
         self.input.reserve(READ_BYTES);
         Ok(self.stream.read_buf(&mut self.input).await? > 0)
@@ -115,7 +115,7 @@
 impl Drop for ClientStream {
     /// Resets the connection if the member was killed, as a failed process or machine does.
     fn drop(&mut self) {
-        if self.life.is_cancelled() {
+        if self.run_token.is_cancelled() {
             // This fails only if the socket is already closed.
             let _ = self.stream.set_zero_linger();
         }
--- a/crates/rudder-standins/src/group/wire/connection.rs
+++ b/crates/rudder-standins/src/group/wire/connection.rs
@@ -4,12 +4,12 @@
 use super::client::ClientStream;
 use super::encode::{put, put_error};
 use super::extended::{PortalTable, StatementTable};
-use super::login::prove_password;
+use super::login::authenticate;
 use super::session::{BlockState, ClientSession};
 use super::session_settings::SessionSettings;
 use crate::group::member::GroupMember;
 use crate::group::sql::error::SqlError;
-use crate::group::sql::scalar::SessionFacts;
+use crate::group::sql::scalar::SessionInfo;
 use pgwire::messages::cancel::CancelRequest;
 use pgwire::messages::response::{GssEncResponse, SslResponse};
 use pgwire::messages::startup::{
@@ -35,7 +35,7 @@
     member.wait_thawed().await;
     let Some(startup) = negotiate(&member, &mut client).await? else { return Ok(()) };
     client.end_startup();
-    let Some(_guard) = ConnectionGuard::enter(&member) else {
+    let Some(_guard) = ConnectionGuard::acquire(&member) else {
         put_error("FATAL", &SqlError::TooManyConnections, &mut client.output);
         client.close().await;
         return Ok(());
@@ -45,7 +45,7 @@
         tokio::time::sleep(connect_time).await;
     }
     if let Some(password) = &member.shared.password
-        && let Err(error) = prove_password(&mut client, password).await?
+        && let Err(error) = authenticate(&mut client, password).await?
     {
         put_error("FATAL", &error, &mut client.output);
         client.close().await;
@@ -61,7 +61,7 @@
 struct ConnectionGuard(Arc<GroupMember>);
 
 impl ConnectionGuard {
-    fn enter(member: &Arc<GroupMember>) -> Option<Self> {
+    fn acquire(member: &Arc<GroupMember>) -> Option<Self> {
         let before = member.connections.fetch_add(1, Ordering::AcqRel);
         let guard = Self(Arc::clone(member));
         let limit = member.connections_max.load(Ordering::Relaxed);
@@ -101,7 +101,7 @@
 
 fn cancel(member: &GroupMember, request: &CancelRequest) {
     if let Some(secret) = request.secret_key.as_i32() {
-        member.cancels.cancel(CancelKey { pid: request.pid, secret });
+        member.cancel_registry.cancel(CancelKey { pid: request.pid, secret });
     }
 }
 
@@ -116,7 +116,7 @@
     let parameter = |name: &str| startup.parameters.get(name).cloned();
     let user = parameter("user").unwrap_or_default();
     let database = parameter("database").unwrap_or_else(|| user.clone());
-    let facts = SessionFacts {
+    let info = SessionInfo {
         user,
         database,
         pid,
@@ -130,29 +130,29 @@
         put(&NegotiateProtocolVersion::new(PROTOCOL_VERSION, options), &mut client.output);
     }
     put(&Authentication::Ok, &mut client.output);
-    let cancel = member.cancels.add(key);
+    let cancel = member.cancel_registry.add(key);
     let mut session = ClientSession {
         member,
         members,
         client,
-        facts: Arc::new(facts),
+        info: Arc::new(info),
         key,
         cancel,
         settings,
-        settings_before: None,
-        settings_local: None,
+        settings_at_begin: None,
+        settings_without_local: None,
         transaction: None,
         block: BlockState::None,
         read_only: false,
         statements: StatementTable::default(),
         portals: PortalTable::default(),
-        skipping: false,
+        skip_until_sync: false,
     };
     let reports = session.settings.reports();
-    session.report(reports);
+    session.report_settings(reports);
     let data = BackendKeyData::new(pid, SecretKey::I32(key.secret));
     put(&data, &mut session.client.output);
-    session.ready();
+    session.send_ready();
     session
 }
 
@@ -165,9 +165,9 @@
         }
     }
     let options = startup.parameters.get("options").map_or("", String::as_str);
-    for word in options.split_whitespace() {
-        let word = word.trim_start_matches("-c").trim_start_matches("--");
-        if let Some((name, value)) = word.split_once('=') {
+    for option in options.split_whitespace() {
+        let option = option.trim_start_matches("-c").trim_start_matches("--");
+        if let Some((name, value)) = option.split_once('=') {
             settings.push((name.to_ascii_lowercase().into(), value.into()));
         }
     }
@@ -182,7 +182,7 @@
                 Ok(Some(message)) => message,
                 Ok(None) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                    self.refuse(&SqlError::Protocol(error.to_string()));
+                    self.send_fatal(&SqlError::Protocol(error.to_string()));
                     return Ok(());
                 }
                 Err(error) => return Err(error),
@@ -197,7 +197,7 @@
                 | FrontendMessage::CopyFail(_) => {}
                 message if message.is_extended_query() => self.extended_message(message).await?,
                 _ => {
-                    self.refuse(&SqlError::Protocol("unexpected message".to_owned()));
+                    self.send_fatal(&SqlError::Protocol("unexpected message".to_owned()));
                     return Ok(());
                 }
             }
@@ -208,6 +208,6 @@
 
 impl Drop for ClientSession {
     fn drop(&mut self) {
-        self.member.cancels.remove(self.key);
+        self.member.cancel_registry.remove(self.key);
     }
 }
--- a/crates/rudder-standins/src/group/wire/copy.rs
+++ b/crates/rudder-standins/src/group/wire/copy.rs
@@ -5,9 +5,9 @@
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::{ConflictRule, CopyPlan};
 use crate::group::sql::value::{SqlType, SqlValue};
-use crate::group::tables::answer::CommandTag;
 use crate::group::tables::database::RowValues;
 use crate::group::tables::matching::matching_rows;
+use crate::group::tables::result::CommandTag;
 use crate::group::tables::run_insert::{complete_row, insert_row, target_columns};
 use bytes::{BufMut, Bytes, BytesMut};
 use pgwire::messages::PgWireFrontendMessage;
@@ -27,7 +27,7 @@
         copy: &CopyPlan,
         commit: bool,
     ) -> Result<(), StatementError> {
-        let schema = self.open_transaction().work.table(&copy.table)?.schema.clone();
+        let schema = self.open_transaction().current.table(&copy.table)?.schema.clone();
         let targets = target_columns(&schema, &copy.columns)?;
         let formats = vec![0; targets.len()];
         let count = i16::try_from(targets.len()).unwrap_or(i16::MAX);
@@ -41,7 +41,7 @@
                 continue;
             }
             let values = line_values(line, &targets, &schema.columns)?;
-            let row = complete_row(&schema, values, &scope.facts)?;
+            let row = complete_row(&schema, values, &scope.info)?;
             insert_row(&schema, row, &ConflictRule::Fail, self.open_transaction(), &scope)?;
             copied += 1;
         }
@@ -74,7 +74,7 @@
     /// Sends the rows of a table to the client.
     pub(crate) async fn copy_out(&mut self, copy: &CopyPlan) -> Result<(), StatementError> {
         let scope = self.scope(&BoundParameters::none());
-        let table = self.open_transaction().work.table(&copy.table)?.clone();
+        let table = self.open_transaction().current.table(&copy.table)?.clone();
         let targets = target_columns(&table.schema, &copy.columns)?;
         let rows = matching_rows(&table, None, &scope)?;
         let count = i16::try_from(targets.len()).unwrap_or(i16::MAX);
--- a/crates/rudder-standins/src/group/wire/encode.rs
+++ b/crates/rudder-standins/src/group/wire/encode.rs
@@ -2,7 +2,7 @@
 
 use crate::group::sql::error::SqlError;
 use crate::group::sql::value::{SqlType, SqlValue};
-use crate::group::tables::answer::{CommandTag, NoticeMessage, OutputColumn};
+use crate::group::tables::result::{CommandTag, NoticeMessage, OutputColumn};
 use bytes::{BufMut, BytesMut};
 use pgwire::messages::Message;
 use pgwire::messages::data::{
--- a/crates/rudder-standins/src/group/wire/extended.rs
+++ b/crates/rudder-standins/src/group/wire/extended.rs
@@ -6,9 +6,9 @@
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::StatementPlan;
 use crate::group::sql::value::{SqlType, SqlValue};
-use crate::group::tables::answer::{OutputColumn, StatementAnswer};
 use crate::group::tables::database::GroupDatabase;
 use crate::group::tables::describe::{output_columns, parameter_types};
+use crate::group::tables::result::{OutputColumn, StatementResult};
 use pgwire::messages::PgWireFrontendMessage as FrontendMessage;
 use pgwire::messages::extendedquery::{
     Bind, BindComplete, Close, CloseComplete, Describe, Execute, MESSAGE_TYPE_BYTE_SYNC, Parse,
@@ -37,7 +37,7 @@
     statement: Arc<PreparedStatement>,
     parameters: BoundParameters,
     formats: Vec<i16>,
-    answer: Option<StatementAnswer>,
+    result: Option<StatementResult>,
 }
 
 /// Prepared statements sorted by name; the unnamed one has the empty name.
@@ -136,15 +136,15 @@
         }
         // After an error the rest of the batch must not run, since the client sent it on the
         // assumption that the earlier statements succeed.
-        if self.skipping {
+        if self.skip_until_sync {
             return Ok(());
         }
         match self.extended_step(message).await {
             Ok(()) => Ok(()),
             Err(StatementError::Connection(error)) => Err(error),
             Err(StatementError::Sql(error)) => {
-                self.fail();
-                self.skipping = true;
+                self.mark_failed();
+                self.skip_until_sync = true;
                 put_error("ERROR", &error, &mut self.client.output);
                 Ok(())
             }
@@ -165,23 +165,23 @@
     }
 
     fn sync(&mut self) {
-        if !self.skipping
+        if !self.skip_until_sync
             && let Err(error) = self.end_implicit()
         {
-            self.fail();
+            self.mark_failed();
             put_error("ERROR", &error, &mut self.client.output);
         }
-        self.skipping = false;
+        self.skip_until_sync = false;
         if self.block == BlockState::None {
             self.portals.clear();
         }
-        self.ready();
+        self.send_ready();
     }
 
     /// Returns the tables as visible to the next statement.
     fn visible_tables(&self) -> GroupDatabase {
         match &self.transaction {
-            Some(transaction) => transaction.work.clone(),
+            Some(transaction) => transaction.current.clone(),
             None => lock(&self.member.state).log.database().clone(),
         }
     }
@@ -194,7 +194,7 @@
             ));
         }
         let plan = plans.first().unwrap_or(&StatementPlan::Empty);
-        if self.block == BlockState::Failed && !plan.runs_in_failed() {
+        if self.block == BlockState::Failed && !plan.allowed_in_failed_block() {
             return Err(SqlError::Aborted);
         }
         let tables = self.visible_tables();
@@ -223,7 +223,7 @@
         let parameters =
             BoundParameters { values: values.into(), kinds: Arc::clone(&statement.kinds) };
         let formats = bind.result_column_format_codes;
-        let portal = QueryPortal { statement, parameters, formats, answer: None };
+        let portal = QueryPortal { statement, parameters, formats, result: None };
         self.portals.insert(bind.portal_name.unwrap_or_default(), portal);
         put(&BindComplete::new(), &mut self.client.output);
         Ok(())
@@ -261,18 +261,18 @@
         let mut portal = self.portals.take(&name)?;
         let statement = Arc::clone(&portal.statement);
         let plan = statement.plan();
-        let mut answer = match portal.answer.take() {
-            Some(answer) => answer,
+        let mut result = match portal.result.take() {
+            Some(result) => result,
             None => match plan {
                 StatementPlan::Empty => {
                     put(&EmptyQueryResponse::new(), &mut self.client.output);
                     return Ok(());
                 }
                 plan => {
-                    let alone = self.ends_batch().await?;
-                    let answer = self.run(plan, &portal.parameters, alone).await?;
-                    self.send_notices(&answer);
-                    answer
+                    let only_statement = self.ends_batch().await?;
+                    let result = self.run(plan, &portal.parameters, only_statement).await?;
+                    self.send_notices(&result);
+                    result
                 }
             },
         };
@@ -285,13 +285,13 @@
             Ok(0) | Err(_) => usize::MAX,
             Ok(count) => count,
         };
-        let sent = self.send_rows(&mut answer, &portal.formats, count).await?;
+        let sent = self.send_rows(&mut result, &portal.formats, count).await?;
         if sent == count {
             put(&PortalSuspended::new(), &mut self.client.output);
         } else {
-            put_complete(answer.tag, sent as u64, &mut self.client.output);
+            put_complete(result.tag, sent as u64, &mut self.client.output);
         }
-        portal.answer = Some(answer);
+        portal.result = Some(result);
         self.portals.insert(name, portal);
         Ok(())
     }
--- a/crates/rudder-standins/src/group/wire/session.rs
+++ b/crates/rudder-standins/src/group/wire/session.rs
@@ -5,15 +5,15 @@
 use super::encode::{put, put_notice, put_ready};
 use super::extended::{PortalTable, StatementTable};
 use super::session_settings::SessionSettings;
-use crate::group::handle::turn_by_sql;
+use crate::group::handle::apply_knob_command;
 use crate::group::member::GroupMember;
 use crate::group::slots::lock;
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::StatementPlan;
-use crate::group::sql::scalar::SessionFacts;
+use crate::group::sql::scalar::SessionInfo;
 use crate::group::sql::value::{SqlType, SqlValue};
-use crate::group::tables::answer::{CommandTag, StatementAnswer};
 use crate::group::tables::describe::{status_columns, text_column};
+use crate::group::tables::result::{CommandTag, StatementResult};
 use crate::group::tables::run::{RunScope, run_plan};
 use crate::group::tables::transaction::OpenTransaction;
 use pgwire::messages::response::TransactionStatus;
@@ -75,14 +75,14 @@
     pub(crate) member: Arc<GroupMember>,
     pub(crate) members: Arc<[Arc<GroupMember>]>,
     pub(crate) client: ClientStream,
-    pub(crate) facts: Arc<SessionFacts>,
+    pub(crate) info: Arc<SessionInfo>,
     pub(crate) key: CancelKey,
     pub(crate) cancel: Arc<Notify>,
     pub(crate) settings: SessionSettings,
     /// Settings before the block, restored by a rollback.
-    pub(crate) settings_before: Option<SessionSettings>,
+    pub(crate) settings_at_begin: Option<SessionSettings>,
     /// Settings without the `SET LOCAL` changes of the block, restored by a commit.
-    pub(crate) settings_local: Option<SessionSettings>,
+    pub(crate) settings_without_local: Option<SessionSettings>,
     pub(crate) transaction: Option<OpenTransaction>,
     pub(crate) block: BlockState,
     /// Whether the block was opened read-only.
@@ -90,7 +90,7 @@
     pub(crate) statements: StatementTable,
     pub(crate) portals: PortalTable,
     /// Set by an error in a batch: all messages up to `Sync` are ignored.
-    pub(crate) skipping: bool,
+    pub(crate) skip_until_sync: bool,
 }
 
 impl ClientSession {
@@ -104,33 +104,33 @@
     }
 
     /// Appends `ReadyForQuery`.
-    pub(crate) fn ready(&mut self) {
+    pub(crate) fn send_ready(&mut self) {
         put_ready(self.status(), &mut self.client.output);
     }
 
-    /// Runs one statement. `alone` states that no other statement belongs to its implicit
+    /// Runs one statement. `only_statement` states that no other statement belongs to its implicit
     /// transaction, so that it may run and commit in one step.
     pub(crate) async fn run(
         &mut self,
         plan: &StatementPlan,
         parameters: &BoundParameters,
-        alone: bool,
-    ) -> Result<StatementAnswer, StatementError> {
-        if self.block == BlockState::Failed && !plan.runs_in_failed() {
+        only_statement: bool,
+    ) -> Result<StatementResult, StatementError> {
+        if self.block == BlockState::Failed && !plan.allowed_in_failed_block() {
             return Err(SqlError::Aborted.into());
         }
         // The member may have been frozen while the session waited for the client. A statement
         // sent to a frozen member must not take effect before it is thawed.
         self.member.wait_thawed().await;
         if plan.takes_slot() {
-            self.occupy_and_run(plan, parameters, alone).await
+            self.run_in_slot(plan, parameters, only_statement).await
         } else {
             self.run_control(plan).map_err(StatementError::Sql)
         }
     }
 
     /// Aborts the implicit transaction or marks the block as failed, after a statement failed.
-    pub(crate) fn fail(&mut self) {
+    pub(crate) fn mark_failed(&mut self) {
         match self.block {
             BlockState::None => self.transaction = None,
             BlockState::Open | BlockState::Failed => self.block = BlockState::Failed,
@@ -148,31 +148,31 @@
         }
     }
 
-    async fn occupy_and_run(
+    async fn run_in_slot(
         &mut self,
         plan: &StatementPlan,
         parameters: &BoundParameters,
-        alone: bool,
-    ) -> Result<StatementAnswer, StatementError> {
-        self.note_role();
+        only_statement: bool,
+    ) -> Result<StatementResult, StatementError> {
+        self.update_role();
         let scope = self.scope(parameters);
         let sleep = sleep_time(plan, &scope)?;
-        let permit = match self.member.slots.try_enter() {
+        let permit = match self.member.slots.try_acquire() {
             Some(permit) => permit,
             None => {
                 self.client.flush().await?;
                 let member = Arc::clone(&self.member);
-                let entered = self.cancellable(member.slots.enter()).await?;
-                entered.ok_or(SqlError::Cancelled)?
+                let permit = self.cancellable(member.slots.acquire()).await?;
+                permit.ok_or(SqlError::Cancelled)?
             }
         };
-        let service = self.member.slots.next_time();
+        let service = self.member.slots.next_service_time();
         if !service.is_zero() || !sleep.is_zero() {
             self.client.flush().await?;
             let member = Arc::clone(&self.member);
             self.cancellable(async {
                 if !service.is_zero() {
-                    member.slots.serve(service).await;
+                    member.slots.wait_service_time(service).await;
                 }
                 if !sleep.is_zero() {
                     tokio::time::sleep(sleep).await;
@@ -181,9 +181,9 @@
             .await?;
         }
         self.member.wait_thawed().await;
-        let answer = self.run_data(plan, &scope, alone)?;
+        let result = self.run_data(plan, &scope, only_statement)?;
         drop(permit);
-        Ok(answer)
+        Ok(result)
     }
 
     /// Waits for `work` until the client cancels the statement or its timeout expires.
@@ -207,7 +207,7 @@
         RunScope {
             parameters: Arc::clone(&parameters.values),
             kinds: Arc::clone(&parameters.kinds),
-            facts: Arc::clone(&self.facts),
+            info: Arc::clone(&self.info),
         }
     }
 
@@ -215,8 +215,8 @@
         &mut self,
         plan: &StatementPlan,
         scope: &RunScope,
-        alone: bool,
-    ) -> Result<StatementAnswer, SqlError> {
+        only_statement: bool,
+    ) -> Result<StatementResult, SqlError> {
         let write = plan.write_name();
         if let Some(statement) = write {
             if self.read_only {
@@ -224,14 +224,15 @@
             }
             lock(&self.member.state).check_writable(statement)?;
         }
-        let alone = alone && self.block == BlockState::None && self.transaction.is_none();
+        let only_statement =
+            only_statement && self.block == BlockState::None && self.transaction.is_none();
         match plan {
             StatementPlan::CopyIn(_) | StatementPlan::CopyOut(_) => {
                 self.open_transaction();
-                Ok(StatementAnswer::done(CommandTag::Plain("COPY")))
+                Ok(StatementResult::done(CommandTag::Plain("COPY")))
             }
-            _ if alone && write.is_some() => self.run_and_commit(plan, scope),
-            _ if alone => run_plan(plan, &mut self.snapshot(), scope),
+            _ if only_statement && write.is_some() => self.run_and_commit(plan, scope),
+            _ if only_statement => run_plan(plan, &mut self.snapshot(), scope),
             _ => run_plan(plan, self.open_transaction(), scope),
         }
     }
@@ -242,25 +243,25 @@
         &mut self,
         plan: &StatementPlan,
         scope: &RunScope,
-    ) -> Result<StatementAnswer, SqlError> {
-        let answer = {
+    ) -> Result<StatementResult, SqlError> {
+        let result = {
             let mut state = lock(&self.member.state);
             let mut transaction = state.begin();
-            let answer = run_plan(plan, &mut transaction, scope)?;
+            let result = run_plan(plan, &mut transaction, scope)?;
             state.commit(transaction)?;
-            answer
+            result
         };
-        self.member.shared.touch();
-        Ok(answer)
+        self.member.shared.notify_replication();
+        Ok(result)
     }
 
     /// Returns the open transaction; begins one if there is none.
     pub(crate) fn open_transaction(&mut self) -> &mut OpenTransaction {
-        let fresh = match self.transaction.take() {
+        let transaction = match self.transaction.take() {
             Some(transaction) => transaction,
             None => self.snapshot(),
         };
-        self.transaction.insert(fresh)
+        self.transaction.insert(transaction)
     }
 
     /// Begins a transaction on the latest rows, independent of the session's open one.
@@ -269,70 +270,70 @@
     }
 
     /// Updates the member's role in the session data, for functions such as `pg_is_in_recovery`.
-    fn note_role(&mut self) {
+    fn update_role(&mut self) {
         let replica = self.member.is_replica();
-        if replica != self.facts.replica {
-            Arc::make_mut(&mut self.facts).replica = replica;
+        if replica != self.info.replica {
+            Arc::make_mut(&mut self.info).replica = replica;
         }
     }
 
-    fn run_control(&mut self, plan: &StatementPlan) -> Result<StatementAnswer, SqlError> {
+    fn run_control(&mut self, plan: &StatementPlan) -> Result<StatementResult, SqlError> {
         match plan {
-            StatementPlan::Control(statement) => self.member.control(statement).map(status_answer),
+            StatementPlan::Control(statement) => self.member.control(statement).map(status_result),
             StatementPlan::Knob(command) => {
-                turn_by_sql(&self.members, &self.member, command)?;
-                Ok(StatementAnswer::rows(
+                apply_knob_command(&self.members, &self.member, command)?;
+                Ok(StatementResult::rows(
                     vec![text_column("knob")],
                     vec![vec![SqlValue::text("ok")]],
                 ))
             }
             StatementPlan::Notice(text) => {
                 let row = vec![SqlValue::text("sent")];
-                let answer = StatementAnswer::rows(vec![text_column("notice")], vec![row]);
-                Ok(answer.with_notice("NOTICE", "00000", text.as_ref().to_owned()))
+                let result = StatementResult::rows(vec![text_column("notice")], vec![row]);
+                Ok(result.with_notice("NOTICE", "00000", text.as_ref().to_owned()))
             }
             StatementPlan::Begin { read_only } => Ok(self.begin_block(*read_only)),
             StatementPlan::Commit => self.commit_block(),
             StatementPlan::Rollback => Ok(self.roll_back()),
             StatementPlan::Savepoint(name) => {
-                self.open_transaction().save(Arc::clone(name));
-                Ok(StatementAnswer::done(CommandTag::Plain("SAVEPOINT")))
+                self.open_transaction().create_savepoint(Arc::clone(name));
+                Ok(StatementResult::done(CommandTag::Plain("SAVEPOINT")))
             }
             StatementPlan::RollbackTo(name) => {
-                self.open_transaction().return_to(name)?;
+                self.open_transaction().roll_back_to(name)?;
                 if self.block == BlockState::Failed {
                     self.block = BlockState::Open;
                 }
-                Ok(StatementAnswer::done(CommandTag::Plain("ROLLBACK")))
+                Ok(StatementResult::done(CommandTag::Plain("ROLLBACK")))
             }
             StatementPlan::Release(name) => {
-                self.open_transaction().release(name)?;
-                Ok(StatementAnswer::done(CommandTag::Plain("RELEASE")))
+                self.open_transaction().release_savepoint(name)?;
+                Ok(StatementResult::done(CommandTag::Plain("RELEASE")))
             }
             StatementPlan::Set { name, value, local } => self.set(name, value.as_ref(), *local),
             StatementPlan::ResetAll => {
                 let reports = self.settings.reset_all();
-                self.report(reports);
-                Ok(StatementAnswer::done(CommandTag::Plain("RESET")))
+                self.report_settings(reports);
+                Ok(StatementResult::done(CommandTag::Plain("RESET")))
             }
             StatementPlan::DiscardAll => self.discard_all(),
             StatementPlan::Deallocate(name) => {
                 self.statements.deallocate(name.as_deref())?;
-                Ok(StatementAnswer::done(CommandTag::Plain("DEALLOCATE")))
+                Ok(StatementResult::done(CommandTag::Plain("DEALLOCATE")))
             }
             StatementPlan::Show(name) => {
-                let value = SqlValue::text(self.shown(name)?);
-                let mut answer = StatementAnswer::rows(vec![text_column(name)], vec![vec![value]]);
-                answer.tag = CommandTag::Plain("SHOW");
-                Ok(answer)
+                let value = SqlValue::text(self.show_value(name)?);
+                let mut result = StatementResult::rows(vec![text_column(name)], vec![vec![value]]);
+                result.tag = CommandTag::Plain("SHOW");
+                Ok(result)
             }
-            StatementPlan::Ignored(tag) => Ok(StatementAnswer::done(CommandTag::Plain(tag))),
+            StatementPlan::NoOp(tag) => Ok(StatementResult::done(CommandTag::Plain(tag))),
             _ => Err(SqlError::Unsupported("this statement here".to_owned())),
         }
     }
 
     /// Returns the value of a setting or of a status that `SHOW` reports.
-    fn shown(&self, name: &str) -> Result<&str, SqlError> {
+    fn show_value(&self, name: &str) -> Result<&str, SqlError> {
         let flag = match name {
             "transaction_read_only" => self.read_only || self.member.is_replica(),
             "in_hot_standby" => self.member.is_replica(),
@@ -342,21 +343,21 @@
     }
 
     /// Reports changed settings to the client.
-    pub(crate) fn report(&mut self, reports: impl IntoIterator<Item = (String, String)>) {
+    pub(crate) fn report_settings(&mut self, reports: impl IntoIterator<Item = (String, String)>) {
         for (name, value) in reports {
             put(&ParameterStatus::new(name, value), &mut self.client.output);
         }
     }
 
     /// Sends the notices of a result.
-    pub(crate) fn send_notices(&mut self, answer: &StatementAnswer) {
-        for notice in &answer.notices {
+    pub(crate) fn send_notices(&mut self, result: &StatementResult) {
+        for notice in &result.notices {
             put_notice(notice, &mut self.client.output);
         }
     }
 }
 
-fn status_answer(status: MemberStatus) -> StatementAnswer {
+fn status_result(status: MemberStatus) -> StatementResult {
     let texts = [
         status.role.to_string(),
         status.accepted.to_string(),
@@ -366,7 +367,7 @@
         status.applied.position.to_string(),
     ];
     let row = texts.iter().map(|text| SqlValue::text(text)).collect();
-    StatementAnswer::rows(status_columns(), vec![row])
+    StatementResult::rows(status_columns(), vec![row])
 }
 
 /// Returns the duration of a `pg_sleep` among the columns.
--- a/crates/rudder-standins/src/group/wire/session_settings.rs
+++ b/crates/rudder-standins/src/group/wire/session_settings.rs
@@ -142,6 +142,6 @@
 }
 
 fn reported_name(name: &str) -> String {
-    let special = REPORTED_NAMES.iter().find(|(lower, _)| *lower == name);
-    special.map_or(name, |(_, reported)| reported).to_owned()
+    let renamed = REPORTED_NAMES.iter().find(|(lower, _)| *lower == name);
+    renamed.map_or(name, |(_, reported)| reported).to_owned()
 }
--- a/crates/rudder-standins/src/group/wire/simple.rs
+++ b/crates/rudder-standins/src/group/wire/simple.rs
@@ -4,7 +4,7 @@
 use super::session::{BoundParameters, ClientSession, StatementError};
 use crate::group::sql::error::SqlError;
 use crate::group::sql::plan::StatementPlan;
-use crate::group::tables::answer::StatementAnswer;
+use crate::group::tables::result::StatementResult;
 use pgwire::messages::response::EmptyQueryResponse;
 use std::io;
 
@@ -15,11 +15,11 @@
             Ok(()) => {}
             Err(StatementError::Connection(error)) => return Err(error),
             Err(StatementError::Sql(error)) => {
-                self.fail();
+                self.mark_failed();
                 put_error("ERROR", &error, &mut self.client.output);
             }
         }
-        self.ready();
+        self.send_ready();
         Ok(())
     }
 
@@ -30,11 +30,11 @@
             return Ok(());
         }
         let parameters = BoundParameters::none();
-        let alone = plans.len() == 1;
+        let only_statement = plans.len() == 1;
         for (index, plan) in plans.iter().enumerate() {
-            let answer = self.run(plan, &parameters, alone).await?;
+            let result = self.run(plan, &parameters, only_statement).await?;
             let last = index + 1 == plans.len();
-            self.send_simple(plan, answer, last).await?;
+            self.send_simple(plan, result, last).await?;
         }
         Ok(())
     }
@@ -44,7 +44,7 @@
     async fn send_simple(
         &mut self,
         plan: &StatementPlan,
-        mut answer: StatementAnswer,
+        mut result: StatementResult,
         last: bool,
     ) -> Result<(), StatementError> {
         match plan {
@@ -53,26 +53,26 @@
             _ if last => self.end_implicit()?,
             _ => {}
         }
-        self.send_notices(&answer);
-        if let Some(columns) = &answer.columns {
+        self.send_notices(&result);
+        if let Some(columns) = &result.columns {
             put_columns(Some(columns), &[], &mut self.client.output);
         }
-        let sent = self.send_rows(&mut answer, &[], usize::MAX).await?;
-        put_complete(answer.tag, sent as u64, &mut self.client.output);
+        let sent = self.send_rows(&mut result, &[], usize::MAX).await?;
+        put_complete(result.tag, sent as u64, &mut self.client.output);
         Ok(())
     }
 
     /// Sends up to `count` rows of a result and returns the number of rows sent.
     pub(crate) async fn send_rows(
         &mut self,
-        answer: &mut StatementAnswer,
+        result: &mut StatementResult,
         formats: &[i16],
         count: usize,
     ) -> Result<usize, StatementError> {
-        let columns = answer.columns.as_deref().unwrap_or_default();
+        let columns = result.columns.as_deref().unwrap_or_default();
         let mut sent = 0;
         while sent < count {
-            let Some(row) = answer.rows.next_row() else { break };
+            let Some(row) = result.rows.next_row() else { break };
             put_row(&row?, columns, formats, &mut self.client.output);
             sent += 1;
             self.client.flush_large().await?;
@@ -81,7 +81,7 @@
     }
 
     /// Reports a protocol violation; the caller then closes the connection.
-    pub(crate) fn refuse(&mut self, error: &SqlError) {
+    pub(crate) fn send_fatal(&mut self, error: &SqlError) {
         put_error("FATAL", error, &mut self.client.output);
     }
 }
