--- a/crates/rudder-standins/src/group/handle.rs
+++ b/crates/rudder-standins/src/group/handle.rs
@@ -50,7 +50,10 @@
     pub async fn start(settings: GroupSettings) -> io::Result<Self> {
         let shared = Arc::new(GroupShared::new(settings.password.clone()));
         let Some(first) = settings.members.first() else {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "a group needs a member"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "a group needs at least one member",
+            ));
         };
         let mut members = Vec::with_capacity(settings.members.len());
         let mut listeners = Vec::with_capacity(settings.members.len());
@@ -257,7 +260,7 @@
                     }
                 }
                 Err(error) => {
-                    log::warn!(member:% = member.name, error:% = error; "accept failed");
+                    log::warn!(member:% = member.name, error:% = error; "failed to accept a connection");
                     tokio::time::sleep(LISTEN_RETRY).await;
                 }
             }
--- a/crates/rudder-standins/src/group/log.rs
+++ b/crates/rudder-standins/src/group/log.rs
@@ -152,7 +152,7 @@
 fn apply_entry(database: &mut GroupDatabase, entry: &LogEntry) {
     for effect in &entry.effects {
         if let Err(error) = database.apply(effect) {
-            log::error!(stamp:% = entry.stamp, error:% = error; "a log entry does not apply");
+            log::error!(stamp:% = entry.stamp, error:% = error; "failed to apply a log entry");
         }
     }
 }
--- a/crates/rudder-standins/src/group/member.rs
+++ b/crates/rudder-standins/src/group/member.rs
@@ -204,7 +204,7 @@
 
     /// Applies a knob that neither starts nor stops tasks.
     pub(crate) fn apply_knob(&self, knob: &MemberKnob) {
-        log::info!(target: "rudder::standins", member:% = self.name, knob:? = knob; "knob turned");
+        log::info!(target: "rudder::standins", member:% = self.name, knob:? = knob; "knob applied");
         match knob {
             MemberKnob::ApplyLag(lag) => lock(&self.replication).apply_lag = *lag,
             MemberKnob::LinkDelay(delay) => lock(&self.replication).link_delay = *delay,
--- a/crates/rudder-standins/src/group/wire/encode.rs
+++ b/crates/rudder-standins/src/group/wire/encode.rs
@@ -15,7 +15,7 @@
 /// Appends a message.
 pub(crate) fn put(message: &impl Message, out: &mut BytesMut) {
     if let Err(error) = message.encode(out) {
-        log::error!(error:% = error; "a message could not be encoded");
+        log::error!(error:% = error; "failed to encode a message");
     }
 }
 
