--- a/crates/rudder-standins/src/group/handle.rs
+++ b/crates/rudder-standins/src/group/handle.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Why a request to the handle failed.
+/// Error of an operation on a group.
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq)]
 pub enum GroupError {
     /// the group has no member "{0}"
--- a/crates/rudder-standins/src/group/log.rs
+++ b/crates/rudder-standins/src/group/log.rs
@@ -53,7 +53,7 @@
         &self.database
     }
 
-    /// The entries after the first `from`, at most `count` of them.
+    /// Returns up to `count` entries after the first `from`.
     pub(crate) fn entries_after(&self, from: usize, count: usize) -> &[Arc<LogEntry>] {
         let end = self.entries.len().min(from.saturating_add(count));
         self.entries.get(from..end).unwrap_or_default()
--- a/crates/rudder-standins/src/group/sql/error.rs
+++ b/crates/rudder-standins/src/group/sql/error.rs
@@ -3,7 +3,7 @@
 use displaydoc::Display;
 use rudder_core::{LogTerm, TERM_REFUSED_SQLSTATE};
 
-/// Why a statement failed.
+/// Error of a failed statement.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub(crate) enum SqlError {
     /// syntax error: {0}
