--- a/crates/rudder-store/examples/settings_cost.rs
+++ b/crates/rudder-store/examples/settings_cost.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const MEMBERS_EACH: usize = 3;
+const MEMBERS_PER_SERVICE: usize = 3;
 /// Times are the median of so many runs.
 const ROUNDS: usize = 21;
 
@@ -96,8 +96,8 @@
 }
 
 fn write_service(text: &mut String, service: usize) -> Result<(), std::fmt::Error> {
-    for member in 0..MEMBERS_EACH {
-        let number = service * MEMBERS_EACH + member;
+    for member in 0..MEMBERS_PER_SERVICE {
+        let number = service * MEMBERS_PER_SERVICE + member;
         let (high, low) = (number / 250, number % 250 + 1);
         write!(
             text,
--- a/crates/rudder-store/src/kubernetes/call.rs
+++ b/crates/rudder-store/src/kubernetes/call.rs
@@ -1,6 +1,6 @@
 //! One call to the API: bounded in time, counted, its error classified.
 
-use super::fault::{CallFault, read_error, write_error};
+use super::error::{CallError, read_error, write_error};
 use crate::store::StoreError;
 use http::Request;
 use kube::Client;
@@ -25,7 +25,7 @@
 }
 
 impl ApiVerb {
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Get => "get",
             Self::Version => "version",
@@ -67,8 +67,8 @@
     pub(crate) async fn read<T: DeserializeOwned>(&self) -> Result<Option<T>, StoreError> {
         match self.send(Vec::new()).await {
             Ok(value) => Ok(Some(value)),
-            Err(CallFault::Answered(status)) if status.code == 404 => Ok(None),
-            Err(fault) => Err(read_error(&fault)),
+            Err(CallError::ErrorResponse(status)) if status.code == 404 => Ok(None),
+            Err(error) => Err(read_error(&error)),
         }
     }
 
@@ -79,30 +79,30 @@
     ) -> Result<T, StoreError> {
         let bytes = serde_json::to_vec(body)
             .map_err(|error| StoreError::Refused(format!("the object is not JSON: {error}")))?;
-        self.send(bytes).await.map_err(|fault| write_error(self.verb, &fault))
+        self.send(bytes).await.map_err(|error| write_error(self.verb, &error))
     }
 
-    async fn send<T: DeserializeOwned>(&self, body: Vec<u8>) -> Result<T, CallFault> {
+    async fn send<T: DeserializeOwned>(&self, body: Vec<u8>) -> Result<T, CallError> {
         let request = Request::builder()
             .method(self.verb.method())
             .uri(&self.path)
             .header(http::header::CONTENT_TYPE, JSON)
             .header(http::header::ACCEPT, self.verb.accept())
             .body(body)
-            .map_err(|error| CallFault::Unsent(error.to_string()))?;
+            .map_err(|error| CallError::NotSent(error.to_string()))?;
         let started = Instant::now();
         // Guards against a platform that hangs: the call would hold its caller for ever.
-        let answer = tokio::time::timeout(self.timeout, self.client.request(request)).await;
-        let result = match answer {
+        let response = tokio::time::timeout(self.timeout, self.client.request(request)).await;
+        let result = match response {
             Ok(Ok(value)) => Ok(value),
-            Ok(Err(error)) => Err(CallFault::from(error)),
-            Err(_) => Err(CallFault::Silent),
+            Ok(Err(error)) => Err(CallError::from(error)),
+            Err(_) => Err(CallError::TimedOut),
         };
-        let verb = self.verb.word();
-        let outcome = result.as_ref().map_or_else(CallFault::word, |_| "ok");
-        if let Err(fault) = &result {
+        let verb = self.verb.label();
+        let outcome = result.as_ref().map_or_else(CallError::label, |_| "ok");
+        if let Err(error) = &result {
             let path = &self.path;
-            log::debug!(target: "rudder::platform", verb, path:% = path, outcome, reason:% = fault; "call");
+            log::debug!(target: "rudder::platform", verb, path:% = path, outcome, reason:% = error; "call");
         }
         metrics::counter!("rudder_platform_calls_total", "verb" => verb, "outcome" => outcome)
             .increment(1);
--- a/crates/rudder-store/src/kubernetes/mod.rs
+++ b/crates/rudder-store/src/kubernetes/mod.rs
@@ -4,7 +4,7 @@
 //! election.
 
 mod call;
-mod fault;
+mod error;
 mod slice;
 mod wire;
 
@@ -191,6 +191,6 @@
     async fn instances(&self) -> Result<Vec<InstanceEntry>, StoreError> {
         let call = self.call(ApiVerb::List, self.slices());
         let wire: Option<ListWire<EndpointSlice>> = call.read().await?;
-        Ok(slice::instances_of(&wire.map(|list| list.items).unwrap_or_default()))
+        Ok(slice::instances_from_slices(&wire.map(|list| list.items).unwrap_or_default()))
     }
 }
--- a/crates/rudder-store/src/kubernetes/slice.rs
+++ b/crates/rudder-store/src/kubernetes/slice.rs
@@ -6,9 +6,9 @@
 
 /// The instances of all slices, sorted by name. One named in two slices is leaving if either says
 /// so: a slice that lags must not bring it back.
-pub(crate) fn instances_of(slices: &[EndpointSlice]) -> Vec<InstanceEntry> {
+pub(crate) fn instances_from_slices(slices: &[EndpointSlice]) -> Vec<InstanceEntry> {
     let endpoints = slices.iter().flat_map(|slice| slice.endpoints.iter().flatten());
-    let mut entries: Vec<InstanceEntry> = endpoints.filter_map(instance_of).collect();
+    let mut entries: Vec<InstanceEntry> = endpoints.filter_map(instance_from_endpoint).collect();
     entries.sort_by(|one, other| {
         (&one.name, std::cmp::Reverse(one.readiness))
             .cmp(&(&other.name, std::cmp::Reverse(other.readiness)))
@@ -18,7 +18,7 @@
 }
 
 /// An endpoint that is neither ready nor terminating is not live yet and is left out.
-fn instance_of(endpoint: &Endpoint) -> Option<InstanceEntry> {
+fn instance_from_endpoint(endpoint: &Endpoint) -> Option<InstanceEntry> {
     let address = endpoint.addresses.first()?.parse().ok()?;
     let name = instance_name(endpoint)?;
     let conditions = endpoint.conditions.as_ref();
--- a/crates/rudder-store/src/kubernetes/tests.rs
+++ b/crates/rudder-store/src/kubernetes/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the list of instances as it is read from slices.
 
-use super::slice::instances_of;
+use super::slice::instances_from_slices;
 use crate::store::InstanceReadiness;
 use k8s_openapi::api::discovery::v1::EndpointSlice;
 use serde_json::json;
@@ -19,13 +19,13 @@
 }
 
 fn readiness(slices: &[EndpointSlice]) -> Vec<InstanceReadiness> {
-    instances_of(slices).into_iter().map(|entry| entry.readiness).collect()
+    instances_from_slices(slices).into_iter().map(|entry| entry.readiness).collect()
 }
 
 /// An instance moves from one slice to another while it shuts down. For a moment both name it, and
 /// the older one still says ready; believed, the instance would get new work until it dies.
 #[test]
-fn leaving_in_one_slice_outweighs_ready_in_another() {
+fn leaving_takes_precedence_over_ready() {
     let ready = slice("a", Some(true), Some(false));
     let leaving = slice("a", Some(false), Some(true));
 
@@ -39,9 +39,9 @@
 #[test]
 fn instances_that_are_not_live_yet_are_left_out() {
     let starting = slice("a", Some(false), Some(false));
-    let unspoken = slice("b", None, None);
+    let without_conditions = slice("b", None, None);
 
-    let listed = readiness(&[starting, unspoken]);
+    let listed = readiness(&[starting, without_conditions]);
 
     assert_eq!(listed, [InstanceReadiness::Ready]);
 }
--- a/crates/rudder-store/src/lib.rs
+++ b/crates/rudder-store/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use kubernetes::{KubeStore, PlatformOptions};
 pub use revision::{
-    BundleError, BundleFile, FolderChange, OfferVerdict, RaceRefusal, ReadError, RevisionBundle,
+    BundleError, BundleFile, FileConflict, FolderChange, OfferVerdict, ReadError, RevisionBundle,
     RevisionFile, RevisionFollower, RevisionNumber, SettingsRevision, SubmitError, SubmitOutcome,
     poll_revision, read_revision, submit_change,
 };
--- a/crates/rudder-store/src/revision/follow.rs
+++ b/crates/rudder-store/src/revision/follow.rs
@@ -19,11 +19,11 @@
 /// The revision in force at an instance, from whichever source it came first.
 #[derive(Clone, Debug, Default)]
 pub struct RevisionFollower {
-    in_force: Option<RevisionInForce>,
+    in_force: Option<ActiveRevision>,
 }
 
 #[derive(Clone, Debug)]
-struct RevisionInForce {
+struct ActiveRevision {
     bundle: Arc<RevisionBundle>,
     folder: Arc<MergedFolder>,
 }
@@ -84,7 +84,7 @@
         match bundle.merge() {
             Ok(folder) => {
                 let (bundle, folder) = (Arc::new(bundle), Arc::new(folder));
-                self.in_force = Some(RevisionInForce { bundle, folder });
+                self.in_force = Some(ActiveRevision { bundle, folder });
                 OfferVerdict::Adopted
             }
             Err(error) => OfferVerdict::Unusable(error),
--- a/crates/rudder-store/src/revision/mod.rs
+++ b/crates/rudder-store/src/revision/mod.rs
@@ -7,12 +7,12 @@
 mod prune;
 mod read;
 mod record;
-mod renew;
+mod refresh;
 mod submit;
 
 pub use bundle::{BundleError, BundleFile, RevisionBundle};
 pub use follow::{OfferVerdict, RevisionFollower};
-pub use plan::RaceRefusal;
+pub use plan::FileConflict;
 pub use read::{ReadError, poll_revision, read_revision};
 pub use record::{RevisionFile, RevisionNumber, SettingsRevision};
 pub use submit::{FolderChange, SubmitError, SubmitOutcome, submit_change};
--- a/crates/rudder-store/src/revision/plan.rs
+++ b/crates/rudder-store/src/revision/plan.rs
@@ -10,7 +10,7 @@
 
 plain_data! {
     /// Another operator changed a file that this submission changes too.
-    pub struct RaceRefusal {
+    pub struct FileConflict {
         /// The file.
         pub file: FileName,
         /// The revision in force.
@@ -18,7 +18,7 @@
     }
 }
 
-impl fmt::Display for RaceRefusal {
+impl fmt::Display for FileConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { file, number } = self;
         write!(f, "{file} was changed by another operator up to revision {number}; ")?;
@@ -26,7 +26,7 @@
     }
 }
 
-impl std::error::Error for RaceRefusal {}
+impl std::error::Error for FileConflict {}
 
 plain_data! {
     /// The wanted version of one file; none removes it.
@@ -50,7 +50,7 @@
     wanted: &[WantedFile],
     mark: &WriterMark,
     above: RevisionNumber,
-) -> Result<Option<SettingsRevision>, RaceRefusal> {
+) -> Result<Option<SettingsRevision>, FileConflict> {
     let number = current.number.max(above).next();
     let mut next = current.clone();
     for file in wanted {
@@ -63,7 +63,7 @@
             continue;
         }
         if in_force != at_base {
-            return Err(RaceRefusal { file: file.name.clone(), number: current.number });
+            return Err(FileConflict { file: file.name.clone(), number: current.number });
         }
         replace_file(&mut next, file, number);
     }
--- a/crates/rudder-store/src/revision/prune.rs
+++ b/crates/rudder-store/src/revision/prune.rs
@@ -1,6 +1,6 @@
 //! Removing file objects that no recent revision names.
 
-use super::read::{ReadError, read_revision, shaped};
+use super::read::{ReadError, decode_spec, read_revision};
 use super::record::{FileRecord, KEEP_REVISIONS, SettingsRevision};
 use crate::store::{ObjectKind, PlatformStore, StoreError, StoredObject};
 
@@ -33,6 +33,6 @@
     if named || recent {
         return Ok(false);
     }
-    let record: FileRecord = shaped(&object.name, object.spec.clone())?;
+    let record: FileRecord = decode_spec(&object.name, object.spec.clone())?;
     Ok(record.since.0 + KEEP_REVISIONS < revision.number.0)
 }
--- a/crates/rudder-store/src/revision/read.rs
+++ b/crates/rudder-store/src/revision/read.rs
@@ -16,14 +16,14 @@
     /// {0}
     Store(StoreError),
     /// object {object} does not have the shape of this version: {reason}
-    Shape {
+    Malformed {
         /// The object.
         object: String,
         /// What does not fit.
         reason: String,
     },
     /// object {0} is gone: a newer revision was accepted meanwhile; read again
-    Gone(String),
+    Missing(String),
 }
 
 impl std::error::Error for ReadError {}
@@ -55,11 +55,11 @@
 ) -> Result<Option<(ObjectVersion, SettingsRevision)>, ReadError> {
     let object = store.get(ObjectKind::SettingsRevision, REVISION_OBJECT).await?;
     let Some(object) = object else { return Ok(None) };
-    let revision = shaped(REVISION_OBJECT, object.spec)?;
+    let revision = decode_spec(REVISION_OBJECT, object.spec)?;
     Ok(Some((object.version, revision)))
 }
 
-/// Reads the accepted revision if its number is greater than that of `known`; files that `known`
+/// Reads the accepted revision if its number is greater than that of `cached`; files that `cached`
 /// has are not read again. The one small read that finds nothing new is the usual case.
 ///
 /// ```
@@ -79,40 +79,40 @@
 /// still newer revision was accepted meanwhile.
 pub async fn poll_revision(
     store: &dyn PlatformStore,
-    known: Option<&RevisionBundle>,
+    cached: Option<&RevisionBundle>,
 ) -> Result<Option<RevisionBundle>, ReadError> {
-    if is_unchanged(store, known).await? {
+    if is_unchanged(store, cached).await? {
         return Ok(None);
     }
     let Some((version, revision)) = read_revision(store).await? else { return Ok(None) };
-    if known.is_some_and(|known| revision.number <= known.number) {
+    if cached.is_some_and(|cached| revision.number <= cached.number) {
         return Ok(None);
     }
-    let files = read_files(store, &revision.files, known).await?;
+    let files = read_files(store, &revision.files, cached).await?;
     Ok(Some(RevisionBundle { number: revision.number, version: Some(version), files }))
 }
 
-/// Whether the platform still has the object that `known` was read from.
+/// Whether the platform still has the object that `cached` was read from.
 async fn is_unchanged(
     store: &dyn PlatformStore,
-    known: Option<&RevisionBundle>,
+    cached: Option<&RevisionBundle>,
 ) -> Result<bool, ReadError> {
-    let Some(version) = known.and_then(|known| known.version.as_ref()) else { return Ok(false) };
+    let Some(version) = cached.and_then(|cached| cached.version.as_ref()) else { return Ok(false) };
     let now = store.version(ObjectKind::SettingsRevision, REVISION_OBJECT).await?;
     Ok(now.as_ref() == Some(version))
 }
 
-/// Reads the texts of files, taking those that `known` has from there.
+/// Reads the texts of files, taking those that `cached` has from there.
 ///
 /// Many missing files are read by one list: an instance that starts, or an operator who submits,
 /// would else wait for as many answers as there are files.
 pub(crate) async fn read_files(
     store: &dyn PlatformStore,
     files: &[RevisionFile],
-    known: Option<&RevisionBundle>,
+    cached: Option<&RevisionBundle>,
 ) -> Result<Vec<BundleFile>, ReadError> {
     let is_known =
-        |file: &&RevisionFile| known.is_some_and(|known| known.file_of(&file.object).is_some());
+        |file: &&RevisionFile| cached.is_some_and(|cached| cached.file_of(&file.object).is_some());
     let missing = files.len() - files.iter().filter(is_known).count();
     let listed = match missing > SINGLE_READS_MAX {
         true => store.list(ObjectKind::SettingsFile).await?,
@@ -120,9 +120,9 @@
     };
     let mut bundled = Vec::with_capacity(files.len());
     for file in files {
-        let from_known = known.and_then(|known| known.file_of(&file.object)).cloned();
+        let from_known = cached.and_then(|cached| cached.file_of(&file.object)).cloned();
         bundled.push(match from_known {
-            Some(known) => known,
+            Some(cached) => cached,
             None => read_file(store, &listed, &file.object).await?,
         });
     }
@@ -139,20 +139,20 @@
         Ok(index) => Some(listed[index].clone()),
         Err(_) => store.get(ObjectKind::SettingsFile, name).await?,
     };
-    let object = object.ok_or_else(|| ReadError::Gone(name.to_owned()))?;
-    let record: FileRecord = shaped(name, object.spec)?;
+    let object = object.ok_or_else(|| ReadError::Missing(name.to_owned()))?;
+    let record: FileRecord = decode_spec(name, object.spec)?;
     let file = SettingsFile { name: record.file, text: record.text };
     Ok(BundleFile { object: name.to_owned(), file })
 }
 
 /// Reads an object's content into its type.
-pub(crate) fn shaped<T: serde::de::DeserializeOwned>(
+pub(crate) fn decode_spec<T: serde::de::DeserializeOwned>(
     object: &str,
     spec: serde_json::Value,
 ) -> Result<T, ReadError> {
-    let refusal = |error: serde_json::Error| ReadError::Shape {
+    let decode_error = |error: serde_json::Error| ReadError::Malformed {
         object: object.to_owned(),
         reason: error.to_string(),
     };
-    serde_json::from_value(spec).map_err(refusal)
+    serde_json::from_value(spec).map_err(decode_error)
 }
--- a/crates/rudder-store/src/revision/record.rs
+++ b/crates/rudder-store/src/revision/record.rs
@@ -41,8 +41,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refusal = |_| ParseError::Number { what: "RevisionNumber", text: text.to_owned() };
-        text.parse().map(Self).map_err(refusal)
+        let parse_error = |_| ParseError::Number { what: "RevisionNumber", text: text.to_owned() };
+        text.parse().map(Self).map_err(parse_error)
     }
 }
 
@@ -129,7 +129,7 @@
     }
 
     /// The revision that this writer made, if it is among the last.
-    pub(crate) fn made_by(&self, mark: &WriterMark) -> Option<RevisionNumber> {
+    pub(crate) fn number_written_by(&self, mark: &WriterMark) -> Option<RevisionNumber> {
         self.marks.iter().find(|made| made.mark == *mark).map(|made| made.number)
     }
 }
--- a/crates/rudder-store/src/revision/renew.rs
+++ b/crates/rudder-store/src/revision/refresh.rs
@@ -1,7 +1,7 @@
 //! Putting a file's object where readers will look for it.
 
-use super::attempt::AttemptFailure;
-use super::read::{ReadError, shaped};
+use super::attempt::AttemptError;
+use super::read::{ReadError, decode_spec};
 use super::record::{FileRecord, RevisionNumber, object_name};
 use crate::store::{ObjectKind, PlatformStore};
 use rudder_settings::SettingsFile;
@@ -10,17 +10,17 @@
 ///
 /// A lost answer or a conflict fails the attempt; the next one finds the object, or puts it again.
 /// Names stand for contents, so putting twice does no harm.
-pub(crate) async fn renew_file(
+pub(crate) async fn refresh_file(
     store: &dyn PlatformStore,
     file: &SettingsFile,
     now: RevisionNumber,
-) -> Result<(), AttemptFailure> {
+) -> Result<(), AttemptError> {
     let kind = ObjectKind::SettingsFile;
     let name = object_name(file);
     let present = store.get(kind, &name).await?;
     if let Some(object) = &present {
-        let known: FileRecord = shaped(&name, object.spec.clone())?;
-        check_same_text(&name, file, &known)?;
+        let known: FileRecord = decode_spec(&name, object.spec.clone())?;
+        check_no_collision(&name, file, &known)?;
         if known.since >= now {
             return Ok(());
         }
@@ -33,10 +33,14 @@
 }
 
 /// Guards against two texts with one hash: the earlier one would be in force under the later name.
-fn check_same_text(name: &str, file: &SettingsFile, known: &FileRecord) -> Result<(), ReadError> {
+fn check_no_collision(
+    name: &str,
+    file: &SettingsFile,
+    known: &FileRecord,
+) -> Result<(), ReadError> {
     if known.text == file.text && known.file == file.name {
         return Ok(());
     }
     let reason = "another text has the same hash; change a comment in the file".to_owned();
-    Err(ReadError::Shape { object: name.to_owned(), reason })
+    Err(ReadError::Malformed { object: name.to_owned(), reason })
 }
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -1,14 +1,14 @@
 //! Submitting files of the folder: the whole merge is checked, then the number grows by one.
 
-use super::attempt::{ATTEMPTS_MAX, AttemptFailure, pause_after};
+use super::attempt::{ATTEMPTS_MAX, AttemptError, retry_delay};
 use super::bundle::RevisionBundle;
-use super::plan::{RaceRefusal, WantedFile, plan_revision};
+use super::plan::{FileConflict, WantedFile, plan_revision};
 use super::prune::prune_files;
 use super::read::{ReadError, read_files, read_revision};
 use super::record::{
     KEEP_MARKS, REVISION_OBJECT, RevisionFile, RevisionNumber, SettingsRevision, object_name,
 };
-use super::renew::renew_file;
+use super::refresh::refresh_file;
 use crate::store::{ObjectKind, ObjectVersion, PlatformStore, StoreError};
 use displaydoc::Display;
 use rudder_core::{WriterMark, plain_data};
@@ -46,7 +46,7 @@
     /// {0}
     Invalid(SettingsRefusal),
     /// {0}
-    Raced(RaceRefusal),
+    FileConflict(FileConflict),
     /// the platform cannot be reached; nothing was changed, submit again later
     Unavailable,
     /// other operators submit all the time; nothing was changed, submit again
@@ -97,7 +97,7 @@
     wanted: Vec<WantedFile>,
     base: Option<SettingsRevision>,
     /// Texts read in earlier attempts.
-    known: Option<RevisionBundle>,
+    cached: Option<RevisionBundle>,
     /// The number of an update that was sent and whose effect is not known.
     unresolved: Option<RevisionNumber>,
 }
@@ -113,7 +113,7 @@
         let wanted = put.chain(remove).collect();
         let base = change.base.clone();
         let mark = WriterMark::random();
-        Self { store, change, mark, wanted, base, known: None, unresolved: None }
+        Self { store, change, mark, wanted, base, cached: None, unresolved: None }
     }
 
     async fn run(&mut self) -> Result<SubmitOutcome, SubmitError> {
@@ -121,30 +121,30 @@
         for attempt in 0..ATTEMPTS_MAX {
             error = match self.attempt().await {
                 Ok(outcome) => return Ok(outcome),
-                Err(AttemptFailure::Conflict) => SubmitError::Busy,
-                Err(AttemptFailure::Unavailable) => SubmitError::Unavailable,
-                Err(AttemptFailure::Refused(refusal)) => {
+                Err(AttemptError::Conflict) => SubmitError::Busy,
+                Err(AttemptError::Unavailable) => SubmitError::Unavailable,
+                Err(AttemptError::Fatal(refusal)) => {
                     error = refusal;
                     break;
                 }
             };
-            tokio::time::sleep(pause_after(attempt)).await;
+            tokio::time::sleep(retry_delay(attempt)).await;
         }
         // An update whose answer was lost may still be in force, whatever came after it.
         Err(if self.unresolved.is_some() { SubmitError::Unresolved } else { error })
     }
 
-    async fn attempt(&mut self) -> Result<SubmitOutcome, AttemptFailure> {
+    async fn attempt(&mut self) -> Result<SubmitOutcome, AttemptError> {
         let (version, current) = match read_revision(self.store).await? {
             Some((version, revision)) => (Some(version), revision),
             None => (None, SettingsRevision::default()),
         };
-        if let Some(number) = self.resolve(&current) {
+        if let Some(number) = self.find_own_revision(&current) {
             return Ok(SubmitOutcome { number, changed: true });
         }
         let base = self.base.get_or_insert_with(|| current.clone());
         let planned = plan_revision(&current, base, &self.wanted, &self.mark, self.change.above)
-            .map_err(|refusal| AttemptFailure::Refused(SubmitError::Raced(refusal)))?;
+            .map_err(|refusal| AttemptError::Fatal(SubmitError::FileConflict(refusal)))?;
         let Some(next) = planned else {
             return Ok(SubmitOutcome { number: current.number, changed: false });
         };
@@ -157,15 +157,15 @@
     /// Guards against two revisions for one submission: the platform applied the update, and the
     /// writer saw only a broken connection. Later writers keep the mark, so it is found also after
     /// others came; a revision of that number without the mark shows that the update was lost.
-    fn resolve(&mut self, current: &SettingsRevision) -> Option<RevisionNumber> {
-        let made = current.made_by(&self.mark);
+    fn find_own_revision(&mut self, current: &SettingsRevision) -> Option<RevisionNumber> {
+        let own_number = current.number_written_by(&self.mark);
         if let Some(attempted) = self.unresolved {
             let remembered = attempted.0..attempted.0 + KEEP_MARKS as u64;
-            if made.is_some() || remembered.contains(&current.number.0) {
+            if own_number.is_some() || remembered.contains(&current.number.0) {
                 self.unresolved = None;
             }
         }
-        made
+        own_number
     }
 
     /// Checks the whole merge and puts this operator's files where readers will look for them.
@@ -173,23 +173,27 @@
         &mut self,
         current: &SettingsRevision,
         next: &SettingsRevision,
-    ) -> Result<(), AttemptFailure> {
-        let own = |file: &RevisionFile| {
+    ) -> Result<(), AttemptError> {
+        let submitted = |file: &RevisionFile| {
             let mut put = self.change.put.iter();
-            put.find(|own| own.name == file.name && object_name(own) == file.object)
+            put.find(|submitted| {
+                submitted.name == file.name && object_name(submitted) == file.object
+            })
         };
-        let own_files: Vec<SettingsFile> = next.files.iter().filter_map(own).cloned().collect();
+        let submitted_files: Vec<SettingsFile> =
+            next.files.iter().filter_map(submitted).cloned().collect();
         let others: Vec<RevisionFile> =
-            next.files.iter().filter(|file| own(file).is_none()).cloned().collect();
-        let bundled = read_files(self.store, &others, self.known.as_ref()).await?;
+            next.files.iter().filter(|file| submitted(file).is_none()).cloned().collect();
+        let bundle_files = read_files(self.store, &others, self.cached.as_ref()).await?;
         let mut files: Vec<SettingsFile> =
-            bundled.iter().map(|bundled| bundled.file.clone()).collect();
-        self.known = Some(RevisionBundle { number: current.number, version: None, files: bundled });
-        files.extend(own_files.iter().cloned());
+            bundle_files.iter().map(|bundled| bundled.file.clone()).collect();
+        self.cached =
+            Some(RevisionBundle { number: current.number, version: None, files: bundle_files });
+        files.extend(submitted_files.iter().cloned());
         merge_folder(&files)
-            .map_err(|refusal| AttemptFailure::Refused(SubmitError::Invalid(refusal)))?;
-        for file in &own_files {
-            renew_file(self.store, file, current.number).await?;
+            .map_err(|refusal| AttemptError::Fatal(SubmitError::Invalid(refusal)))?;
+        for file in &submitted_files {
+            refresh_file(self.store, file, current.number).await?;
         }
         Ok(())
     }
@@ -198,7 +202,7 @@
         &mut self,
         expected: Option<&ObjectVersion>,
         next: &SettingsRevision,
-    ) -> Result<SubmitOutcome, AttemptFailure> {
+    ) -> Result<SubmitOutcome, AttemptError> {
         let spec = serde_json::to_value(next).expect("names and numbers are always JSON");
         let kind = ObjectKind::SettingsRevision;
         let result = self.store.put(kind, REVISION_OBJECT, expected, spec).await;
--- a/crates/rudder-store/tests/platform/common.rs
+++ b/crates/rudder-store/tests/platform/common.rs
@@ -23,7 +23,7 @@
     KubeStore::connect(options).expect("the stand-in's address is a URL")
 }
 
-pub(crate) fn patient_store(standin: &PlatformStandin) -> KubeStore {
+pub(crate) fn store_with_long_timeout(standin: &PlatformStandin) -> KubeStore {
     store(standin, Duration::from_secs(20))
 }
 
@@ -47,11 +47,11 @@
     /// It never arrives; the writer sees a broken connection.
     LostRequest,
     /// It takes effect; the writer sees a broken connection.
-    LostAnswer,
+    LostResponse,
     /// It takes effect, a rival submits a change, and the writer sees a broken connection.
-    LostAnswerThen(FolderChange),
+    LostResponseAfterSubmission(FolderChange),
     /// Nobody listens.
-    Refused,
+    ConnectionRefused,
 }
 
 /// Brings faults about at chosen calls of a [`FaultyStore`].
@@ -101,8 +101,8 @@
         let fault = self.script.on_put(kind);
         match fault {
             PutFault::LostRequest => return Err(StoreError::Unresolved),
-            PutFault::Refused => return Err(StoreError::Unavailable),
-            PutFault::None | PutFault::LostAnswer | PutFault::LostAnswerThen(_) => {}
+            PutFault::ConnectionRefused => return Err(StoreError::Unavailable),
+            PutFault::None | PutFault::LostResponse | PutFault::LostResponseAfterSubmission(_) => {}
         }
         let stored = self.inner.put(kind, name, expected, spec).await;
         if let Ok(object) = &stored {
@@ -110,8 +110,10 @@
         }
         match fault {
             PutFault::None => stored,
-            PutFault::LostAnswerThen(rival) => {
-                submit_change(&self.inner, rival).await.expect("the rival's change is valid");
+            PutFault::LostResponseAfterSubmission(concurrent_change) => {
+                submit_change(&self.inner, concurrent_change)
+                    .await
+                    .expect("the rival's change is valid");
                 Err(StoreError::Unresolved)
             }
             _ => Err(StoreError::Unresolved),
@@ -149,13 +151,13 @@
 
 /// A writer is overtaken while pruning: once it has listed the files, a rival submits between the
 /// next read of the revision and its answer.
-pub(crate) struct OvertakenPruning {
-    pub(crate) rival: Mutex<Option<FolderChange>>,
+pub(crate) struct SubmissionDuringPruning {
+    pub(crate) concurrent_change: Mutex<Option<FolderChange>>,
     pub(crate) listed: AtomicBool,
 }
 
 #[async_trait]
-impl FaultScript for OvertakenPruning {
+impl FaultScript for SubmissionDuringPruning {
     fn on_list(&self) {
         self.listed.store(true, Ordering::Relaxed);
     }
@@ -164,9 +166,9 @@
         if !self.listed.load(Ordering::Relaxed) || kind != ObjectKind::SettingsRevision {
             return;
         }
-        let rival = self.rival.lock().expect("no test panics here").take();
-        if let Some(rival) = rival {
-            submit_change(inner, rival).await.expect("the rival's change is valid");
+        let concurrent_change = self.concurrent_change.lock().expect("no test panics here").take();
+        if let Some(concurrent_change) = concurrent_change {
+            submit_change(inner, concurrent_change).await.expect("the rival's change is valid");
         }
     }
 }
@@ -182,8 +184,8 @@
     fn on_put(&self, _kind: ObjectKind) -> PutFault {
         match self.random.lock().expect("no test panics here").random_range(0..10) {
             0 | 1 => PutFault::LostRequest,
-            2 | 3 => PutFault::LostAnswer,
-            4 => PutFault::Refused,
+            2 | 3 => PutFault::LostResponse,
+            4 => PutFault::ConnectionRefused,
             _ => PutFault::None,
         }
     }
--- a/crates/rudder-store/tests/platform/racing.rs
+++ b/crates/rudder-store/tests/platform/concurrency.rs
@@ -1,6 +1,8 @@
 //! Histories of operators who race while the platform loses requests and answers.
 
-use crate::common::{FaultyStore, RandomFaults, change, domain_file, patient_store, standin};
+use crate::common::{
+    FaultyStore, RandomFaults, change, domain_file, standin, store_with_long_timeout,
+};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rudder_standins::PlatformStandin;
@@ -35,12 +37,12 @@
             Ok(outcome) if outcome.changed && made == Some(outcome.number) => Ok(()),
             Err(SubmitError::Unresolved) => Ok(()),
             Err(_) if made.is_none() => Ok(()),
-            told => Err(format!("told {told:?}, in force since {made:?}")),
+            reported => Err(format!("told {reported:?}, in force since {made:?}")),
         }
     }
 }
 
-async fn operate(
+async fn submit_rounds(
     standin: &PlatformStandin,
     index: u64,
     seed: u64,
@@ -49,7 +51,7 @@
     let stem = OPERATORS[usize::try_from(index).expect("there are four")];
     let random = Mutex::new(SmallRng::seed_from_u64(seed * 100 + index));
     let script = RandomFaults { random, revisions: log };
-    let store = FaultyStore { inner: patient_store(standin), script };
+    let store = FaultyStore { inner: store_with_long_timeout(standin), script };
     let mut records = Vec::new();
     for round in 0..ROUNDS {
         let file = domain_file(stem, &format!("region-{index}-{round}"));
@@ -64,14 +66,14 @@
 /// two of ten take effect without an answer, and one of ten meets nobody. Whoever was told a number
 /// must have made that revision; whoever was refused must find his text in none.
 #[tokio::test]
-async fn what_racing_operators_are_told_is_true() {
+async fn results_of_concurrent_submissions_match_the_stored_revisions() {
     for seed in 0..SEEDS {
         let standin = standin().await;
         let log = RevisionLog::default();
-        let operators =
-            (0..OPERATORS.len() as u64).map(|index| operate(&standin, index, seed, log.clone()));
+        let submissions = (0..OPERATORS.len() as u64)
+            .map(|index| submit_rounds(&standin, index, seed, log.clone()));
 
-        let histories = futures::future::join_all(operators).await;
+        let histories = futures::future::join_all(submissions).await;
         let records: Vec<SubmissionRecord> = histories.into_iter().flatten().collect();
 
         let mut revisions = log.lock().unwrap().clone();
--- a/crates/rudder-store/tests/platform/following.rs
+++ b/crates/rudder-store/tests/platform/following.rs
@@ -1,6 +1,6 @@
 //! Following: numbers that only grow, stale reads, instances cut off from the platform.
 
-use crate::common::{change, domain_file, patient_store, standin, store};
+use crate::common::{change, domain_file, standin, store, store_with_long_timeout};
 use proptest::prelude::*;
 use rudder_standins::{PlatformFaults, PlatformOutage};
 use rudder_store::{
@@ -16,9 +16,9 @@
 /// The platform answers from a copy that lags. An instance that holds revision 2 reads revision 1;
 /// adopting it would bring back settings that an operator has replaced.
 #[tokio::test]
-async fn stale_read_reverts_nothing() {
+async fn stale_read_does_not_revert_settings() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     submit_change(&store, change(&[domain_file("a", "south")])).await.unwrap();
     let mut follower = RevisionFollower::default();
@@ -28,11 +28,11 @@
     standin.set_faults(PlatformFaults { stale_by: 1, ..PlatformFaults::default() });
     let polled = poll_revision(&store, follower.bundle().map(|held| &**held)).await.unwrap();
     let stale = poll_revision(&store, None).await.unwrap().unwrap();
-    let verdict = follower.offer(stale.clone());
+    let outcome = follower.offer(stale.clone());
 
     assert_eq!(polled, None);
     assert_eq!(stale.number, RevisionNumber(1));
-    assert_eq!(verdict, OfferVerdict::NotNewer);
+    assert_eq!(outcome, OfferVerdict::NotNewer);
     assert_eq!((follower.number(), region(&follower)), (RevisionNumber(2), "south"));
 }
 
@@ -41,8 +41,10 @@
 #[tokio::test]
 async fn instance_that_starts_in_an_outage_follows_a_peer() {
     let standin = standin().await;
-    submit_change(&patient_store(&standin), change(&[domain_file("a", "north")])).await.unwrap();
-    let held = poll_revision(&patient_store(&standin), None).await.unwrap().unwrap();
+    submit_change(&store_with_long_timeout(&standin), change(&[domain_file("a", "north")]))
+        .await
+        .unwrap();
+    let held = poll_revision(&store_with_long_timeout(&standin), None).await.unwrap().unwrap();
     let outage = PlatformOutage::Hanging;
     standin.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
     let mut follower = RevisionFollower::default();
@@ -50,10 +52,10 @@
     let polled = poll_revision(&store(&standin, Duration::from_millis(100)), None).await;
     let message = serde_json::to_vec(&held).unwrap();
     let handed: RevisionBundle = serde_json::from_slice(&message).unwrap();
-    let verdict = follower.offer(handed);
+    let outcome = follower.offer(handed);
 
     assert_eq!(polled, Err(ReadError::Store(StoreError::Unavailable)));
-    assert_eq!(verdict, OfferVerdict::Adopted);
+    assert_eq!(outcome, OfferVerdict::Adopted);
     assert_eq!(region(&follower), "north");
 }
 
@@ -62,7 +64,7 @@
 #[tokio::test]
 async fn poll_reads_only_what_changed() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     let files = ["a", "b", "c", "d"].map(|stem| domain_file(stem, "north"));
     submit_change(&store, change(&files)).await.unwrap();
     let held = poll_revision(&store, None).await.unwrap().unwrap();
@@ -82,9 +84,9 @@
 /// A peer runs a later release whose settings this one does not know, or a message was damaged.
 /// The revision in force stays, and a later usable one is still adopted.
 #[tokio::test]
-async fn unusable_bundle_leaves_the_one_in_force() {
+async fn unusable_bundle_is_not_adopted() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     let good = poll_revision(&store, None).await.unwrap().unwrap();
     let mut follower = RevisionFollower::default();
@@ -93,10 +95,10 @@
     damaged.number = RevisionNumber(2);
     damaged.files[0].file.text.push_str("# damaged\n");
 
-    let verdict = follower.offer(damaged);
+    let outcome = follower.offer(damaged);
     let later = follower.offer(RevisionBundle { number: RevisionNumber(3), ..good });
 
-    assert!(matches!(verdict, OfferVerdict::Unusable(BundleError::Damaged(_))), "{verdict:?}");
+    assert!(matches!(outcome, OfferVerdict::Unusable(BundleError::Damaged(_))), "{outcome:?}");
     assert_eq!(later, OfferVerdict::Adopted);
     assert_eq!(follower.number(), RevisionNumber(3));
 }
@@ -110,9 +112,9 @@
             let number_of = RevisionNumber(number);
             let bundle = RevisionBundle { number: number_of, version: None, files: Vec::new() };
 
-            let verdict = follower.offer(bundle);
+            let outcome = follower.offer(bundle);
 
-            prop_assert_eq!(verdict == OfferVerdict::Adopted, number > greatest);
+            prop_assert_eq!(outcome == OfferVerdict::Adopted, number > greatest);
             greatest = greatest.max(number);
             prop_assert_eq!(follower.number(), RevisionNumber(greatest));
         }
--- a/crates/rudder-store/tests/platform/main.rs
+++ b/crates/rudder-store/tests/platform/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the platform's package against the stand-in over HTTP.
 
 mod common;
+mod concurrency;
 mod following;
-mod racing;
 mod store;
 mod submission;
--- a/crates/rudder-store/tests/platform/submission.rs
+++ b/crates/rudder-store/tests/platform/submission.rs
@@ -1,8 +1,8 @@
 //! Submitting: racing operators, lost answers, outages, refusals, pruning.
 
 use crate::common::{
-    FaultyStore, OvertakenPruning, PutFault, UpdateFaults, change, domain_file, file,
-    patient_store, standin, store,
+    FaultyStore, PutFault, SubmissionDuringPruning, UpdateFaults, change, domain_file, file,
+    standin, store, store_with_long_timeout,
 };
 use rudder_standins::{PlatformFaults, PlatformOutage};
 use rudder_store::{
@@ -25,17 +25,17 @@
 /// Six operators each add one file at the same moment. Each reads the same revision and builds on
 /// it; without the conditional update the last would wipe out the five others.
 #[tokio::test]
-async fn racing_operators_all_get_their_files_in() {
+async fn concurrent_submissions_are_all_accepted() {
     let standin = standin().await;
     let stems = ["a", "b", "c", "d", "e", "f"];
 
     let submissions = stems.map(|stem| {
-        let store = patient_store(&standin);
+        let store = store_with_long_timeout(&standin);
         async move { submit_change(&store, change(&[domain_file(stem, "north")])).await }
     });
     let outcomes = futures::future::join_all(submissions).await;
 
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     let mut numbers: Vec<u64> =
         outcomes.into_iter().map(|outcome| outcome.unwrap().number.0).collect();
     numbers.sort_unstable();
@@ -48,22 +48,24 @@
 /// Two operators fetched revision 1 and change the same file differently. One is accepted; were the
 /// other accepted too, the first one's change would be gone and nobody told.
 #[tokio::test]
-async fn rivals_over_one_file_do_not_wipe_each_other_out() {
+async fn concurrent_changes_of_one_file_conflict() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     let base = revision(&store).await;
-    let rival = |region: &str| FolderChange {
+    let concurrent_change = |region: &str| FolderChange {
         base: Some(base.clone()),
         ..change(&[domain_file("a", region)])
     };
 
-    let (one, other) =
-        tokio::join!(submit_change(&store, rival("south")), submit_change(&store, rival("east")));
+    let (one, other) = tokio::join!(
+        submit_change(&store, concurrent_change("south")),
+        submit_change(&store, concurrent_change("east"))
+    );
 
     let (accepted, refused) = if one.is_ok() { (one, other) } else { (other, one) };
     assert_eq!(accepted.unwrap().number, RevisionNumber(2));
-    assert!(matches!(refused, Err(SubmitError::Raced(_))), "{refused:?}");
+    assert!(matches!(refused, Err(SubmitError::FileConflict(_))), "{refused:?}");
     assert_eq!(revision(&store).await.number, RevisionNumber(2));
 }
 
@@ -72,7 +74,7 @@
 #[tokio::test]
 async fn unchanged_files_of_an_old_copy_do_not_revert_others() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     let old_copy = [domain_file("a", "north"), domain_file("b", "north")];
     submit_change(&store, change(&old_copy)).await.unwrap();
     let base = revision(&store).await;
@@ -93,7 +95,7 @@
 #[tokio::test]
 async fn removing_what_the_base_lacks_is_refused() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     let base = Some(revision(&store).await);
     submit_change(&store, change(&[domain_file("b", "south")])).await.unwrap();
@@ -102,15 +104,15 @@
     let result =
         submit_change(&store, FolderChange { base, remove, ..FolderChange::default() }).await;
 
-    assert!(matches!(result, Err(SubmitError::Raced(_))), "{result:?}");
+    assert!(matches!(result, Err(SubmitError::FileConflict(_))), "{result:?}");
 }
 
 /// The platform applies the change and its answer is lost, first for the file, then for the
 /// revision. The operator must see the one revision that was made, not a second one.
 #[tokio::test]
-async fn lost_answers_make_one_revision() {
+async fn lost_responses_make_one_revision() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     standin.set_faults(PlatformFaults { lost_answers: 2, ..PlatformFaults::default() });
 
     let outcome = submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
@@ -123,11 +125,12 @@
 /// The answer is lost, and before the writer reads back, a rival replaces the same file. The file
 /// is no longer the writer's, so only its mark can tell that its change had been accepted.
 #[tokio::test]
-async fn lost_answer_is_recognised_under_a_later_revision() {
+async fn lost_response_is_recognised_under_a_later_revision() {
     let standin = standin().await;
-    let inner = patient_store(&standin);
-    let rival = change(&[domain_file("a", "south")]);
-    let script = UpdateFaults(Mutex::new(vec![PutFault::LostAnswerThen(rival)]));
+    let inner = store_with_long_timeout(&standin);
+    let concurrent_change = change(&[domain_file("a", "south")]);
+    let script =
+        UpdateFaults(Mutex::new(vec![PutFault::LostResponseAfterSubmission(concurrent_change)]));
     let scripted = FaultyStore { inner, script };
 
     let outcome = submit_change(&scripted, change(&[domain_file("a", "north")])).await.unwrap();
@@ -139,9 +142,9 @@
 /// The update itself is lost on the way. Taken for accepted, the operator's change would be missing
 /// though he was told that it is in force.
 #[tokio::test]
-async fn lost_request_is_sent_again() {
+async fn lost_request_is_retried() {
     let standin = standin().await;
-    let inner = patient_store(&standin);
+    let inner = store_with_long_timeout(&standin);
     let script = UpdateFaults(Mutex::new(vec![PutFault::LostRequest]));
     let scripted = FaultyStore { inner, script };
 
@@ -154,10 +157,10 @@
 /// An update's answer is lost and the platform stays away afterwards. Nobody can tell whether the
 /// change is in force, so neither "accepted" nor "nothing changed" would be true.
 #[tokio::test]
-async fn lost_answer_before_an_outage_stays_unknown() {
+async fn lost_request_before_an_outage_is_unresolved() {
     let standin = standin().await;
-    let inner = patient_store(&standin);
-    let mut faults: Vec<PutFault> = (0..100).map(|_| PutFault::Refused).collect();
+    let inner = store_with_long_timeout(&standin);
+    let mut faults: Vec<PutFault> = (0..100).map(|_| PutFault::ConnectionRefused).collect();
     faults.push(PutFault::LostRequest);
     let scripted = FaultyStore { inner, script: UpdateFaults(Mutex::new(faults)) };
 
@@ -168,13 +171,14 @@
 
 /// The platform is down for the whole submission: the operator learns that nothing was changed.
 #[tokio::test]
-async fn outage_changes_nothing_and_says_so() {
+async fn submission_during_an_outage_is_unavailable() {
     let standin = standin().await;
     let outage = PlatformOutage::Refused;
     standin.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
 
-    let hasty = store(&standin, Duration::from_millis(100));
-    let result = submit_change(&hasty, change(&[domain_file("a", "north")])).await;
+    let store_with_short_timeout = store(&standin, Duration::from_millis(100));
+    let result =
+        submit_change(&store_with_short_timeout, change(&[domain_file("a", "north")])).await;
     standin.set_faults(PlatformFaults::default());
 
     assert_eq!(result, Err(SubmitError::Unavailable));
@@ -185,7 +189,7 @@
 #[tokio::test]
 async fn invalid_merge_is_refused_and_the_revision_stays() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     let service = file(
         "service.toml",
         "[services.s.members.m]\naddress = \"10.0.0.1:5432\"\ndomain = \"a\"\nslots = 1\n\
@@ -209,7 +213,7 @@
 #[tokio::test]
 async fn same_content_makes_no_revision() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
 
     let again = submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
@@ -220,13 +224,13 @@
 /// A platform is restored from an old copy and its numbers start low again. Instances hold a greater
 /// one and would never follow, so the operator lifts the next number above it.
 #[tokio::test]
-async fn number_can_be_lifted_above_what_instances_hold() {
+async fn number_can_be_raised_above_what_instances_hold() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
 
-    let lifted = FolderChange { above: RevisionNumber(40), ..FolderChange::default() };
-    let outcome = submit_change(&store, lifted).await.unwrap();
+    let raised = FolderChange { above: RevisionNumber(40), ..FolderChange::default() };
+    let outcome = submit_change(&store, raised).await.unwrap();
 
     assert_eq!(outcome.number, RevisionNumber(41));
 }
@@ -236,7 +240,7 @@
 #[tokio::test]
 async fn old_files_are_pruned_after_a_few_revisions() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     let mut objects = Vec::new();
     for round in 0..10 {
         let file = domain_file("a", &format!("region-{round}"));
@@ -259,7 +263,7 @@
 #[tokio::test]
 async fn files_of_the_last_revisions_stay_readable_however_old() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     for region in ["one", "two", "three", "four", "five", "six", "seven"] {
         submit_change(&store, change(&[domain_file("b", region)])).await.unwrap();
@@ -277,21 +281,23 @@
 /// One operator prunes: it has listed an old object and is about to remove it. Another one goes back
 /// to just that text. Were the object removed, the new revision would name one that nobody finds.
 #[tokio::test]
-async fn pruning_spares_a_text_that_a_rival_brings_back() {
+async fn pruning_keeps_an_object_that_another_writer_reuses() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     for region in ["old", "two", "three", "four"] {
         submit_change(&store, change(&[domain_file("a", region)])).await.unwrap();
     }
-    let rival = change(&[domain_file("a", "old")]);
-    let script =
-        OvertakenPruning { rival: Mutex::new(Some(rival)), listed: AtomicBool::new(false) };
-    let overtaken = FaultyStore { inner: patient_store(&standin), script };
+    let concurrent_change = change(&[domain_file("a", "old")]);
+    let script = SubmissionDuringPruning {
+        concurrent_change: Mutex::new(Some(concurrent_change)),
+        listed: AtomicBool::new(false),
+    };
+    let overtaken = FaultyStore { inner: store_with_long_timeout(&standin), script };
 
     submit_change(&overtaken, change(&[domain_file("a", "five")])).await.unwrap();
     let bundle = poll_revision(&store, None).await.unwrap().unwrap();
 
-    assert!(overtaken.script.rival.lock().unwrap().is_none());
+    assert!(overtaken.script.concurrent_change.lock().unwrap().is_none());
     assert_eq!(bundle.number, RevisionNumber(6));
     assert_eq!(bundle.merge().unwrap().fleet.domains[0].region, "old");
 }
@@ -301,7 +307,7 @@
 #[tokio::test]
 async fn another_text_under_the_same_name_is_refused() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     submit_change(&store, change(&[domain_file("a", "north")])).await.unwrap();
     let object = revision(&store).await.files[0].object.clone();
     let remove = vec!["a.toml".parse().unwrap()];
@@ -320,9 +326,9 @@
 /// An operator goes back to earlier texts again and again while old objects are removed. Each
 /// revision must be readable as soon as it is accepted.
 #[tokio::test]
-async fn text_that_comes_back_is_readable() {
+async fn reused_text_is_readable() {
     let standin = standin().await;
-    let store = patient_store(&standin);
+    let store = store_with_long_timeout(&standin);
     for region in ["one", "two", "three", "one", "four", "five", "six", "seven", "one"] {
         submit_change(&store, change(&[domain_file("a", region)])).await.unwrap();
 
