--- a/crates/rudder-settings/src/check/fleet.rs
+++ b/crates/rudder-settings/src/check/fleet.rs
@@ -30,7 +30,7 @@
             matches!(members, Some(SourceValue::Table(table)) if !table.entries.is_empty());
         if !present {
             let right = format!("add a table [services.{}.members.NAME]", service.name);
-            problems.push(problem(tree, &path, "the service has no members", right));
+            problems.push(problem_at(tree, &path, "the service has no members", right));
         }
     }
 }
@@ -43,7 +43,7 @@
         }
         _ => Vec::new(),
     };
-    for (service, member) in each_member(fleet) {
+    for (service, member) in all_members(fleet) {
         if known.binary_search(&member.domain.as_str()).is_ok() {
             continue;
         }
@@ -54,13 +54,13 @@
             [] => declare,
             names => format!("use one of {}, or {declare}", names.join(", ")),
         };
-        problems.push(problem(tree, &path, wrong, right));
+        problems.push(problem_at(tree, &path, wrong, right));
     }
 }
 
 fn check_addresses(tree: &SourceTable, fleet: &FleetSettings, problems: &mut Vec<SettingsProblem>) {
     let mut seen: Vec<(std::net::SocketAddr, String)> = Vec::new();
-    for (service, member) in each_member(fleet) {
+    for (service, member) in all_members(fleet) {
         let owner = format!("services.{service}.members.{}", member.name);
         match seen.binary_search_by(|(address, _)| address.cmp(&member.address)) {
             Ok(index) => {
@@ -68,7 +68,7 @@
                 let wrong =
                     format!("address {} belongs to {} already", member.address, seen[index].1);
                 let right = "give each member an address of its own";
-                problems.push(problem(tree, &path, wrong, right));
+                problems.push(problem_at(tree, &path, wrong, right));
             }
             Err(index) => seen.insert(index, (member.address, owner)),
         }
@@ -82,14 +82,14 @@
     problems: &mut Vec<SettingsProblem>,
 ) {
     let mut seen: Vec<(&str, &str)> = Vec::new();
-    for (service, member) in each_member(fleet) {
+    for (service, member) in all_members(fleet) {
         let name = member.name.as_str();
         match seen.binary_search_by(|(known, _)| (*known).cmp(name)) {
             Ok(index) => {
                 let path = ["services", service, "members", name];
                 let wrong = format!("service {} has a member of this name already", seen[index].1);
                 let right = "give each member of the fleet a name of its own";
-                problems.push(problem(tree, &path, wrong, right));
+                problems.push(problem_at(tree, &path, wrong, right));
             }
             Err(index) => seen.insert(index, (name, service)),
         }
@@ -107,7 +107,7 @@
                     let wrong =
                         format!("user \"{user}\" belongs to kind {} already", seen[index].1);
                     let right = "name each user in one kind of caller";
-                    problems.push(problem(tree, &path, wrong, right));
+                    problems.push(problem_at(tree, &path, wrong, right));
                 }
                 Err(index) => seen.insert(index, (user, kind)),
             }
@@ -115,7 +115,7 @@
     }
 }
 
-fn each_member(
+fn all_members(
     fleet: &FleetSettings,
 ) -> impl Iterator<Item = (&str, &crate::model::MemberSettings)> {
     fleet.services.iter().flat_map(|service| {
@@ -123,7 +123,7 @@
     })
 }
 
-fn problem(
+fn problem_at(
     tree: &SourceTable,
     path: &[&str],
     wrong: impl Into<String>,
--- a/crates/rudder-settings/src/check/nearest.rs
+++ b/crates/rudder-settings/src/check/nearest.rs
@@ -6,8 +6,8 @@
 /// The known key nearest to `key`, if one is near.
 pub(crate) fn nearest_key<'k>(key: &str, known: &[&'k str]) -> Option<&'k str> {
     let distance_max = DISTANCE_MAX.min(key.chars().count() / 2);
-    let measured = known.iter().map(|candidate| (edit_distance(key, candidate), *candidate));
-    let (distance, candidate) = measured.min()?;
+    let distances = known.iter().map(|candidate| (edit_distance(key, candidate), *candidate));
+    let (distance, candidate) = distances.min()?;
     (distance <= distance_max).then_some(candidate)
 }
 
@@ -15,11 +15,11 @@
 fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
-    for (row_index, letter) in one.chars().enumerate() {
+    for (row_index, character) in one.chars().enumerate() {
         let mut diagonal = row[0];
         row[0] = row_index + 1;
         for (index, candidate) in other.iter().enumerate() {
-            let replaced = diagonal + usize::from(letter != *candidate);
+            let replaced = diagonal + usize::from(character != *candidate);
             diagonal = row[index + 1];
             row[index + 1] = replaced.min(diagonal + 1).min(row[index] + 1);
         }
--- a/crates/rudder-settings/src/check/reader.rs
+++ b/crates/rudder-settings/src/check/reader.rs
@@ -1,7 +1,7 @@
 //! Reads one table key by key, notes what is wrong and which keys nobody asked for.
 
 use super::nearest::nearest_key;
-use super::value::ValueRefusal;
+use super::value::ValueError;
 use crate::folder::join_key;
 use crate::problem::{SettingsProblem, SourcePlace};
 use crate::source::{SourceEntry, SourceTable, SourceValue};
@@ -12,18 +12,18 @@
     path: String,
     place: Option<SourcePlace>,
     table: &'t SourceTable,
-    known: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
     problems: &'p mut Vec<SettingsProblem>,
 }
 
 impl<'t, 'p> TableReader<'t, 'p> {
     /// A reader of the whole tree.
     pub(crate) fn root(table: &'t SourceTable, problems: &'p mut Vec<SettingsProblem>) -> Self {
-        Self { path: String::new(), place: None, table, known: Vec::new(), problems }
+        Self { path: String::new(), place: None, table, known_keys: Vec::new(), problems }
     }
 
     /// Notes a problem of one key that stands in this table.
-    pub(crate) fn refuse_key(&mut self, key: &str, wrong: String, right: String) {
+    pub(crate) fn report_key(&mut self, key: &str, wrong: String, right: String) {
         let place = self.table.entry(key).map(|entry| entry.node.place.clone());
         let place = place.or_else(|| self.place.clone());
         self.problems.push(SettingsProblem { place, key: join_key(&self.path, key), wrong, right });
@@ -33,14 +33,14 @@
     pub(crate) fn optional<T>(
         &mut self,
         key: &'static str,
-        parse: impl Fn(&SourceValue) -> Result<T, ValueRefusal>,
+        parse: impl Fn(&SourceValue) -> Result<T, ValueError>,
     ) -> Option<T> {
-        self.known.push(key);
+        self.known_keys.push(key);
         let entry = self.table.entry(key)?;
         match parse(&entry.node.value) {
             Ok(value) => Some(value),
-            Err(refusal) => {
-                self.refuse_key(key, refusal.wrong, refusal.right);
+            Err(error) => {
+                self.report_key(key, error.wrong, error.right);
                 None
             }
         }
@@ -51,11 +51,11 @@
         &mut self,
         key: &'static str,
         example: &str,
-        parse: impl Fn(&SourceValue) -> Result<T, ValueRefusal>,
+        parse: impl Fn(&SourceValue) -> Result<T, ValueError>,
     ) -> Option<T> {
         if self.table.entry(key).is_none() {
-            self.known.push(key);
-            self.refuse_key(key, "missing".to_owned(), format!("add {key} = {example}"));
+            self.known_keys.push(key);
+            self.report_key(key, "missing".to_owned(), format!("add {key} = {example}"));
             return None;
         }
         self.optional(key, parse)
@@ -67,10 +67,10 @@
         key: &'static str,
         read: impl FnOnce(&mut TableReader<'_, '_>) -> T,
     ) -> Option<T> {
-        self.known.push(key);
+        self.known_keys.push(key);
         let entry = self.table.entry(key)?;
         let path = join_key(&self.path, key);
-        self.inner(entry, path, read)
+        self.read_table(entry, path, read)
     }
 
     /// Reads a table of tables that are named by their keys; the result is sorted by name.
@@ -92,12 +92,12 @@
     /// Notes every key that nobody asked for.
     pub(crate) fn finish(&mut self) {
         for entry in &self.table.entries {
-            if self.known.contains(&entry.key.as_str()) {
+            if self.known_keys.contains(&entry.key.as_str()) {
                 continue;
             }
-            let right = match nearest_key(&entry.key, &self.known) {
+            let right = match nearest_key(&entry.key, &self.known_keys) {
                 Some(key) => format!("did you mean {key}?"),
-                None => format!("known here: {}", self.known.join(", ")),
+                None => format!("known here: {}", self.known_keys.join(", ")),
             };
             self.problems.push(SettingsProblem {
                 place: Some(entry.place.clone()),
@@ -118,7 +118,7 @@
     {
         let path = join_key(&self.path, &entry.key);
         match entry.key.parse::<N>() {
-            Ok(name) => self.inner(entry, path, |reader| read(name, reader))?,
+            Ok(name) => self.read_table(entry, path, |reader| read(name, reader))?,
             Err(error) => {
                 self.problems.push(SettingsProblem {
                     place: Some(entry.place.clone()),
@@ -131,7 +131,7 @@
         }
     }
 
-    fn inner<T>(
+    fn read_table<T>(
         &mut self,
         entry: &SourceEntry,
         path: String,
@@ -145,7 +145,7 @@
             return None;
         };
         let problems = &mut *self.problems;
-        let mut reader = TableReader { path, place, table, known: Vec::new(), problems };
+        let mut reader = TableReader { path, place, table, known_keys: Vec::new(), problems };
         let value = read(&mut reader);
         Some(value)
     }
--- a/crates/rudder-settings/src/check/service.rs
+++ b/crates/rudder-settings/src/check/service.rs
@@ -2,8 +2,8 @@
 
 use super::reader::TableReader;
 use super::value::{
-    ValueRefusal, parse_address, parse_choice, parse_count, parse_name, parse_percent, parse_text,
-    parse_truth,
+    ValueError, parse_address, parse_boolean, parse_choice, parse_count, parse_name, parse_percent,
+    parse_string,
 };
 use crate::model::{AckRule, MemberSettings, ServiceSettings};
 use crate::source::SourceValue;
@@ -16,17 +16,17 @@
 const SPEED_DEFAULT: MemberSpeed = MemberSpeed(100);
 const USER_DEFAULT: &str = "rudder";
 
-const ACK_WORDS: [(&str, AckRule); 2] =
+const ACK_RULES: [(&str, AckRule); 2] =
     [("majority", AckRule::Majority), ("primary", AckRule::Primary)];
 
 pub(crate) fn read_service(
     name: ServiceName,
     reader: &mut TableReader<'_, '_>,
 ) -> Option<ServiceSettings> {
-    let database = reader.optional("database", parse_text);
-    let user = reader.optional("user", parse_text);
-    let password_variable = reader.optional("password_variable", parse_variable);
-    let ack = reader.optional("ack", |value| parse_choice(value, &ACK_WORDS));
+    let database = reader.optional("database", parse_string);
+    let user = reader.optional("user", parse_string);
+    let password_variable = reader.optional("password_variable", parse_variable_name);
+    let ack = reader.optional("ack", |value| parse_choice(value, &ACK_RULES));
     let members = reader.named_tables("members", read_member);
     reader.finish();
     Some(ServiceSettings {
@@ -46,13 +46,13 @@
     let connections =
         reader.required("connections", "30", |value| parse_count(value, 1, CONNECTIONS_MAX));
     let speed = reader.optional("speed", |value| parse_percent(value, 1, SPEED_MAX));
-    let draining = reader.optional("draining", parse_truth);
+    let draining = reader.optional("draining", parse_boolean);
     reader.finish();
     if let (Some(slots), Some(connections)) = (slots, connections)
         && connections < slots
     {
         let wrong = format!("{connections} connections cannot fill {slots} slots");
-        reader.refuse_key("connections", wrong, format!("give at least {slots}"));
+        reader.report_key("connections", wrong, format!("give at least {slots}"));
     }
     Some(MemberSettings {
         name,
@@ -66,16 +66,16 @@
 }
 
 /// The name of an environment variable. A password written here by mistake is not echoed.
-fn parse_variable(value: &SourceValue) -> Result<String, ValueRefusal> {
+fn parse_variable_name(value: &SourceValue) -> Result<String, ValueError> {
     let right =
         "name the environment variable that holds the password, such as \"SCORES_PASSWORD\"";
-    let SourceValue::Text(text) = value else {
-        return Err(ValueRefusal::new("not a text", right));
+    let SourceValue::String(text) = value else {
+        return Err(ValueError::new("not a text", right));
     };
     let allowed = |byte: u8| byte.is_ascii_uppercase() || byte.is_ascii_digit() || byte == b'_';
     let starts_well = text.bytes().next().is_some_and(|byte| !byte.is_ascii_digit());
     if starts_well && text.bytes().all(allowed) {
         return Ok(text.clone());
     }
-    Err(ValueRefusal::new("not the name of a variable (A-Z, 0-9 and \"_\")", right))
+    Err(ValueError::new("not the name of a variable (A-Z, 0-9 and \"_\")", right))
 }
--- a/crates/rudder-settings/src/check/timing.rs
+++ b/crates/rudder-settings/src/check/timing.rs
@@ -8,23 +8,23 @@
 /// Shorter bounds would fire on scheduling jitter alone.
 const TIMING_MIN: Duration = Duration::from_millis(1);
 /// Bounds on which the failover gap and the wait of a caller depend: longer ones are as good as none.
-const REACTION_MAX: Duration = Duration::from_secs(60);
+const REACTION_TIMEOUT_MAX: Duration = Duration::from_secs(60);
 /// Bounds on work that callers asked for, and on connections that are kept for them.
-const PATIENCE_MAX: Duration = Duration::from_secs(24 * 3600);
+const WORK_TIMEOUT_MAX: Duration = Duration::from_secs(24 * 3600);
 
 pub(crate) fn read_timing(reader: &mut TableReader<'_, '_>) -> TimingSettings {
     let mut timing = TimingSettings::default();
     let fields: [(&'static str, &mut Duration, Duration); 10] = [
-        ("probe_interval", &mut timing.probe_interval, REACTION_MAX),
-        ("suspect_after", &mut timing.suspect_after, REACTION_MAX),
-        ("read_wait", &mut timing.read_wait, REACTION_MAX),
-        ("statement_timeout", &mut timing.statement_timeout, PATIENCE_MAX),
-        ("ack_timeout", &mut timing.ack_timeout, REACTION_MAX),
-        ("login_timeout", &mut timing.login_timeout, REACTION_MAX),
-        ("idle_timeout", &mut timing.idle_timeout, PATIENCE_MAX),
-        ("transaction_idle_timeout", &mut timing.transaction_idle_timeout, PATIENCE_MAX),
-        ("connect_timeout", &mut timing.connect_timeout, REACTION_MAX),
-        ("idle_check_after", &mut timing.idle_check_after, PATIENCE_MAX),
+        ("probe_interval", &mut timing.probe_interval, REACTION_TIMEOUT_MAX),
+        ("suspect_after", &mut timing.suspect_after, REACTION_TIMEOUT_MAX),
+        ("read_wait", &mut timing.read_wait, REACTION_TIMEOUT_MAX),
+        ("statement_timeout", &mut timing.statement_timeout, WORK_TIMEOUT_MAX),
+        ("ack_timeout", &mut timing.ack_timeout, REACTION_TIMEOUT_MAX),
+        ("login_timeout", &mut timing.login_timeout, REACTION_TIMEOUT_MAX),
+        ("idle_timeout", &mut timing.idle_timeout, WORK_TIMEOUT_MAX),
+        ("transaction_idle_timeout", &mut timing.transaction_idle_timeout, WORK_TIMEOUT_MAX),
+        ("connect_timeout", &mut timing.connect_timeout, REACTION_TIMEOUT_MAX),
+        ("idle_check_after", &mut timing.idle_check_after, WORK_TIMEOUT_MAX),
     ];
     for (key, field, most) in fields {
         let parse = |value: &_| parse_duration(value, TIMING_MIN, most);
@@ -38,7 +38,7 @@
     if timing.suspect_after < timing.probe_interval * 2 {
         let wrong = "shorter than two probe intervals, so one late probe raises suspicion";
         let least = humantime::format_duration(timing.probe_interval * 2);
-        reader.refuse_key("suspect_after", wrong.to_owned(), format!("give at least \"{least}\""));
+        reader.report_key("suspect_after", wrong.to_owned(), format!("give at least \"{least}\""));
     }
     timing
 }
--- a/crates/rudder-settings/src/check/value.rs
+++ b/crates/rudder-settings/src/check/value.rs
@@ -8,50 +8,50 @@
 
 /// Why a value is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct ValueRefusal {
+pub(crate) struct ValueError {
     pub(crate) wrong: String,
     pub(crate) right: String,
 }
 
-impl ValueRefusal {
+impl ValueError {
     pub(crate) fn new(wrong: impl Into<String>, right: impl Into<String>) -> Self {
         Self { wrong: wrong.into(), right: right.into() }
     }
 
-    fn kind(value: &SourceValue, right: impl Into<String>) -> Self {
+    fn wrong_type(value: &SourceValue, right: impl Into<String>) -> Self {
         Self::new(format!("{value} is {}", value.kind()), right)
     }
 }
 
 /// A text that is not empty.
-pub(crate) fn parse_text(value: &SourceValue) -> Result<String, ValueRefusal> {
+pub(crate) fn parse_string(value: &SourceValue) -> Result<String, ValueError> {
     match value {
-        SourceValue::Text(text) if !text.trim().is_empty() => Ok(text.clone()),
-        SourceValue::Text(_) => Err(ValueRefusal::new("the text is empty", "give a text")),
-        other => Err(ValueRefusal::kind(other, "give a text in quotes")),
+        SourceValue::String(text) if !text.trim().is_empty() => Ok(text.clone()),
+        SourceValue::String(_) => Err(ValueError::new("the text is empty", "give a text")),
+        other => Err(ValueError::wrong_type(other, "give a text in quotes")),
     }
 }
 
 /// A name newtype.
-pub(crate) fn parse_name<N: FromStr>(value: &SourceValue) -> Result<N, ValueRefusal>
+pub(crate) fn parse_name<N: FromStr>(value: &SourceValue) -> Result<N, ValueError>
 where
     N::Err: Display,
 {
-    let text = parse_text(value)?;
-    let refusal = |error: N::Err| ValueRefusal::new(error.to_string(), "give such a name");
-    text.parse().map_err(refusal)
+    let text = parse_string(value)?;
+    let invalid_name = |error: N::Err| ValueError::new(error.to_string(), "give such a name");
+    text.parse().map_err(invalid_name)
 }
 
 /// A list of texts, each given once.
-pub(crate) fn parse_texts(value: &SourceValue) -> Result<Vec<String>, ValueRefusal> {
+pub(crate) fn parse_string_list(value: &SourceValue) -> Result<Vec<String>, ValueError> {
     let SourceValue::List(nodes) = value else {
-        return Err(ValueRefusal::kind(value, "give a list such as [\"anna\", \"ben\"]"));
+        return Err(ValueError::wrong_type(value, "give a list such as [\"anna\", \"ben\"]"));
     };
     let mut texts = Vec::new();
     for node in nodes {
-        let text = parse_text(&node.value)?;
+        let text = parse_string(&node.value)?;
         if texts.contains(&text) {
-            return Err(ValueRefusal::new(format!("\"{text}\" stands twice"), "give it once"));
+            return Err(ValueError::new(format!("\"{text}\" stands twice"), "give it once"));
         }
         texts.push(text);
     }
@@ -59,50 +59,46 @@
 }
 
 /// True or false.
-pub(crate) fn parse_truth(value: &SourceValue) -> Result<bool, ValueRefusal> {
+pub(crate) fn parse_boolean(value: &SourceValue) -> Result<bool, ValueError> {
     match value {
-        SourceValue::Boolean(truth) => Ok(*truth),
-        other => Err(ValueRefusal::kind(other, "give true or false, without quotes")),
+        SourceValue::Boolean(boolean) => Ok(*boolean),
+        other => Err(ValueError::wrong_type(other, "give true or false, without quotes")),
     }
 }
 
 /// An IP number and port. Host names are refused: processes talk by IP numbers.
-pub(crate) fn parse_address(value: &SourceValue) -> Result<SocketAddr, ValueRefusal> {
+pub(crate) fn parse_address(value: &SourceValue) -> Result<SocketAddr, ValueError> {
     let right = "give an IP number and port such as \"10.20.1.11:5432\"";
-    let text = parse_text(value)?;
+    let text = parse_string(value)?;
     let address: SocketAddr = text
         .parse()
-        .map_err(|_| ValueRefusal::new(format!("\"{text}\" is not an address"), right))?;
+        .map_err(|_| ValueError::new(format!("\"{text}\" is not an address"), right))?;
     if address.port() == 0 {
-        return Err(ValueRefusal::new(format!("\"{text}\" has port 0"), right));
+        return Err(ValueError::new(format!("\"{text}\" has port 0"), right));
     }
     Ok(address)
 }
 
 /// A whole number within bounds.
-pub(crate) fn parse_count(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueRefusal> {
+pub(crate) fn parse_count(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueError> {
     let right = format!("give a whole number from {least} to {most}, without quotes");
     let SourceValue::Integer(number) = value else {
-        return Err(ValueRefusal::kind(value, right));
+        return Err(ValueError::wrong_type(value, right));
     };
     let in_range = |count: &u32| (least..=most).contains(count);
     let count = u32::try_from(*number).ok().filter(in_range);
-    count.ok_or_else(|| ValueRefusal::new(format!("{number} is out of range"), right))
+    count.ok_or_else(|| ValueError::new(format!("{number} is out of range"), right))
 }
 
 /// A percentage such as `"40%"`, within bounds.
-pub(crate) fn parse_percent(
-    value: &SourceValue,
-    least: u32,
-    most: u32,
-) -> Result<u32, ValueRefusal> {
+pub(crate) fn parse_percent(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueError> {
     let right = format!("give a percentage such as \"40%\", from \"{least}%\" to \"{most}%\"");
-    let SourceValue::Text(text) = value else {
-        return Err(ValueRefusal::kind(value, right));
+    let SourceValue::String(text) = value else {
+        return Err(ValueError::wrong_type(value, right));
     };
     let number = text.strip_suffix('%').and_then(|digits| digits.trim().parse::<u32>().ok());
     let in_range = |percent: &u32| (least..=most).contains(percent);
-    let wrong = || ValueRefusal::new(format!("\"{text}\" is not such a percentage"), right);
+    let wrong = || ValueError::new(format!("\"{text}\" is not such a percentage"), right);
     number.filter(in_range).ok_or_else(wrong)
 }
 
@@ -111,32 +107,32 @@
     value: &SourceValue,
     least: Duration,
     most: Duration,
-) -> Result<Duration, ValueRefusal> {
+) -> Result<Duration, ValueError> {
     let example = "give a duration with its unit such as \"250ms\" or \"2s\"";
-    let SourceValue::Text(text) = value else {
-        return Err(ValueRefusal::kind(value, example));
+    let SourceValue::String(text) = value else {
+        return Err(ValueError::wrong_type(value, example));
     };
     let duration = humantime::parse_duration(text)
-        .map_err(|error| ValueRefusal::new(format!("\"{text}\": {error}"), example))?;
+        .map_err(|error| ValueError::new(format!("\"{text}\": {error}"), example))?;
     if (least..=most).contains(&duration) {
         return Ok(duration);
     }
     let least = humantime::format_duration(least);
     let most = humantime::format_duration(most);
     let right = format!("give a duration from \"{least}\" to \"{most}\"");
-    Err(ValueRefusal::new(format!("\"{text}\" is out of range"), right))
+    Err(ValueError::new(format!("\"{text}\" is out of range"), right))
 }
 
 /// One of a few words.
 pub(crate) fn parse_choice<T: Copy>(
     value: &SourceValue,
     choices: &[(&str, T)],
-) -> Result<T, ValueRefusal> {
+) -> Result<T, ValueError> {
     let words: Vec<String> = choices.iter().map(|(word, _)| format!("\"{word}\"")).collect();
     let right = format!("give {}", words.join(" or "));
-    let SourceValue::Text(text) = value else {
-        return Err(ValueRefusal::kind(value, right));
+    let SourceValue::String(text) = value else {
+        return Err(ValueError::wrong_type(value, right));
     };
     let chosen = choices.iter().find(|(word, _)| word == text).map(|(_, choice)| *choice);
-    chosen.ok_or_else(|| ValueRefusal::new(format!("\"{text}\" is not known"), right))
+    chosen.ok_or_else(|| ValueError::new(format!("\"{text}\" is not known"), right))
 }
--- a/crates/rudder-settings/src/file.rs
+++ b/crates/rudder-settings/src/file.rs
@@ -42,15 +42,15 @@
     type Err = FolderError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refusal = || FolderError::Name(text.chars().take(FILE_NAME_LENGTH_MAX).collect());
-        let stem = text.strip_suffix(FILE_SUFFIX).ok_or_else(refusal)?;
+        let name_error = || FolderError::Name(text.chars().take(FILE_NAME_LENGTH_MAX).collect());
+        let stem = text.strip_suffix(FILE_SUFFIX).ok_or_else(name_error)?;
         let allowed =
             |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_.".contains(&byte);
         let starts_well = stem.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
         if starts_well && text.len() <= FILE_NAME_LENGTH_MAX && stem.bytes().all(allowed) {
             return Ok(Self(text.to_owned()));
         }
-        Err(refusal())
+        Err(name_error())
     }
 }
 
--- a/crates/rudder-settings/src/folder.rs
+++ b/crates/rudder-settings/src/folder.rs
@@ -2,7 +2,7 @@
 
 use crate::check::check_tree;
 use crate::file::SettingsFile;
-use crate::merge::overlay;
+use crate::merge::merge_table;
 use crate::model::FleetSettings;
 use crate::problem::{SettingsProblem, SettingsRefusal, SourcePlace};
 use crate::source::{SourceTable, SourceValue, parse_file};
@@ -52,18 +52,18 @@
     let mut problems = Vec::new();
     let tree = merge_trees(files, &mut problems);
     if !problems.is_empty() {
-        return Err(refusal(problems));
+        return Err(sorted_refusal(problems));
     }
     let fleet = check_tree(&tree, &mut problems);
     if !problems.is_empty() {
-        return Err(refusal(problems));
+        return Err(sorted_refusal(problems));
     }
     let mut values = Vec::new();
     list_values("", &tree, &mut values);
     Ok(MergedFolder { fleet, values })
 }
 
-fn refusal(mut problems: Vec<SettingsProblem>) -> SettingsRefusal {
+fn sorted_refusal(mut problems: Vec<SettingsProblem>) -> SettingsRefusal {
     problems.sort();
     problems.dedup();
     SettingsRefusal { problems }
@@ -79,7 +79,7 @@
             continue;
         }
         match parse_file(file) {
-            Ok(table) => overlay(&mut tree, table),
+            Ok(table) => merge_table(&mut tree, table),
             Err(mut found) => problems.append(&mut found),
         }
     }
--- a/crates/rudder-settings/src/source.rs
+++ b/crates/rudder-settings/src/source.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum SourceValue {
     Table(SourceTable),
-    Text(String),
+    String(String),
     Integer(i64),
     Boolean(bool),
     List(Vec<SourceNode>),
@@ -30,7 +30,7 @@
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Table(_) => "a table",
-            Self::Text(_) => "a text",
+            Self::String(_) => "a text",
             Self::Integer(_) => "a whole number",
             Self::Boolean(_) => "a boolean",
             Self::List(_) => "a list",
@@ -43,9 +43,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Table(_) => f.write_str("{…}"),
-            Self::Text(text) => write!(f, "\"{text}\""),
+            Self::String(text) => write!(f, "\"{text}\""),
             Self::Integer(number) => write!(f, "{number}"),
-            Self::Boolean(truth) => write!(f, "{truth}"),
+            Self::Boolean(boolean) => write!(f, "{boolean}"),
             Self::List(nodes) => {
                 let parts: Vec<String> = nodes.iter().map(|node| node.value.to_string()).collect();
                 write!(f, "[{}]", parts.join(", "))
@@ -84,7 +84,7 @@
 
 /// Parses one file; every syntax error becomes a problem with its line.
 pub(crate) fn parse_file(file: &SettingsFile) -> Result<SourceTable, Vec<SettingsProblem>> {
-    let reader = FileReader::new(file);
+    let reader = TreeBuilder::new(file);
     let (table, errors) = DeTable::parse_recoverable(&file.text);
     if errors.is_empty() {
         return Ok(reader.table(table.get_ref()));
@@ -99,12 +99,12 @@
 }
 
 /// Turns byte offsets of one file into lines.
-struct FileReader<'f> {
+struct TreeBuilder<'f> {
     file: &'f SettingsFile,
     line_starts: Vec<usize>,
 }
 
-impl<'f> FileReader<'f> {
+impl<'f> TreeBuilder<'f> {
     fn new(file: &'f SettingsFile) -> Self {
         let breaks = file.text.match_indices('\n').map(|(offset, _)| offset + 1);
         Self { file, line_starts: std::iter::once(0).chain(breaks).collect() }
@@ -135,8 +135,8 @@
     fn value(&self, value: &DeValue<'_>) -> SourceValue {
         match value {
             DeValue::Table(table) => SourceValue::Table(self.table(table)),
-            DeValue::String(text) => SourceValue::Text(text.to_string()),
-            DeValue::Boolean(truth) => SourceValue::Boolean(*truth),
+            DeValue::String(text) => SourceValue::String(text.to_string()),
+            DeValue::Boolean(boolean) => SourceValue::Boolean(*boolean),
             DeValue::Array(array) => {
                 SourceValue::List(array.iter().map(|node| self.node(node)).collect())
             }
