--- a/crates/rudder-store/examples/settings_cost.rs
+++ b/crates/rudder-store/examples/settings_cost.rs
@@ -1,4 +1,5 @@
-//! What settings cost at a given size: bytes, calls and processor time of submitting and following.
+//! Measures the cost of settings of a given size: bytes, calls and processor time for submitting
+//! and following them.
 //!
 //! `cargo run --release -p rudder-store --example settings_cost -- --services 780 --files 60`
 
@@ -14,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const MEMBERS_PER_SERVICE: usize = 3;
-/// Times are the median of so many runs.
+/// Number of runs, of which the median time is reported.
 const ROUNDS: usize = 21;
 
 /// measure what settings cost at a given size
--- a/crates/rudder-store/src/kubernetes/call.rs
+++ b/crates/rudder-store/src/kubernetes/call.rs
@@ -1,4 +1,4 @@
-//! One call to the API: bounded in time, counted, its error classified.
+//! A call to the API with a timeout, metrics and classified errors.
 
 use super::error::{CallError, read_error, write_error};
 use crate::store::StoreError;
@@ -10,10 +10,10 @@
 
 const JSON: &str = "application/json";
 
-/// The API's form of an object without its content.
+/// Media type for an object's metadata without its content.
 const METADATA_ONLY: &str = "application/json;as=PartialObjectMetadata;g=meta.k8s.io;v=v1";
 
-/// What a call does, as the metrics name it.
+/// Operation of a call, as labelled in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ApiVerb {
     Get,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The form of answer that is asked for.
+    /// Returns the media type that the response should have.
     fn accept(self) -> &'static str {
         match self {
             Self::Version => METADATA_ONLY,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A call that has not been sent yet.
+/// A call to the API that has not been sent yet.
 pub(crate) struct ApiCall<'c> {
     pub(crate) client: &'c Client,
     pub(crate) verb: ApiVerb,
@@ -63,7 +63,7 @@
 }
 
 impl ApiCall<'_> {
-    /// Sends a call that changes nothing; none when there is no such object.
+    /// Sends a read call. Returns `None` if the object does not exist.
     pub(crate) async fn read<T: DeserializeOwned>(&self) -> Result<Option<T>, StoreError> {
         match self.send(Vec::new()).await {
             Ok(value) => Ok(Some(value)),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends a call that changes something.
+    /// Sends a write call.
     pub(crate) async fn write<T: DeserializeOwned>(
         &self,
         body: &(impl Serialize + Sync),
@@ -91,7 +91,7 @@
             .body(body)
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         let started = Instant::now();
-        // Guards against a platform that hangs: the call would hold its caller for ever.
+        // Without a timeout, an unresponsive platform would block the caller forever.
         let response = tokio::time::timeout(self.timeout, self.client.request(request)).await;
         let result = match response {
             Ok(Ok(value)) => Ok(value),
--- a/crates/rudder-store/src/kubernetes/error.rs
+++ b/crates/rudder-store/src/kubernetes/error.rs
@@ -1,4 +1,4 @@
-//! What a failed call says about its effect.
+//! Errors of calls, and what they imply for the effect of the call.
 
 use super::call::ApiVerb;
 use crate::store::StoreError;
@@ -6,21 +6,21 @@
 use std::fmt;
 use std::io;
 
-/// How a call failed.
+/// Reasons why a call failed.
 #[derive(Debug)]
 pub(crate) enum CallError {
-    /// The API answered with an error.
+    /// The API responded with an error.
     ErrorResponse(Box<kube::core::Status>),
-    /// Nothing left this process, or nobody listens at the address.
+    /// The request was not sent, or the connection could not be established.
     NotSent(String),
-    /// The connection broke, or the answer could not be read.
+    /// The connection was lost, or the response could not be read.
     ConnectionLost(String),
-    /// No answer came in time.
+    /// No response was received before the timeout.
     TimedOut,
 }
 
 impl CallError {
-    /// The fault as the metrics name it.
+    /// Returns the label of the error in the metrics.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::ErrorResponse(status) if status.code == 404 => "absent",
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whether connecting itself failed, so that the request cannot have been sent.
+/// Whether establishing the connection failed, so that the request cannot have been sent.
 fn is_connect_error(error: &kube::Error) -> bool {
     let mut cause: Option<&(dyn Error + 'static)> = Some(error);
     while let Some(error) = cause {
@@ -71,7 +71,7 @@
     false
 }
 
-/// The error of a call that changes nothing.
+/// Converts the error of a read call.
 pub(crate) fn read_error(error: &CallError) -> StoreError {
     match error {
         CallError::ErrorResponse(status) if is_unavailable(status.code) => StoreError::Unavailable,
@@ -82,16 +82,16 @@
     }
 }
 
-/// The error of a call that changes something.
+/// Converts the error of a write call.
 ///
-/// Guards against a change that took effect although its answer was lost: only what provably left
-/// nothing behind is reported as unavailable, everything else as unresolved, so that the writer
-/// reads back instead of trying again.
+/// A write may take effect although its response is lost. Only failures that certainly changed
+/// nothing become `Unavailable`. All others become `Unresolved`, so that the writer reads the
+/// object back instead of retrying.
 pub(crate) fn write_error(verb: ApiVerb, error: &CallError) -> StoreError {
     match error {
         CallError::ErrorResponse(status) if status.code == 409 => StoreError::Conflict,
-        // A replaced or removed object that is gone was changed since it was read. For a new one
-        // it is the kind or the namespace that is missing.
+        // If the object to replace or delete does not exist, it was deleted since it was read. For
+        // a new object, the kind or the namespace does not exist.
         CallError::ErrorResponse(status) if status.code == 404 && verb != ApiVerb::Create => {
             StoreError::Conflict
         }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Too many requests, or a server that cannot answer now.
+/// Whether the status code stands for too many requests or a server error.
 fn is_unavailable(code: u16) -> bool {
     code == 429 || code >= 500
 }
--- a/crates/rudder-store/src/kubernetes/mod.rs
+++ b/crates/rudder-store/src/kubernetes/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's object API by the conventions of Kubernetes, through `kube`'s plain client.
+//! The platform's object API in the form of the Kubernetes API, accessed through the `kube` client.
 //!
-//! Only requests and answers are taken from `kube`: no controllers, caches, leases or leader
+//! Of `kube`, only plain requests and responses are used: no controllers, caches, leases or leader
 //! election.
 
 mod call;
@@ -21,29 +21,29 @@
 use std::time::Duration;
 use wire::{ListWire, ObjectWire, VersionWire};
 
-/// Group and version of the project's own objects.
+/// API group and version of the object kinds defined by this project.
 const API_VERSION: &str = "arbutusrudder.dev/v1";
 
-/// The platform answers in milliseconds; after this it counts as unavailable.
+/// The platform normally responds in milliseconds; after this time it counts as unavailable.
 const CALL_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
 
 plain_data! {
-    /// Where the platform is and how it is asked.
+    /// Address of the platform and options for calls to it.
     pub struct PlatformOptions {
-        /// The API's address, such as `https://10.20.0.1:6443`; none takes the address,
-        /// certificate and token that a cluster gives to its own processes.
+        /// Address of the API, such as `https://10.20.0.1:6443`. `None` uses the address,
+        /// certificate and token that a cluster provides to its own processes.
         pub address: Option<String>,
-        /// The namespace of the project's objects.
+        /// Namespace of the objects.
         pub namespace: String,
-        /// The service whose instances are listed.
+        /// Service whose instances are listed.
         pub service: String,
-        /// How long one call may take.
+        /// Timeout of one call.
         pub call_timeout: Duration,
     }
 }
 
 impl PlatformOptions {
-    /// Options with the defaults for everything but the address.
+    /// Creates options with this address and defaults for everything else.
     ///
     /// ```
     /// let options = rudder_store::PlatformOptions::at("http://127.0.0.1:18001");
@@ -66,7 +66,7 @@
     }
 }
 
-/// A platform store over the object API. Clones share connections.
+/// A platform store backed by the Kubernetes API. Clones share connections.
 #[derive(Clone)]
 pub struct KubeStore {
     client: Client,
@@ -74,7 +74,7 @@
 }
 
 impl KubeStore {
-    /// A store that connects when it is first asked. Needs a running tokio runtime.
+    /// Creates a store that connects on its first call. Needs a running tokio runtime.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -86,7 +86,8 @@
     ///
     /// # Errors
     ///
-    /// When the address is not one, or the process runs in no cluster and none was given.
+    /// Returns an error if the address is invalid, or if there is no address and the process does
+    /// not run in a cluster.
     pub fn connect(options: PlatformOptions) -> Result<Self, StoreError> {
         let refused = |reason: &dyn std::fmt::Display| {
             StoreError::Refused(format!("the platform's address is not usable: {reason}"))
@@ -101,8 +102,8 @@
             }
             None => Config::incluster().map_err(|error| refused(&error))?,
         };
-        // Guards against a change that is sent twice: after a lost answer the client's own retry
-        // would be answered with a conflict, and the writer would take its success for a failure.
+        // The client must not retry by itself: if the response to a successful write is lost, the
+        // retry results in a conflict, and the writer would treat its success as a failure.
         config.default_retry = false;
         config.connect_timeout = Some(options.call_timeout);
         let client = Client::try_from(config).map_err(|error| refused(&error))?;
--- a/crates/rudder-store/src/kubernetes/tests.rs
+++ b/crates/rudder-store/src/kubernetes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the list of instances as it is read from slices.
+//! Tests of reading the instance list from endpoint slices.
 
 use super::slice::instances_from_slices;
 use crate::store::InstanceReadiness;
@@ -22,8 +22,9 @@
     instances_from_slices(slices).into_iter().map(|entry| entry.readiness).collect()
 }
 
-/// An instance moves from one slice to another while it shuts down. For a moment both name it, and
-/// the older one still says ready; believed, the instance would get new work until it dies.
+/// An instance that shuts down moves to another slice. For a short time both slices list it, and
+/// the older one still says ready. If that one took precedence, the instance would receive new
+/// requests until it exits.
 #[test]
 fn leaving_takes_precedence_over_ready() {
     let ready = slice("a", Some(true), Some(false));
--- a/crates/rudder-store/src/kubernetes/wire.rs
+++ b/crates/rudder-store/src/kubernetes/wire.rs
@@ -1,10 +1,10 @@
-//! The objects as the API writes them in JSON.
+//! JSON representation of objects in the API.
 
 use super::API_VERSION;
 use crate::store::{ObjectKind, ObjectVersion, StoreError, StoredObject};
 use serde::{Deserialize, Serialize};
 
-/// One object of the project's own kinds.
+/// An object of one of the kinds defined by this project.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ObjectWire {
@@ -85,7 +85,7 @@
     pub(crate) items: Vec<T>,
 }
 
-/// The body of a conditional removal.
+/// Body of a conditional delete request.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct DeleteWire {
--- a/crates/rudder-store/src/lib.rs
+++ b/crates/rudder-store/src/lib.rs
@@ -1,4 +1,5 @@
-//! The platform's object API: versioned objects, conditional updates, instance lists.
+//! Client for the platform's object API: versioned objects, conditional updates, instance lists,
+//! and the accepted revisions of the settings folder.
 
 mod kubernetes;
 mod revision;
--- a/crates/rudder-store/src/revision/attempt.rs
+++ b/crates/rudder-store/src/revision/attempt.rs
@@ -1,26 +1,28 @@
-//! Attempts at a conditional update: how many, how far apart, and why one failed.
+//! Retry policy and errors for attempts at a conditional update.
 
 use super::read::ReadError;
 use super::submit::SubmitError;
 use crate::store::StoreError;
 use std::time::Duration;
 
-/// Operators submit by hand: more rivals than this at one moment are a fault, not a race.
+/// Maximum number of attempts. Operators submit manually, so more conflicts than this indicate a
+/// fault rather than concurrent submissions.
 pub(crate) const ATTEMPTS_MAX: u32 = 24;
 
-/// First pause after a conflict; it doubles up to the greatest, and a random part of it is waited.
+/// Base delay after a failed attempt. It doubles with each attempt up to the maximum, and a random
+/// fraction of it is used.
 const RETRY_DELAY_BASE: Duration = Duration::from_millis(20);
 const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
 const DOUBLINGS_MAX: u32 = 10;
 
-/// Why one attempt came to nothing.
+/// Reasons why one attempt failed.
 #[derive(Debug)]
 pub(crate) enum AttemptError {
-    /// Another writer came first, or an answer was lost: read again.
+    /// Another writer made a change, or a response was lost: read again and retry.
     Conflict,
-    /// The platform gave no answer: try again.
+    /// The platform did not respond: retry.
     Unavailable,
-    /// No further attempt can help.
+    /// The error is permanent; a retry cannot succeed.
     Fatal(SubmitError),
 }
 
@@ -44,7 +46,8 @@
     }
 }
 
-/// A random part of a pause that doubles with each attempt, so that rivals do not meet again.
+/// Returns the exponential backoff for this attempt, with jitter so that concurrent writers do not
+/// retry at the same time.
 pub(crate) fn retry_delay(attempt: u32) -> Duration {
     let doubled = RETRY_DELAY_BASE * (1 << attempt.min(DOUBLINGS_MAX));
     doubled.min(RETRY_DELAY_MAX).mul_f64(rand::random_range(0.1..1.0))
--- a/crates/rudder-store/src/revision/bundle.rs
+++ b/crates/rudder-store/src/revision/bundle.rs
@@ -1,4 +1,4 @@
-//! A revision with the texts of its files, as one instance hands it to another.
+//! A revision together with the content of its files, as instances send it to each other.
 
 use super::record::{RevisionNumber, object_name};
 use crate::store::ObjectVersion;
@@ -11,28 +11,29 @@
     /// One file of a bundle.
     #[derive(Serialize, Deserialize)]
     pub struct BundleFile {
-        /// The object that holds the file in the platform.
+        /// Name of the platform object that stores the file.
         pub object: String,
-        /// The file.
+        /// Name and content of the file.
         pub file: SettingsFile,
     }
 }
 
 plain_data! {
-    /// A revision with the texts of its files, sorted by name.
+    /// A revision together with the content of its files.
     #[derive(Serialize, Deserialize)]
     pub struct RevisionBundle {
-        /// The revision's number.
+        /// Number of the revision.
         pub number: RevisionNumber,
-        /// The version of the object that named the files; with it a poll costs next to nothing.
+        /// Version of the revision object. A poll compares it with the current version, which
+        /// avoids reading the object.
         #[serde(default)]
         pub version: Option<ObjectVersion>,
-        /// Its files.
+        /// Files of the revision, sorted by name.
         pub files: Vec<BundleFile>,
     }
 }
 
-/// Why a bundle is not used.
+/// Reasons why a bundle cannot be used.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum BundleError {
@@ -45,7 +46,7 @@
 impl std::error::Error for BundleError {}
 
 impl RevisionBundle {
-    /// Merges and checks the files.
+    /// Verifies, merges and validates the files.
     ///
     /// ```
     /// use rudder_store::{RevisionBundle, RevisionNumber};
@@ -57,7 +58,8 @@
     ///
     /// # Errors
     ///
-    /// When a text is not the one that its object's name stands for, or the merge is refused.
+    /// Returns an error if the content of a file does not match the hash in its object name, or if
+    /// the merged settings are invalid.
     pub fn merge(&self) -> Result<MergedFolder, BundleError> {
         for bundled in &self.files {
             if object_name(&bundled.file) != bundled.object {
@@ -68,7 +70,7 @@
         merge_folder(&files).map_err(BundleError::Refused)
     }
 
-    /// The file that this object holds, if the bundle has it.
+    /// Returns the file that this object stores, if the bundle has it.
     pub(crate) fn file_of(&self, object: &str) -> Option<&BundleFile> {
         self.files.iter().find(|bundled| bundled.object == object)
     }
--- a/crates/rudder-store/src/revision/follow.rs
+++ b/crates/rudder-store/src/revision/follow.rs
@@ -1,22 +1,22 @@
-//! Which revision is in force at an instance: only ever a greater one.
+//! Tracks the revision in force at an instance, whose number only increases.
 
 use super::bundle::{BundleError, RevisionBundle};
 use super::record::RevisionNumber;
 use rudder_settings::MergedFolder;
 use std::sync::Arc;
 
-/// What became of an offered bundle.
+/// Outcome of offering a bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferVerdict {
-    /// It is in force now.
+    /// The bundle is now in force.
     Adopted,
-    /// Its number is not greater than that of the one in force.
+    /// The number of the bundle is not greater than that of the revision in force.
     NotNewer,
-    /// It is not usable here; the one in force stays.
+    /// The bundle cannot be used; the revision in force remains.
     Unusable(BundleError),
 }
 
-/// The revision in force at an instance, from whichever source it came first.
+/// The revision in force at an instance, received from the platform or a peer.
 #[derive(Clone, Debug, Default)]
 pub struct RevisionFollower {
     in_force: Option<ActiveRevision>,
@@ -29,7 +29,7 @@
 }
 
 impl RevisionFollower {
-    /// The number in force; zero before the first.
+    /// Returns the number of the revision in force; zero before the first revision.
     ///
     /// ```
     /// use rudder_store::{RevisionFollower, RevisionNumber};
@@ -40,7 +40,7 @@
         self.in_force.as_ref().map_or(RevisionNumber(0), |force| force.bundle.number)
     }
 
-    /// The bundle in force, to hand to a peer.
+    /// Returns the bundle in force, for sending it to a peer.
     ///
     /// ```
     /// assert!(rudder_store::RevisionFollower::default().bundle().is_none());
@@ -50,7 +50,7 @@
         self.in_force.as_ref().map(|force| &force.bundle)
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     ///
     /// ```
     /// assert!(rudder_store::RevisionFollower::default().folder().is_none());
@@ -60,11 +60,11 @@
         self.in_force.as_ref().map(|force| &force.folder)
     }
 
-    /// Takes a bundle from the platform or from a peer.
+    /// Adopts a bundle from the platform or a peer if it is newer and valid.
     ///
-    /// Guards against settings that revert: a read served from an old copy of the store, or a peer
-    /// that was cut off, offers a lower number than the one in force. It would bring back what an
-    /// operator has replaced. Numbers only grow, so whatever is not greater is old.
+    /// A stale read of the store, or a peer that was disconnected, may offer an older revision than
+    /// the one in force. Adopting it would revert settings that an operator has replaced. Revision
+    /// numbers only increase, so a bundle whose number is not greater is ignored.
     ///
     /// ```
     /// use rudder_store::{OfferVerdict, RevisionBundle, RevisionFollower, RevisionNumber};
--- a/crates/rudder-store/src/revision/mod.rs
+++ b/crates/rudder-store/src/revision/mod.rs
@@ -1,4 +1,4 @@
-//! Accepted revisions of the operators' folder: submitting, reading, following.
+//! Accepted revisions of the operators' settings folder: submitting, reading and following them.
 
 mod attempt;
 mod bundle;
--- a/crates/rudder-store/src/revision/plan.rs
+++ b/crates/rudder-store/src/revision/plan.rs
@@ -1,4 +1,4 @@
-//! What a submission changes in a revision, worked out without a network.
+//! Computes the revision that results from a submission, without accessing the platform.
 
 use super::record::{
     KEEP_MARKS, KEEP_REVISIONS, RetiredObject, RevisionFile, RevisionMark, RevisionNumber,
@@ -9,11 +9,11 @@
 use std::fmt;
 
 plain_data! {
-    /// Another operator changed a file that this submission changes too.
+    /// Error for a file that another operator changed since the base revision of a submission.
     pub struct FileConflict {
-        /// The file.
+        /// Name of the file.
         pub file: FileName,
-        /// The revision in force.
+        /// Number of the revision in force.
         pub number: RevisionNumber,
     }
 }
@@ -29,21 +29,21 @@
 impl std::error::Error for FileConflict {}
 
 plain_data! {
-    /// The wanted version of one file; none removes it.
+    /// Requested object of one file; `None` removes the file.
     pub(crate) struct WantedFile {
         pub(crate) name: FileName,
         pub(crate) object: Option<String>,
     }
 }
 
-/// Lays the wanted files over `current`; none when nothing would change.
+/// Applies the requested files to `current`. Returns `None` if nothing would change.
 ///
-/// `base` is the revision from which the operator started. A file that is as it was there was not
-/// changed by this operator and stays as it is now.
+/// `base` is the revision from which the operator started. A file that equals the one in `base` was
+/// not changed by this operator and keeps its current content.
 ///
-/// Guards against an operator's file that vanishes silently: two operators change the same file at
-/// the same moment, and the later update would replace the earlier one unseen. The later one finds
-/// that the file is neither as in its base nor as it wants it, and is refused.
+/// If two operators change the same file concurrently, the later update would silently overwrite
+/// the earlier one. It is rejected instead, because the current file differs both from `base` and
+/// from the requested content.
 pub(crate) fn plan_revision(
     current: &SettingsRevision,
     base: &SettingsRevision,
@@ -57,7 +57,7 @@
         let in_force = current.object(&file.name);
         let at_base = base.object(&file.name);
         let object = file.object.as_deref();
-        // A wish to remove is always this operator's own, also where its base lacks the file.
+        // A removal is always an explicit change by this operator, even if `base` lacks the file.
         let untouched = object.is_some() && object == at_base;
         if object == in_force || untouched {
             continue;
--- a/crates/rudder-store/src/revision/prune.rs
+++ b/crates/rudder-store/src/revision/prune.rs
@@ -1,15 +1,17 @@
-//! Removing file objects that no recent revision names.
+//! Removes file objects that no recent revision references.
 
 use super::read::{ReadError, decode_spec, read_revision};
 use super::record::{FileRecord, KEEP_REVISIONS, SettingsRevision};
 use crate::store::{ObjectKind, PlatformStore, StoreError, StoredObject};
 
-/// Removes what no reader and no writer can still want; returns how many objects went.
+/// Removes file objects that no reader and no writer can still need. Returns the number of removed
+/// objects.
 ///
-/// Guards against removing a file that another operator is about to name in a revision. The list is
-/// read before the revision, removal is conditional on the listed version, and a writer first
-/// renews the object that it wants: either the renewal comes after the list, then the removal
-/// meets another version, or before, then the object is too young to be removed.
+/// An object that another operator is about to reference in a revision must not be removed. The
+/// list is read before the revision, removal is conditional on the listed version, and a writer
+/// refreshes an object before referencing it. If the refresh happens after the list was read, the
+/// conditional removal fails because of the new version; if it happens before, the object is too
+/// recent to be removed.
 pub(crate) async fn prune_files(store: &dyn PlatformStore) -> Result<usize, ReadError> {
     let objects = store.list(ObjectKind::SettingsFile).await?;
     let Some((_, revision)) = read_revision(store).await? else { return Ok(0) };
--- a/crates/rudder-store/src/revision/read.rs
+++ b/crates/rudder-store/src/revision/read.rs
@@ -1,4 +1,4 @@
-//! Reading the accepted revision and its files.
+//! Reads the accepted revision and its files.
 
 use super::bundle::{BundleFile, RevisionBundle};
 use super::record::{FileRecord, REVISION_OBJECT, RevisionFile, SettingsRevision};
@@ -6,10 +6,11 @@
 use displaydoc::Display;
 use rudder_settings::SettingsFile;
 
-/// Up to so many files are read one by one; a list also brings texts that are no longer wanted.
+/// Maximum number of files that are read individually. Listing all files instead also transfers
+/// content that is no longer needed.
 const SINGLE_READS_MAX: usize = 3;
 
-/// Why a revision could not be read.
+/// Reasons why a revision cannot be read.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum ReadError {
@@ -17,9 +18,9 @@
     Store(StoreError),
     /// object {object} does not have the shape of this version: {reason}
     Malformed {
-        /// The object.
+        /// Name of the object.
         object: String,
-        /// What does not fit.
+        /// Error message of the decoder.
         reason: String,
     },
     /// object {0} is gone: a newer revision was accepted meanwhile; read again
@@ -34,7 +35,7 @@
     }
 }
 
-/// Reads the accepted revision and its version; none before the first submission.
+/// Reads the accepted revision and its version. Returns `None` before the first submission.
 ///
 /// ```
 /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -49,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// When the platform gives no answer, or the object has another shape.
+/// Returns an error if the platform does not respond, or if the object cannot be decoded.
 pub async fn read_revision(
     store: &dyn PlatformStore,
 ) -> Result<Option<(ObjectVersion, SettingsRevision)>, ReadError> {
@@ -59,8 +60,9 @@
     Ok(Some((object.version, revision)))
 }
 
-/// Reads the accepted revision if its number is greater than that of `cached`; files that `cached`
-/// has are not read again. The one small read that finds nothing new is the usual case.
+/// Reads the accepted revision if its number is greater than that of `cached`. Files that `cached`
+/// has are not read again. Usually there is no new revision, which takes a single read of the
+/// version.
 ///
 /// ```
 /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -75,8 +77,8 @@
 ///
 /// # Errors
 ///
-/// When the platform gives no answer, an object has another shape, or a file was removed because a
-/// still newer revision was accepted meanwhile.
+/// Returns an error if the platform does not respond, an object cannot be decoded, or a file was
+/// removed because an even newer revision was accepted in the meantime.
 pub async fn poll_revision(
     store: &dyn PlatformStore,
     cached: Option<&RevisionBundle>,
@@ -92,7 +94,7 @@
     Ok(Some(RevisionBundle { number: revision.number, version: Some(version), files }))
 }
 
-/// Whether the platform still has the object that `cached` was read from.
+/// Whether the revision object still has the version that `cached` was read from.
 async fn is_unchanged(
     store: &dyn PlatformStore,
     cached: Option<&RevisionBundle>,
@@ -102,10 +104,10 @@
     Ok(now.as_ref() == Some(version))
 }
 
-/// Reads the texts of files, taking those that `cached` has from there.
+/// Reads files, except those that are in `cached`.
 ///
-/// Many missing files are read by one list: an instance that starts, or an operator who submits,
-/// would else wait for as many answers as there are files.
+/// If many files are missing, a single list call reads them. Otherwise a starting instance or a
+/// submitting operator would wait for as many responses as there are files.
 pub(crate) async fn read_files(
     store: &dyn PlatformStore,
     files: &[RevisionFile],
@@ -129,7 +131,7 @@
     Ok(bundled)
 }
 
-/// Reads a file from a list that is sorted by name, or else from the platform.
+/// Returns a file from `listed`, which is sorted by name, or else reads it from the platform.
 async fn read_file(
     store: &dyn PlatformStore,
     listed: &[StoredObject],
@@ -145,7 +147,7 @@
     Ok(BundleFile { object: name.to_owned(), file })
 }
 
-/// Reads an object's content into its type.
+/// Decodes the content of an object.
 pub(crate) fn decode_spec<T: serde::de::DeserializeOwned>(
     object: &str,
     spec: serde_json::Value,
--- a/crates/rudder-store/src/revision/record.rs
+++ b/crates/rudder-store/src/revision/record.rs
@@ -1,4 +1,4 @@
-//! The accepted revision and the files that it names, as the platform holds them.
+//! The accepted revision and its files as stored in the platform.
 
 use rudder_core::{ParseError, WriterMark, plain_data};
 use rudder_settings::{FileName, SettingsFile};
@@ -7,18 +7,18 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Name of the one object that holds the accepted revision.
+/// Name of the single object that stores the accepted revision.
 pub(crate) const REVISION_OBJECT: &str = "accepted";
 
-/// How many revisions back a file's object stays readable, for proxies that read while operators
-/// submit.
+/// Number of revisions for which the object of a replaced file is kept, for instances that read a
+/// revision while operators submit newer ones.
 pub(crate) const KEEP_REVISIONS: u64 = 3;
 
-/// How many writers' marks a revision remembers. A writer whose answer was lost finds its own mark
-/// unless more than this many revisions came after it.
+/// Number of writer marks stored in a revision. A writer whose response was lost finds its own mark
+/// unless this many later revisions were accepted.
 pub(crate) const KEEP_MARKS: usize = 8;
 
-/// The number of an accepted revision; it only grows. Zero stands for none.
+/// Number of an accepted revision. It only increases; zero means no revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -50,15 +50,15 @@
     /// One file of a revision.
     #[derive(Serialize, Deserialize)]
     pub struct RevisionFile {
-        /// The file's name.
+        /// Name of the file.
         pub name: FileName,
-        /// The object that holds its text.
+        /// Name of the object that stores the file.
         pub object: String,
     }
 }
 
 plain_data! {
-    /// A writer's mark and the revision that it made.
+    /// Mark of a writer and the revision that it created.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct RevisionMark {
         pub(crate) number: RevisionNumber,
@@ -67,7 +67,7 @@
 }
 
 plain_data! {
-    /// An object that an earlier revision named, and the revision that no longer does.
+    /// An object that earlier revisions referenced, and the first revision that does not.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct RetiredObject {
         pub(crate) object: String,
@@ -76,24 +76,24 @@
 }
 
 plain_data! {
-    /// The accepted revision: the version of each file of the folder.
+    /// Accepted revision: the object that stores the current content of each file.
     #[derive(Default, Serialize, Deserialize)]
     pub struct SettingsRevision {
-        /// Its number.
+        /// Number of the revision.
         pub number: RevisionNumber,
-        /// Its files, sorted by name.
+        /// Files of the revision, sorted by name.
         pub files: Vec<RevisionFile>,
-        /// The marks of the last writers, oldest first.
+        /// Marks of the last writers, oldest first.
         #[serde(default)]
         pub(crate) marks: Vec<RevisionMark>,
-        /// Objects that recent revisions named.
+        /// Objects that recent revisions referenced.
         #[serde(default)]
         pub(crate) retired: Vec<RetiredObject>,
     }
 }
 
 impl SettingsRevision {
-    /// The object that holds this file's text.
+    /// Returns the name of the object that stores this file.
     ///
     /// ```
     /// let revision = rudder_store::SettingsRevision::default();
@@ -106,9 +106,9 @@
         Some(&self.files[index].object)
     }
 
-    /// A revision that names exactly these files, as if it had been accepted so.
+    /// Creates a revision that consists of exactly these files.
     ///
-    /// An operator's folder remembers by it what it held when it was last fetched or submitted.
+    /// An operator's folder records the state of its last fetch or submission in this form.
     ///
     /// ```
     /// use rudder_store::{RevisionNumber, SettingsRevision};
@@ -128,25 +128,26 @@
         Self { number, files, ..Self::default() }
     }
 
-    /// The revision that this writer made, if it is among the last.
+    /// Returns the number of the revision that this writer created, if its mark is still stored.
     pub(crate) fn number_written_by(&self, mark: &WriterMark) -> Option<RevisionNumber> {
         self.marks.iter().find(|made| made.mark == *mark).map(|made| made.number)
     }
 }
 
 plain_data! {
-    /// The content of a file's object.
+    /// Content of the object that stores a file.
     #[derive(Serialize, Deserialize)]
     pub(crate) struct FileRecord {
         pub(crate) file: FileName,
         pub(crate) text: String,
-        /// The revision that was in force when a writer last wanted this object.
+        /// Revision that was in force when a writer last created or refreshed this object.
         pub(crate) since: RevisionNumber,
     }
 }
 
-/// The object name of a file's content: a changed text gets another name, so that a revision never
-/// changes under its readers. Object names allow no underscore; the hash covers the true name.
+/// Returns the object name for a file. It contains a hash of the file's name and text, so that
+/// changed content is a new object and the files of an existing revision never change. Object names
+/// must not contain underscores; the hash covers the original file name.
 pub(crate) fn object_name(file: &SettingsFile) -> String {
     let mut bytes = file.name.as_str().as_bytes().to_vec();
     bytes.push(0);
--- a/crates/rudder-store/src/revision/refresh.rs
+++ b/crates/rudder-store/src/revision/refresh.rs
@@ -1,4 +1,4 @@
-//! Putting a file's object where readers will look for it.
+//! Creates or refreshes the object of a submitted file.
 
 use super::attempt::AttemptError;
 use super::read::{ReadError, decode_spec};
@@ -6,10 +6,10 @@
 use crate::store::{ObjectKind, PlatformStore};
 use rudder_settings::SettingsFile;
 
-/// Makes sure that a file's object exists and is too young to be pruned.
+/// Ensures that a file's object exists and is too recent to be pruned.
 ///
-/// A lost answer or a conflict fails the attempt; the next one finds the object, or puts it again.
-/// Names stand for contents, so putting twice does no harm.
+/// A lost response or a conflict fails the attempt; the next attempt finds the object or writes it
+/// again. The name is derived from the content, so writing it twice is idempotent.
 pub(crate) async fn refresh_file(
     store: &dyn PlatformStore,
     file: &SettingsFile,
@@ -32,7 +32,8 @@
     Ok(())
 }
 
-/// Guards against two texts with one hash: the earlier one would be in force under the later name.
+/// Rejects a hash collision, which would put the content of the existing object in force instead of
+/// the submitted one.
 fn check_no_collision(
     name: &str,
     file: &SettingsFile,
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -1,4 +1,5 @@
-//! Submitting files of the folder: the whole merge is checked, then the number grows by one.
+//! Submits files of the folder: validates the merged settings and replaces the accepted revision by
+//! one with the next number.
 
 use super::attempt::{ATTEMPTS_MAX, AttemptError, retry_delay};
 use super::bundle::RevisionBundle;
@@ -15,16 +16,16 @@
 use rudder_settings::{FileName, SettingsFile, SettingsRefusal, merge_folder};
 
 plain_data! {
-    /// What an operator wants changed in the folder.
+    /// Change to the folder that an operator submits.
     #[derive(Default)]
     pub struct FolderChange {
         /// Files to add or replace.
         pub put: Vec<SettingsFile>,
         /// Files to remove.
         pub remove: Vec<FileName>,
-        /// The revision from which the operator started; none takes the one now in force.
+        /// Revision from which the operator started; `None` uses the one in force.
         pub base: Option<SettingsRevision>,
-        /// The new number is greater than this one too; for a platform restored from an old copy.
+        /// Number that the new revision has to exceed, for a platform restored from an old backup.
         pub above: RevisionNumber,
     }
 }
@@ -32,14 +33,14 @@
 plain_data! {
     /// An accepted submission.
     pub struct SubmitOutcome {
-        /// The revision that holds the change.
+        /// Number of the revision that contains the change.
         pub number: RevisionNumber,
-        /// Whether a new revision was made; false when everything stood so already.
+        /// Whether a new revision was created; false if the change was already in force.
         pub changed: bool,
     }
 }
 
-/// Why a submission was not accepted, or is not known to be.
+/// Reasons why a submission was not accepted, or why its outcome is unknown.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum SubmitError {
@@ -59,8 +60,8 @@
 
 impl std::error::Error for SubmitError {}
 
-/// Submits a change: reads the revision in force, lays the change over it, checks the whole merge
-/// and replaces the revision if it is still the same; otherwise starts over.
+/// Submits a change: reads the revision in force, applies the change, validates the merged settings
+/// and replaces the revision by a conditional update. Retries if the revision changed meanwhile.
 ///
 /// ```no_run
 /// use rudder_store::{FolderChange, KubeStore, PlatformOptions, submit_change};
@@ -74,14 +75,14 @@
 ///
 /// # Errors
 ///
-/// See [`SubmitError`]. Only [`SubmitError::Unresolved`] leaves open whether the change is in force.
+/// See [`SubmitError`]. Only after [`SubmitError::Unresolved`] the change may be in force.
 pub async fn submit_change(
     store: &dyn PlatformStore,
     change: FolderChange,
 ) -> Result<SubmitOutcome, SubmitError> {
     let mut submitter = Submitter::new(store, change);
     let outcome = submitter.run().await?;
-    // What is left behind costs space only; the next submission tries again.
+    // Objects that remain only take up space; the next submission tries to remove them again.
     if outcome.changed
         && let Err(error) = prune_files(store).await
     {
@@ -96,9 +97,9 @@
     mark: WriterMark,
     wanted: Vec<WantedFile>,
     base: Option<SettingsRevision>,
-    /// Texts read in earlier attempts.
+    /// Files read in earlier attempts.
     cached: Option<RevisionBundle>,
-    /// The number of an update that was sent and whose effect is not known.
+    /// Number of the revision in an update whose outcome is unknown.
     unresolved: Option<RevisionNumber>,
 }
 
@@ -130,7 +131,7 @@
             };
             tokio::time::sleep(retry_delay(attempt)).await;
         }
-        // An update whose answer was lost may still be in force, whatever came after it.
+        // An update whose response was lost may have taken effect, regardless of later errors.
         Err(if self.unresolved.is_some() { SubmitError::Unresolved } else { error })
     }
 
@@ -152,11 +153,11 @@
         self.update(version.as_ref(), &next).await
     }
 
-    /// The revision that an earlier attempt made although its answer was lost.
+    /// Returns the revision that an earlier attempt created although its response was lost.
     ///
-    /// Guards against two revisions for one submission: the platform applied the update, and the
-    /// writer saw only a broken connection. Later writers keep the mark, so it is found also after
-    /// others came; a revision of that number without the mark shows that the update was lost.
+    /// Without this check, a retry after a lost response would create a second revision for the
+    /// same submission. Later writers keep the mark, so it is found after their updates too. If a
+    /// revision of that number or shortly after lacks the mark, the update did not take effect.
     fn find_own_revision(&mut self, current: &SettingsRevision) -> Option<RevisionNumber> {
         let own_number = current.number_written_by(&self.mark);
         if let Some(attempted) = self.unresolved {
@@ -168,7 +169,7 @@
         own_number
     }
 
-    /// Checks the whole merge and puts this operator's files where readers will look for them.
+    /// Validates the merged settings and stores the objects of the submitted files.
     async fn prepare(
         &mut self,
         current: &SettingsRevision,
--- a/crates/rudder-store/src/store.rs
+++ b/crates/rudder-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The border towards the platform: a trait, its objects and its errors.
+//! Interface to the platform's object API: the store trait, its objects and its errors.
 
 use async_trait::async_trait;
 use displaydoc::Display;
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The kinds of object that the project keeps in the platform.
+/// Kinds of object that are stored in the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
-    /// One file of the operators' folder.
+    /// One file of the operators' settings folder.
     SettingsFile,
-    /// The accepted revision of the folder; one object.
+    /// Accepted revision of the folder; a single object.
     SettingsRevision,
-    /// Who may promote in a group; one object per service.
+    /// Permission to promote a new primary in a group; one object per service.
     SuccessionGrant,
-    /// An operator's order to a group: a planned switch of primary.
+    /// An operator's order for a planned switch of primary in a group.
     SwitchOrder,
-    /// Which member of a service is the primary, or who is changing it; one object per service.
+    /// Current primary of a service, or the instance that is changing it; one object per service.
     PrimaryRecord,
-    /// One running instance, so that the others find it; one object per instance.
+    /// One running instance, for discovery by other instances; one object per instance.
     InstanceRecord,
 }
 
 impl ObjectKind {
-    /// The plural resource name in the platform's API.
+    /// Returns the plural resource name in the platform's API.
     ///
     /// ```
     /// assert_eq!(rudder_store::ObjectKind::SettingsFile.plural(), "settingsfiles");
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The kind's name in the platform's API.
+    /// Returns the kind's name in the platform's API.
     ///
     /// ```
     /// assert_eq!(rudder_store::ObjectKind::SettingsFile.singular(), "SettingsFile");
@@ -59,7 +59,7 @@
     }
 }
 
-/// An object's version: opaque, compared for equality only.
+/// Version of an object. It is opaque and only compared for equality.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ObjectVersion(pub String);
@@ -71,39 +71,39 @@
 }
 
 plain_data! {
-    /// An object as the platform holds it.
+    /// An object as stored in the platform.
     pub struct StoredObject {
-        /// The object's name, unique within its kind.
+        /// Name of the object, unique within its kind.
         pub name: String,
-        /// The version to hand back in a conditional update.
+        /// Version to pass in a conditional update.
         pub version: ObjectVersion,
-        /// The object's content.
+        /// Content of the object.
         pub spec: serde_json::Value,
     }
 }
 
 plain_data! {
-    /// One line of the platform's lagging list of instances.
+    /// One entry of the platform's instance list.
     pub struct InstanceEntry {
-        /// The instance's name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Its IP number, for peers.
+        /// IP address for peers.
         pub address: std::net::IpAddr,
-        /// What the platform believes about it.
+        /// Readiness according to the platform.
         pub readiness: InstanceReadiness,
     }
 }
 
-/// What the platform believes about an instance.
+/// Readiness of an instance according to the platform, which may lag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceReadiness {
-    /// It is live.
+    /// The instance is live.
     Ready,
-    /// It is leaving.
+    /// The instance is shutting down.
     Leaving,
 }
 
-/// Why a call to the platform gave no answer.
+/// Errors of calls to the platform.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum StoreError {
@@ -119,14 +119,14 @@
 
 impl std::error::Error for StoreError {}
 
-/// The platform's object API, as far as the project uses it.
+/// The subset of the platform's object API that is used here.
 #[async_trait]
 pub trait PlatformStore: Send + Sync {
     /// Reads one object.
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<Option<StoredObject>, StoreError>;
 
-    /// Reads one object's version only, which costs less than its content where the platform can
-    /// tell them apart.
+    /// Reads the version of an object, which is cheaper than reading the object if the platform
+    /// supports it.
     async fn version(
         &self,
         kind: ObjectKind,
@@ -138,12 +138,13 @@
     /// Reads all objects of a kind, sorted by name.
     async fn list(&self, kind: ObjectKind) -> Result<Vec<StoredObject>, StoreError>;
 
-    /// The same at less cost where the platform offers it: what is read may be seconds old.
+    /// Reads all objects of a kind, sorted by name, from a cache if the platform has one. The
+    /// result may be seconds old.
     async fn list_cached(&self, kind: ObjectKind) -> Result<Vec<StoredObject>, StoreError> {
         self.list(kind).await
     }
 
-    /// Creates an object, or finds the one that has its name.
+    /// Creates an object, or returns the existing object with the same name.
     async fn create_or_get(
         &self,
         kind: ObjectKind,
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Creates an object (`expected` is none) or replaces the version that `expected` names.
+    /// Creates an object if `expected` is `None`, or else replaces it if it still has the version
+    /// `expected`.
     async fn put(
         &self,
         kind: ObjectKind,
@@ -167,7 +169,7 @@
         spec: serde_json::Value,
     ) -> Result<StoredObject, StoreError>;
 
-    /// Removes the version that `expected` names.
+    /// Removes an object if it still has the version `expected`.
     async fn delete(
         &self,
         kind: ObjectKind,
@@ -175,6 +177,6 @@
         expected: &ObjectVersion,
     ) -> Result<(), StoreError>;
 
-    /// The lagging list of live and leaving instances, sorted by name.
+    /// Reads the live and leaving instances, sorted by name. The platform's list may lag.
     async fn instances(&self) -> Result<Vec<InstanceEntry>, StoreError>;
 }
--- a/crates/rudder-store/tests/platform/common.rs
+++ b/crates/rudder-store/tests/platform/common.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the platform's tests: a stand-in, stores, files, and a store with scripted faults.
+//! Test fixtures: a stand-in platform, stores, files, and a store with scripted faults.
 
 use async_trait::async_trait;
 use rand::RngExt;
@@ -31,7 +31,7 @@
     SettingsFile::new(name, text).expect("the tests use allowed names")
 }
 
-/// A file that declares one failure domain named like the file.
+/// Creates a file that declares one failure domain with the name of the file.
 pub(crate) fn domain_file(stem: &str, region: &str) -> SettingsFile {
     file(&format!("{stem}.toml"), &format!("[domains.{stem}]\nregion = \"{region}\"\n"))
 }
@@ -40,39 +40,39 @@
     FolderChange { put: files.to_vec(), ..FolderChange::default() }
 }
 
-/// What happens to one change.
+/// Fault that is injected into one write.
 pub(crate) enum PutFault {
-    /// It arrives and is answered.
+    /// The write succeeds.
     None,
-    /// It never arrives; the writer sees a broken connection.
+    /// The request is lost; the writer sees a lost connection.
     LostRequest,
-    /// It takes effect; the writer sees a broken connection.
+    /// The write takes effect, but the writer sees a lost connection.
     LostResponse,
-    /// It takes effect, a rival submits a change, and the writer sees a broken connection.
+    /// The write takes effect, another change is submitted, and the writer sees a lost connection.
     LostResponseAfterSubmission(FolderChange),
-    /// Nobody listens.
+    /// The connection is refused.
     ConnectionRefused,
 }
 
-/// Brings faults about at chosen calls of a [`FaultyStore`].
+/// Injects faults into the calls of a [`FaultyStore`].
 #[async_trait]
 pub(crate) trait FaultScript: Send + Sync {
-    /// The fault of the next change of an object of this kind.
+    /// Returns the fault of the next write of an object of this kind.
     fn on_put(&self, _kind: ObjectKind) -> PutFault {
         PutFault::None
     }
 
-    /// Runs when a change took effect.
+    /// Runs after a write took effect.
     fn on_stored(&self, _kind: ObjectKind, _spec: &serde_json::Value) {}
 
-    /// Runs when the files have been listed.
+    /// Runs before objects are listed.
     fn on_list(&self) {}
 
-    /// Runs between a read and its answer.
+    /// Runs after a read, before its result is returned.
     async fn on_read(&self, _inner: &KubeStore, _kind: ObjectKind) {}
 }
 
-/// The real store with a script of faults in front.
+/// A store that injects the faults of a script into another store.
 pub(crate) struct FaultyStore<S> {
     pub(crate) inner: KubeStore,
     pub(crate) script: S,
@@ -113,7 +113,7 @@
             PutFault::LostResponseAfterSubmission(concurrent_change) => {
                 submit_change(&self.inner, concurrent_change)
                     .await
-                    .expect("the rival's change is valid");
+                    .expect("the concurrent change is valid");
                 Err(StoreError::Unresolved)
             }
             _ => Err(StoreError::Unresolved),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Faults at updates of the revision, the last of the list first.
+/// Injects a list of faults into updates of the revision, starting with the last of the list.
 pub(crate) struct UpdateFaults(pub(crate) Mutex<Vec<PutFault>>);
 
 #[async_trait]
@@ -149,8 +149,8 @@
     }
 }
 
-/// A writer is overtaken while pruning: once it has listed the files, a rival submits between the
-/// next read of the revision and its answer.
+/// Submits a change while another writer is pruning: after that writer has listed the files,
+/// between its next read of the revision and the result.
 pub(crate) struct SubmissionDuringPruning {
     pub(crate) concurrent_change: Mutex<Option<FolderChange>>,
     pub(crate) listed: AtomicBool,
@@ -168,12 +168,12 @@
         }
         let concurrent_change = self.concurrent_change.lock().expect("no test panics here").take();
         if let Some(concurrent_change) = concurrent_change {
-            submit_change(inner, concurrent_change).await.expect("the rival's change is valid");
+            submit_change(inner, concurrent_change).await.expect("the concurrent change is valid");
         }
     }
 }
 
-/// Faults drawn from a seed at every change; keeps every revision that took effect.
+/// Injects random faults into writes; records every revision that took effect.
 pub(crate) struct RandomFaults {
     pub(crate) random: Mutex<SmallRng>,
     pub(crate) revisions: Arc<Mutex<Vec<SettingsRevision>>>,
--- a/crates/rudder-store/tests/platform/concurrency.rs
+++ b/crates/rudder-store/tests/platform/concurrency.rs
@@ -1,4 +1,4 @@
-//! Histories of operators who race while the platform loses requests and answers.
+//! Randomised test of concurrent submissions while the platform loses requests and responses.
 
 use crate::common::{
     FaultyStore, RandomFaults, change, domain_file, standin, store_with_long_timeout,
@@ -12,12 +12,12 @@
 const SEEDS: u64 = 6;
 const ROUNDS: u64 = 4;
 
-/// Whose file each operator changes: the first two fight over one, the others over another.
+/// Name of the file that each operator changes: two operators share each file.
 const OPERATORS: [&str; 4] = ["a", "a", "b", "b"];
 
 type RevisionLog = Arc<Mutex<Vec<SettingsRevision>>>;
 
-/// One submission of a text that nobody else submits, and what its operator was told.
+/// One submission with unique content, and its result.
 struct SubmissionRecord {
     wanted: SettingsRevision,
     result: Result<SubmitOutcome, SubmitError>,
@@ -29,7 +29,7 @@
         revision.object(&file.name) == Some(file.object.as_str())
     }
 
-    /// Checks what the operator was told against the revisions that took effect.
+    /// Checks the result of the submission against the revisions that took effect.
     fn check(&self, revisions: &[SettingsRevision]) -> Result<(), String> {
         let first = revisions.iter().find(|revision| self.is_in(revision));
         let made = first.map(|revision| revision.number);
@@ -37,7 +37,7 @@
             Ok(outcome) if outcome.changed && made == Some(outcome.number) => Ok(()),
             Err(SubmitError::Unresolved) => Ok(()),
             Err(_) if made.is_none() => Ok(()),
-            reported => Err(format!("told {reported:?}, in force since {made:?}")),
+            reported => Err(format!("reported {reported:?}, in force since {made:?}")),
         }
     }
 }
@@ -62,9 +62,9 @@
     records
 }
 
-/// Four operators change two files at the same moment, while two of ten changes are lost on the way,
-/// two of ten take effect without an answer, and one of ten meets nobody. Whoever was told a number
-/// must have made that revision; whoever was refused must find his text in none.
+/// Four operators change two files concurrently. Of ten writes, two are lost, two take effect
+/// without a response, and the connection of one is refused. An accepted submission must have
+/// created the reported revision, and the content of a rejected one must be in no revision.
 #[tokio::test]
 async fn results_of_concurrent_submissions_match_the_stored_revisions() {
     for seed in 0..SEEDS {
--- a/crates/rudder-store/tests/platform/following.rs
+++ b/crates/rudder-store/tests/platform/following.rs
@@ -1,4 +1,4 @@
-//! Following: numbers that only grow, stale reads, instances cut off from the platform.
+//! Tests of following revisions: increasing numbers, stale reads, and platform outages.
 
 use crate::common::{change, domain_file, standin, store, store_with_long_timeout};
 use proptest::prelude::*;
@@ -13,8 +13,8 @@
     &follower.folder().expect("a revision is in force").fleet.domains[0].region
 }
 
-/// The platform answers from a copy that lags. An instance that holds revision 2 reads revision 1;
-/// adopting it would bring back settings that an operator has replaced.
+/// The platform responds from a stale replica: an instance with revision 2 reads revision 1.
+/// Adopting it would revert settings that an operator has replaced.
 #[tokio::test]
 async fn stale_read_does_not_revert_settings() {
     let standin = standin().await;
@@ -36,8 +36,8 @@
     assert_eq!((follower.number(), region(&follower)), (RevisionNumber(2), "south"));
 }
 
-/// An instance starts while the platform is down. Its peers hold the revision in force and hand it
-/// over; without that it could serve nobody until the outage ends.
+/// An instance starts while the platform is down and receives the revision in force from a peer.
+/// Otherwise it could not serve any caller until the outage ends.
 #[tokio::test]
 async fn instance_that_starts_in_an_outage_follows_a_peer() {
     let standin = standin().await;
@@ -59,8 +59,8 @@
     assert_eq!(region(&follower), "north");
 }
 
-/// Only what changed is read: an instance that holds the last revision reads the new file and not
-/// the others, which keeps the platform's load low when hundreds of instances follow.
+/// An instance that holds the previous revision reads the changed file only, which keeps the load
+/// on the platform low with hundreds of instances.
 #[tokio::test]
 async fn poll_reads_only_what_changed() {
     let standin = standin().await;
@@ -77,12 +77,12 @@
 
     assert_eq!(newer.number, RevisionNumber(2));
     assert_eq!(unchanged, None);
-    // The version, the revision and the one file; then the version alone.
+    // The first poll reads the version, the revision and one file; the second only the version.
     assert_eq!((between - before, standin.calls().reads - between), (3, 1));
 }
 
-/// A peer runs a later release whose settings this one does not know, or a message was damaged.
-/// The revision in force stays, and a later usable one is still adopted.
+/// A bundle is unusable because it was corrupted or comes from a newer release with unknown
+/// settings. The revision in force remains, and a later valid one is still adopted.
 #[tokio::test]
 async fn unusable_bundle_is_not_adopted() {
     let standin = standin().await;
--- a/crates/rudder-store/tests/platform/main.rs
+++ b/crates/rudder-store/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform's package against the stand-in over HTTP.
+//! Tests of the platform store and of settings revisions against a stand-in platform over HTTP.
 
 mod common;
 mod concurrency;
--- a/crates/rudder-store/tests/platform/store.rs
+++ b/crates/rudder-store/tests/platform/store.rs
@@ -1,4 +1,4 @@
-//! The store over HTTP: versions, conflicts, lost answers, outages, instances.
+//! Tests of the store over HTTP: versions, conflicts, lost responses, outages, and instances.
 
 use crate::common::{standin, store, store_with_long_timeout};
 use rudder_standins::{LinkSettings, LinkStandin, PlatformFaults, PlatformOutage, StandinInstance};
@@ -9,10 +9,10 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A call that takes longer than this would never end.
+/// A call that takes longer than this is considered to hang.
 const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A state that has not come after so many tries would never come.
+/// Maximum number of attempts to reach an expected state.
 const TRIES_MAX: usize = 2000;
 
 const KIND: ObjectKind = ObjectKind::SwitchOrder;
@@ -42,8 +42,8 @@
     );
 }
 
-/// An operator submits, the platform applies the change, and the connection breaks before the
-/// answer. Taken for "nothing changed", the operator would submit again and undo what came between.
+/// The platform applies a write, and the connection is lost before the response. If the writer
+/// treated this as "nothing changed", it would write again and overwrite changes made in between.
 #[tokio::test]
 async fn lost_response_is_unresolved_and_the_change_is_stored() {
     let standin = standin().await;
@@ -56,8 +56,8 @@
     assert_eq!(store.get(KIND, "a").await.unwrap().unwrap().spec, json!({ "to": "one" }));
 }
 
-/// A gateway before the platform gives up while the change takes effect behind it. Were the request
-/// sent again, it would meet its own change, and the writer would hear of a conflict that never was.
+/// A gateway in front of the platform times out while the write takes effect. A retry of the
+/// request would conflict with its own effect, and the writer would receive a false conflict.
 #[tokio::test]
 async fn gateway_timeout_is_unresolved_and_not_sent_again() {
     let standin = standin().await;
@@ -70,8 +70,8 @@
     assert_eq!(standin.calls().writes, 1);
 }
 
-/// The platform's service goes down: nobody listens any more. Then it hangs: connections open, no
-/// answer comes. A caller must come back with a verdict in both, and a change that hung is unknown.
+/// The platform accepts connections without responding, then refuses connections. Calls must return
+/// an error in both cases, and the outcome of a write without a response is unknown.
 #[tokio::test]
 async fn calls_end_with_an_error_during_an_outage() {
     let standin = standin().await;
@@ -88,8 +88,8 @@
     let (hung_read, hung_write) =
         tokio::time::timeout(HANG_TIMEOUT, hung).await.expect("both calls end by themselves");
     standin.set_faults(outage(PlatformOutage::Refused));
-    // The listener closes its socket a moment after the switch; until then a connection is accepted
-    // and cut.
+    // The listener closes its socket shortly after the change of faults; until then it accepts a
+    // connection and drops it.
     let mut refused_write = Err(StoreError::Unresolved);
     for _ in 0..TRIES_MAX {
         if refused_write != Err(StoreError::Unresolved) {
@@ -113,8 +113,9 @@
     assert_eq!(after_outage, Ok(None));
 }
 
-/// Something between proxy and platform loses track of the open connection: it stays silent for
-/// good, while new ones work. A store that went on using it would be cut off until a restart.
+/// A device between proxy and platform drops the state of an open connection: it never responds
+/// again, while new connections work. A store that kept using it would be disconnected until a
+/// restart.
 #[tokio::test]
 async fn unresponsive_connection_is_replaced() {
     let standin = standin().await;
--- a/crates/rudder-store/tests/platform/submission.rs
+++ b/crates/rudder-store/tests/platform/submission.rs
@@ -1,4 +1,4 @@
-//! Submitting: racing operators, lost answers, outages, refusals, pruning.
+//! Tests of submissions: concurrent operators, lost responses, outages, rejections, and pruning.
 
 use crate::common::{
     FaultyStore, PutFault, SubmissionDuringPruning, UpdateFaults, change, domain_file, file,
@@ -22,8 +22,8 @@
     revision.files.iter().map(|file| file.name.as_str()).collect()
 }
 
-/// Six operators each add one file at the same moment. Each reads the same revision and builds on
-/// it; without the conditional update the last would wipe out the five others.
+/// Six operators concurrently add one file each, starting from the same revision. Without
+/// conditional updates, the last one would overwrite the changes of the five others.
 #[tokio::test]
 async fn concurrent_submissions_are_all_accepted() {
     let standin = standin().await;
@@ -45,8 +45,8 @@
     assert_eq!(names(&revision), ["a.toml", "b.toml", "c.toml", "d.toml", "e.toml", "f.toml"]);
 }
 
-/// Two operators fetched revision 1 and change the same file differently. One is accepted; were the
-/// other accepted too, the first one's change would be gone and nobody told.
+/// Two operators fetched revision 1 and change the same file differently. If both were accepted,
+/// the later one would silently overwrite the change of the earlier one.
 #[tokio::test]
 async fn concurrent_changes_of_one_file_conflict() {
     let standin = standin().await;
@@ -69,8 +69,8 @@
     assert_eq!(revision(&store).await.number, RevisionNumber(2));
 }
 
-/// An operator's folder is an older copy: another one replaced b.toml meanwhile. Submitting the
-/// whole folder for the sake of a.toml must not bring the old b.toml back.
+/// An operator submits a whole folder to change a.toml, but its copy of b.toml is outdated because
+/// another operator replaced that file. The submission must not revert b.toml.
 #[tokio::test]
 async fn unchanged_files_of_an_old_copy_do_not_revert_others() {
     let standin = standin().await;
@@ -90,8 +90,8 @@
     assert_eq!(revision(&store).await.object(&b), newer.object(&b));
 }
 
-/// An operator removes a file that another one added after the fetch. Taken for "not there anyway",
-/// the removal would do nothing and still be reported as done.
+/// An operator removes a file that another one added after the fetch. If the file were treated as
+/// absent, the removal would have no effect and still be reported as successful.
 #[tokio::test]
 async fn removing_what_the_base_lacks_is_refused() {
     let standin = standin().await;
@@ -107,8 +107,8 @@
     assert!(matches!(result, Err(SubmitError::FileConflict(_))), "{result:?}");
 }
 
-/// The platform applies the change and its answer is lost, first for the file, then for the
-/// revision. The operator must see the one revision that was made, not a second one.
+/// The platform applies the writes of the file and of the revision, but both responses are lost.
+/// The submission must report the revision that was created instead of creating a second one.
 #[tokio::test]
 async fn lost_responses_make_one_revision() {
     let standin = standin().await;
@@ -122,8 +122,8 @@
     assert_eq!(revision(&store).await.number, RevisionNumber(1));
 }
 
-/// The answer is lost, and before the writer reads back, a rival replaces the same file. The file
-/// is no longer the writer's, so only its mark can tell that its change had been accepted.
+/// The response is lost, and another operator replaces the same file before the writer reads it
+/// back. Only the writer's mark shows that its change was accepted.
 #[tokio::test]
 async fn lost_response_is_recognised_under_a_later_revision() {
     let standin = standin().await;
@@ -139,8 +139,8 @@
     assert_eq!(revision(&scripted.inner).await.number, RevisionNumber(2));
 }
 
-/// The update itself is lost on the way. Taken for accepted, the operator's change would be missing
-/// though he was told that it is in force.
+/// The request of an update is lost. If the update were treated as accepted, the operator's change
+/// would be missing although it was reported to be in force.
 #[tokio::test]
 async fn lost_request_is_retried() {
     let standin = standin().await;
@@ -154,8 +154,8 @@
     assert_eq!(names(&revision(&scripted.inner).await), ["a.toml"]);
 }
 
-/// An update's answer is lost and the platform stays away afterwards. Nobody can tell whether the
-/// change is in force, so neither "accepted" nor "nothing changed" would be true.
+/// The connection is lost during an update, and the platform stays unreachable. It is unknown
+/// whether the change is in force, so neither "accepted" nor "nothing was changed" may be reported.
 #[tokio::test]
 async fn lost_request_before_an_outage_is_unresolved() {
     let standin = standin().await;
@@ -169,7 +169,7 @@
     assert_eq!(result, Err(SubmitError::Unresolved));
 }
 
-/// The platform is down for the whole submission: the operator learns that nothing was changed.
+/// The platform is down during the whole submission, so the result states that nothing was changed.
 #[tokio::test]
 async fn submission_during_an_outage_is_unavailable() {
     let standin = standin().await;
@@ -184,8 +184,8 @@
     assert_eq!(result, Err(SubmitError::Unavailable));
 }
 
-/// A file is fine by itself and breaks the merge: its member stands in a failure domain that another
-/// operator removes at the same time. The whole is refused with its place; what is in force stays.
+/// An operator removes a failure domain that a member in another file refers to. The submission is
+/// rejected with the location of the reference, and the revision in force remains.
 #[tokio::test]
 async fn invalid_merge_is_refused_and_the_revision_stays() {
     let standin = standin().await;
@@ -221,8 +221,8 @@
     assert_eq!((again.number, again.changed), (RevisionNumber(1), false));
 }
 
-/// A platform is restored from an old copy and its numbers start low again. Instances hold a greater
-/// one and would never follow, so the operator lifts the next number above it.
+/// A platform restored from an old backup has a lower revision number than the instances, which
+/// would never adopt its revisions. The operator therefore raises the next number above theirs.
 #[tokio::test]
 async fn number_can_be_raised_above_what_instances_hold() {
     let standin = standin().await;
@@ -235,8 +235,8 @@
     assert_eq!(outcome.number, RevisionNumber(41));
 }
 
-/// Operators replace one file again and again. Each text is an object of its own: without pruning
-/// they fill the platform, with too much of it a reader of the last revision finds nothing.
+/// Operators replace one file repeatedly, and each content is a separate object. Without pruning,
+/// they would fill the platform; pruning too much would remove files that readers still need.
 #[tokio::test]
 async fn old_files_are_pruned_after_a_few_revisions() {
     let standin = standin().await;
@@ -257,9 +257,9 @@
     assert!(!objects[..5].iter().any(|object| kept.contains(&object)), "{kept:?}");
 }
 
-/// An instance has read revision 8 and is about to read its files; one of them is as old as the
-/// folder. An operator replaces just that file. Were its object removed with the revision that
-/// named it, every instance that reads at that moment would fail to follow.
+/// An instance has read revision 8 and is about to read its files when an operator replaces the
+/// oldest of them. If its object were removed immediately, instances that read at that time would
+/// fail to follow.
 #[tokio::test]
 async fn files_of_the_last_revisions_stay_readable_however_old() {
     let standin = standin().await;
@@ -278,8 +278,8 @@
     }
 }
 
-/// One operator prunes: it has listed an old object and is about to remove it. Another one goes back
-/// to just that text. Were the object removed, the new revision would name one that nobody finds.
+/// One operator has listed an old object and is about to prune it while another submits the content
+/// of that object again. If it were removed, the new revision would reference a missing object.
 #[tokio::test]
 async fn pruning_keeps_an_object_that_another_writer_reuses() {
     let standin = standin().await;
@@ -302,8 +302,8 @@
     assert_eq!(bundle.merge().unwrap().fleet.domains[0].region, "old");
 }
 
-/// Two texts have one hash, here brought about by another text under the object's name. Accepted,
-/// the revision would name a text that nobody checked.
+/// Simulates a hash collision by replacing the content of an object. If the submission were
+/// accepted, the revision would reference content that was not validated.
 #[tokio::test]
 async fn another_text_under_the_same_name_is_refused() {
     let standin = standin().await;
@@ -323,8 +323,8 @@
     assert_eq!(revision(&store).await.number, RevisionNumber(2));
 }
 
-/// An operator goes back to earlier texts again and again while old objects are removed. Each
-/// revision must be readable as soon as it is accepted.
+/// An operator repeatedly returns to earlier content while old objects are pruned. Each revision
+/// must be readable as soon as it is accepted.
 #[tokio::test]
 async fn reused_text_is_readable() {
     let standin = standin().await;
