--- a/crates/rudder-settings/src/check/caller.rs
+++ b/crates/rudder-settings/src/check/caller.rs
@@ -1,4 +1,4 @@
-//! `[callers.KIND]`: what one kind of caller is given.
+//! Validates `[callers.KIND]`: limits and guarantees for one kind of caller.
 
 use super::reader::TableReader;
 use super::value::{parse_choice, parse_count, parse_duration, parse_string_list};
@@ -6,13 +6,13 @@
 use rudder_core::CallerKind;
 use std::time::Duration;
 
-/// A read older than a day is hardly what a caller means by "may trail".
+/// Reads that may be more than a day stale are most likely a configuration error.
 const STALENESS_MAX: Duration = Duration::from_secs(24 * 3600);
-/// Callers give up long before this, and the request would run for nobody.
+/// Callers time out long before this, so the result of the request would be discarded.
 const QUEUE_WAIT_MAX: Duration = Duration::from_secs(300);
 const QUEUE_WAIT_MIN: Duration = Duration::from_millis(1);
 const QUEUE_WAIT_DEFAULT: Duration = Duration::from_secs(2);
-/// More requests than this at one instance would not fit its memory.
+/// More requests than this would not fit into the memory of one instance.
 const IN_FLIGHT_MAX: u32 = 100_000;
 const IN_FLIGHT_DEFAULT: u32 = 256;
 
--- a/crates/rudder-settings/src/check/domain.rs
+++ b/crates/rudder-settings/src/check/domain.rs
@@ -1,4 +1,4 @@
-//! `[domains.NAME]`: a failure domain.
+//! Validates `[domains.NAME]`: a failure domain.
 
 use super::reader::TableReader;
 use super::value::parse_string;
--- a/crates/rudder-settings/src/check/fleet.rs
+++ b/crates/rudder-settings/src/check/fleet.rs
@@ -1,10 +1,11 @@
-//! Checks across tables: domains that members name, addresses, users and names given twice.
+//! Checks across tables: undeclared domains, services without members, and duplicate addresses,
+//! users and member names.
 
 use crate::model::FleetSettings;
 use crate::problem::{SettingsProblem, SourcePlace};
 use crate::source::{SourceTable, SourceValue};
 
-/// Adds what is wrong between the tables of a tree.
+/// Adds the problems that involve several tables of a tree to `problems`.
 pub(crate) fn check_fleet(
     tree: &SourceTable,
     fleet: &FleetSettings,
@@ -17,7 +18,8 @@
     check_users(tree, fleet, problems);
 }
 
-/// A service without members can serve nobody. Members refused for another reason count here.
+/// Reports services without members, which cannot serve any request. Members that are invalid for
+/// another reason count as present.
 fn check_members_present(
     tree: &SourceTable,
     fleet: &FleetSettings,
@@ -36,7 +38,8 @@
 }
 
 fn check_domains(tree: &SourceTable, fleet: &FleetSettings, problems: &mut Vec<SettingsProblem>) {
-    // The keys of the tree, not the accepted domains: one that lacks its region is declared too.
+    // Uses the keys of the tree instead of the valid domains, because a domain without a region is
+    // declared too.
     let known: Vec<&str> = match find_value(tree, &["domains"]) {
         Some(SourceValue::Table(table)) => {
             table.entries.iter().map(|entry| entry.key.as_str()).collect()
@@ -75,7 +78,8 @@
     }
 }
 
-/// Logs and orders speak of members by name, so a name stands for one member in the whole fleet.
+/// Reports duplicate member names. Logs and switch orders identify members by name, so a name has
+/// to be unique across all services.
 fn check_member_names(
     tree: &SourceTable,
     fleet: &FleetSettings,
--- a/crates/rudder-settings/src/check/mod.rs
+++ b/crates/rudder-settings/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the merged tree. Every problem is noted, not only the first.
+//! Validates the merged tree and reports all problems, not only the first.
 
 mod caller;
 mod domain;
@@ -14,9 +14,9 @@
 use crate::source::SourceTable;
 use reader::TableReader;
 
-/// Turns the tree into settings and adds what is wrong to `problems`.
+/// Converts the tree to settings and adds all problems to `problems`.
 ///
-/// The result may be used only when nothing was added.
+/// The result is only valid if no problem was added.
 pub(crate) fn check_tree(tree: &SourceTable, problems: &mut Vec<SettingsProblem>) -> FleetSettings {
     let mut reader = TableReader::root(tree, problems);
     let domains = reader.named_tables("domains", domain::read_domain);
--- a/crates/rudder-settings/src/check/nearest.rs
+++ b/crates/rudder-settings/src/check/nearest.rs
@@ -1,9 +1,9 @@
-//! Which known key was probably meant.
+//! Suggests the known key that is most similar to an unknown one.
 
-/// Typing errors that still count as the same key.
+/// Maximum edit distance of a suggested key.
 const DISTANCE_MAX: usize = 3;
 
-/// The known key nearest to `key`, if one is near.
+/// Returns the known key that is most similar to `key`, unless the edit distance is too large.
 pub(crate) fn nearest_key<'k>(key: &str, known: &[&'k str]) -> Option<&'k str> {
     let distance_max = DISTANCE_MAX.min(key.chars().count() / 2);
     let distances = known.iter().map(|candidate| (edit_distance(key, candidate), *candidate));
@@ -11,7 +11,7 @@
     (distance <= distance_max).then_some(candidate)
 }
 
-/// Levenshtein's distance between two short texts.
+/// Returns the Levenshtein distance between two strings.
 fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
--- a/crates/rudder-settings/src/check/reader.rs
+++ b/crates/rudder-settings/src/check/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one table key by key, notes what is wrong and which keys nobody asked for.
+//! Reads a table key by key and reports invalid, missing and unknown keys.
 
 use super::nearest::nearest_key;
 use super::value::ValueError;
@@ -7,7 +7,7 @@
 use crate::source::{SourceEntry, SourceTable, SourceValue};
 use std::str::FromStr;
 
-/// A cursor over one table.
+/// Reads the keys of one table and records which keys are known.
 pub(crate) struct TableReader<'t, 'p> {
     path: String,
     place: Option<SourcePlace>,
@@ -17,19 +17,19 @@
 }
 
 impl<'t, 'p> TableReader<'t, 'p> {
-    /// A reader of the whole tree.
+    /// Creates a reader for the root of a tree.
     pub(crate) fn root(table: &'t SourceTable, problems: &'p mut Vec<SettingsProblem>) -> Self {
         Self { path: String::new(), place: None, table, known_keys: Vec::new(), problems }
     }
 
-    /// Notes a problem of one key that stands in this table.
+    /// Reports a problem with one key of this table.
     pub(crate) fn report_key(&mut self, key: &str, wrong: String, right: String) {
         let place = self.table.entry(key).map(|entry| entry.node.place.clone());
         let place = place.or_else(|| self.place.clone());
         self.problems.push(SettingsProblem { place, key: join_key(&self.path, key), wrong, right });
     }
 
-    /// Reads a key that may be missing.
+    /// Reads an optional key.
     pub(crate) fn optional<T>(
         &mut self,
         key: &'static str,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Reads a key that must stand here.
+    /// Reads a required key.
     pub(crate) fn required<T>(
         &mut self,
         key: &'static str,
@@ -61,7 +61,7 @@
         self.optional(key, parse)
     }
 
-    /// Reads a table of this table.
+    /// Reads a nested table.
     pub(crate) fn table<T>(
         &mut self,
         key: &'static str,
@@ -73,7 +73,7 @@
         self.read_table(entry, path, read)
     }
 
-    /// Reads a table of tables that are named by their keys; the result is sorted by name.
+    /// Reads a table whose keys are the names of nested tables. The result is sorted by name.
     pub(crate) fn named_tables<N: FromStr, T>(
         &mut self,
         key: &'static str,
@@ -89,7 +89,7 @@
         .unwrap_or_default()
     }
 
-    /// Notes every key that nobody asked for.
+    /// Reports every key of the table that was not read.
     pub(crate) fn finish(&mut self) {
         for entry in &self.table.entries {
             if self.known_keys.contains(&entry.key.as_str()) {
--- a/crates/rudder-settings/src/check/service.rs
+++ b/crates/rudder-settings/src/check/service.rs
@@ -1,4 +1,4 @@
-//! `[services.NAME]` and `[services.NAME.members.NAME]`: a database group.
+//! Validates `[services.NAME]` and `[services.NAME.members.NAME]`: a database group.
 
 use super::reader::TableReader;
 use super::value::{
@@ -11,7 +11,7 @@
 
 const SLOTS_MAX: u32 = 10_000;
 const CONNECTIONS_MAX: u32 = 100_000;
-/// Percent of the reference member.
+/// Maximum speed in percent of the reference member.
 const SPEED_MAX: u32 = 10_000;
 const SPEED_DEFAULT: MemberSpeed = MemberSpeed(100);
 const USER_DEFAULT: &str = "rudder";
@@ -65,7 +65,8 @@
     })
 }
 
-/// The name of an environment variable. A password written here by mistake is not echoed.
+/// Parses the name of an environment variable. Error messages omit the value, because it may be a
+/// password that was entered by mistake.
 fn parse_variable_name(value: &SourceValue) -> Result<String, ValueError> {
     let right =
         "name the environment variable that holds the password, such as \"SCORES_PASSWORD\"";
--- a/crates/rudder-settings/src/check/timing.rs
+++ b/crates/rudder-settings/src/check/timing.rs
@@ -1,15 +1,16 @@
-//! `[timing]`: bounds in time.
+//! Validates `[timing]`: intervals and timeouts.
 
 use super::reader::TableReader;
 use super::value::parse_duration;
 use crate::model::TimingSettings;
 use std::time::Duration;
 
-/// Shorter bounds would fire on scheduling jitter alone.
+/// Shorter timeouts would expire through scheduling jitter alone.
 const TIMING_MIN: Duration = Duration::from_millis(1);
-/// Bounds on which the failover gap and the wait of a caller depend: longer ones are as good as none.
+/// Maximum for timeouts that determine the failover duration and the waiting time of callers.
+/// Longer ones would have no practical effect.
 const REACTION_TIMEOUT_MAX: Duration = Duration::from_secs(60);
-/// Bounds on work that callers asked for, and on connections that are kept for them.
+/// Maximum for timeouts of work requested by callers and of connections kept open for them.
 const WORK_TIMEOUT_MAX: Duration = Duration::from_secs(24 * 3600);
 
 pub(crate) fn read_timing(reader: &mut TableReader<'_, '_>) -> TimingSettings {
@@ -33,8 +34,8 @@
         }
     }
     reader.finish();
-    // Guards against a primary that is suspected because one probe was late: such a fleet would
-    // promote over and over. At least one whole further probe fits into the bound.
+    // A shorter timeout would let a single late probe mark the primary as suspected and cause
+    // repeated promotions. Two intervals leave time for at least one more complete probe.
     if timing.suspect_after < timing.probe_interval * 2 {
         let wrong = "shorter than two probe intervals, so one late probe raises suspicion";
         let least = humantime::format_duration(timing.probe_interval * 2);
--- a/crates/rudder-settings/src/check/value.rs
+++ b/crates/rudder-settings/src/check/value.rs
@@ -1,4 +1,4 @@
-//! Parsers of single values. Each says what is wrong and what would be right.
+//! Parsers for single values. Their errors state the problem and a correction.
 
 use crate::source::SourceValue;
 use std::fmt::Display;
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Why a value is refused.
+/// Error for an invalid value: the problem and a suggested correction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ValueError {
     pub(crate) wrong: String,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A text that is not empty.
+/// Parses a string that is not empty.
 pub(crate) fn parse_string(value: &SourceValue) -> Result<String, ValueError> {
     match value {
         SourceValue::String(text) if !text.trim().is_empty() => Ok(text.clone()),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A name newtype.
+/// Parses a string into a name type.
 pub(crate) fn parse_name<N: FromStr>(value: &SourceValue) -> Result<N, ValueError>
 where
     N::Err: Display,
@@ -42,7 +42,7 @@
     text.parse().map_err(invalid_name)
 }
 
-/// A list of texts, each given once.
+/// Parses a list of distinct strings.
 pub(crate) fn parse_string_list(value: &SourceValue) -> Result<Vec<String>, ValueError> {
     let SourceValue::List(nodes) = value else {
         return Err(ValueError::wrong_type(value, "give a list such as [\"anna\", \"ben\"]"));
@@ -58,7 +58,7 @@
     Ok(texts)
 }
 
-/// True or false.
+/// Parses a boolean.
 pub(crate) fn parse_boolean(value: &SourceValue) -> Result<bool, ValueError> {
     match value {
         SourceValue::Boolean(boolean) => Ok(*boolean),
@@ -66,7 +66,8 @@
     }
 }
 
-/// An IP number and port. Host names are refused: processes talk by IP numbers.
+/// Parses an IP address and port. Host names are rejected, because processes communicate by IP
+/// address.
 pub(crate) fn parse_address(value: &SourceValue) -> Result<SocketAddr, ValueError> {
     let right = "give an IP number and port such as \"10.20.1.11:5432\"";
     let text = parse_string(value)?;
@@ -79,7 +80,7 @@
     Ok(address)
 }
 
-/// A whole number within bounds.
+/// Parses an integer in the range `least..=most`.
 pub(crate) fn parse_count(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueError> {
     let right = format!("give a whole number from {least} to {most}, without quotes");
     let SourceValue::Integer(number) = value else {
@@ -90,7 +91,7 @@
     count.ok_or_else(|| ValueError::new(format!("{number} is out of range"), right))
 }
 
-/// A percentage such as `"40%"`, within bounds.
+/// Parses a percentage such as `"40%"` in the range `least..=most`.
 pub(crate) fn parse_percent(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueError> {
     let right = format!("give a percentage such as \"40%\", from \"{least}%\" to \"{most}%\"");
     let SourceValue::String(text) = value else {
@@ -102,7 +103,7 @@
     number.filter(in_range).ok_or_else(wrong)
 }
 
-/// A duration with its unit, such as `"250ms"`, within bounds.
+/// Parses a duration with a unit, such as `"250ms"`, in the range `least..=most`.
 pub(crate) fn parse_duration(
     value: &SourceValue,
     least: Duration,
@@ -123,7 +124,7 @@
     Err(ValueError::new(format!("\"{text}\" is out of range"), right))
 }
 
-/// One of a few words.
+/// Parses one of the names in `choices`.
 pub(crate) fn parse_choice<T: Copy>(
     value: &SourceValue,
     choices: &[(&str, T)],
--- a/crates/rudder-settings/src/file.rs
+++ b/crates/rudder-settings/src/file.rs
@@ -1,4 +1,4 @@
-//! One file of the operators' folder: its name and its text.
+//! Settings files: name, text, and reading them from a folder.
 
 use displaydoc::Display;
 use rudder_core::plain_data;
@@ -7,19 +7,21 @@
 use std::path::Path;
 use std::str::FromStr;
 
-/// Files of a folder end in this; others are not settings.
+/// Suffix of settings files; files without it are ignored.
 const FILE_SUFFIX: &str = ".toml";
 
-/// File names become part of object names in the platform, which allow 253 characters.
+/// Maximum length of a file name. File names become part of the platform's object names, which are
+/// limited to 253 characters.
 const FILE_NAME_LENGTH_MAX: usize = 120;
 
-/// The name of a settings file, such as `10-services.toml`. Files merge in the order of names.
+/// Name of a settings file, such as `10-services.toml`. Files are merged in the order of their
+/// names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct FileName(String);
 
 impl FileName {
-    /// The name as text.
+    /// Returns the name as a string slice.
     ///
     /// ```
     /// let name: rudder_settings::FileName = "10-services.toml".parse()?;
@@ -69,18 +71,18 @@
 }
 
 plain_data! {
-    /// One file of the operators' folder.
+    /// One settings file.
     #[derive(Serialize, Deserialize)]
     pub struct SettingsFile {
-        /// Its name, which decides its place in the merge.
+        /// File name, which determines the merge order.
         pub name: FileName,
-        /// Its text, TOML.
+        /// Content of the file, in TOML.
         pub text: String,
     }
 }
 
 impl SettingsFile {
-    /// A file from its name and text.
+    /// Creates a file from its name and text.
     ///
     /// ```
     /// let file = rudder_settings::SettingsFile::new("10-domains.toml", "")?;
@@ -90,13 +92,13 @@
     ///
     /// # Errors
     ///
-    /// When the name is not a settings file's name.
+    /// Returns an error if the name is not a valid settings file name.
     pub fn new(name: &str, text: impl Into<String>) -> Result<Self, FolderError> {
         Ok(Self { name: name.parse()?, text: text.into() })
     }
 }
 
-/// Why a folder could not be read.
+/// Reasons why a folder cannot be read.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum FolderError {
@@ -104,9 +106,9 @@
     Name(String),
     /// folder {folder} cannot be read: {reason}
     Unreadable {
-        /// The folder or file.
+        /// Path of the folder or file.
         folder: String,
-        /// What the operating system said.
+        /// Error message of the operating system.
         reason: String,
     },
     /// folder {0} holds no .toml file
@@ -115,7 +117,7 @@
 
 impl std::error::Error for FolderError {}
 
-/// Reads the `.toml` files of a folder, sorted by name; other files are left alone.
+/// Reads the `.toml` files of a folder, sorted by name. Hidden and other files are ignored.
 ///
 /// ```
 /// assert!(rudder_settings::read_folder(std::path::Path::new("/no/such/folder")).is_err());
@@ -123,7 +125,8 @@
 ///
 /// # Errors
 ///
-/// When the folder or a file cannot be read, a name is not allowed, or there is no file.
+/// Returns an error if the folder or a file cannot be read, a file name is invalid, or the folder
+/// holds no `.toml` file.
 pub fn read_folder(folder: &Path) -> Result<Vec<SettingsFile>, FolderError> {
     let unreadable = |place: &Path, error: std::io::Error| FolderError::Unreadable {
         folder: place.display().to_string(),
--- a/crates/rudder-settings/src/folder.rs
+++ b/crates/rudder-settings/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder as a whole: merged in the order of names, checked, typed.
+//! Merges the files of a settings folder in the order of their names and validates the result.
 
 use crate::check::check_tree;
 use crate::file::SettingsFile;
@@ -10,31 +10,32 @@
 use serde::Serialize;
 
 plain_data! {
-    /// One merged value and the file that gave it.
+    /// One merged value and the location that it comes from.
     #[derive(Serialize)]
     pub struct MergedValue {
-        /// The key, dotted.
+        /// Dotted key.
         pub key: String,
-        /// The value, as TOML would write it.
+        /// Value in TOML notation.
         pub value: String,
-        /// Where the value in force stands.
+        /// File and line of the value that took precedence.
         pub place: SourcePlace,
     }
 }
 
 plain_data! {
-    /// A folder that passed every check.
+    /// Result of merging a valid folder.
     pub struct MergedFolder {
-        /// The settings.
+        /// Validated settings.
         pub fleet: FleetSettings,
-        /// Every value in force and where it stands, sorted by key.
+        /// Every merged value with its location, sorted by key.
         pub values: Vec<MergedValue>,
     }
 }
 
-/// Merges files in the order of their names and checks the whole.
+/// Merges files in the order of their names and validates the result.
 ///
-/// The order in which `files` are given does not matter; of two files with one name the last wins.
+/// The order of `files` does not matter, except that the last of several files with the same name
+/// replaces the others.
 ///
 /// ```
 /// use rudder_settings::{SettingsFile, merge_folder};
@@ -47,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// Every problem of the folder at once, each with its file, line and key.
+/// Returns all problems of the folder, each with its file, line and key.
 pub fn merge_folder(files: &[SettingsFile]) -> Result<MergedFolder, SettingsRefusal> {
     let mut problems = Vec::new();
     let tree = merge_trees(files, &mut problems);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Joins a key to its table's path.
+/// Appends a key to the dotted path of its table.
 pub(crate) fn join_key(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
--- a/crates/rudder-settings/src/lib.rs
+++ b/crates/rudder-settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' folder of TOML files: merged by file name, checked as a whole, typed.
+//! Reads the operators' folder of TOML settings files, merges the files in the order of their names
+//! and validates the result.
 
 mod check;
 mod file;
--- a/crates/rudder-settings/src/merge.rs
+++ b/crates/rudder-settings/src/merge.rs
@@ -1,8 +1,9 @@
-//! Merging trees key by key: tables join, any other value of a later file replaces the earlier.
+//! Merges trees of settings key by key: tables are combined, any other value of a later file
+//! replaces the earlier one.
 
 use crate::source::{SourceEntry, SourceTable, SourceValue};
 
-/// Lays `later` over `earlier`.
+/// Merges `later` into `earlier`; values of `later` take precedence.
 pub(crate) fn merge_table(earlier: &mut SourceTable, later: SourceTable) {
     for entry in later.entries {
         match earlier.position(&entry.key) {
@@ -16,7 +17,7 @@
     if let SourceValue::Table(table) = &mut earlier.node.value
         && let SourceValue::Table(_) = &later.node.value
     {
-        // The first file to open a table stays its place: a later file only adds to it.
+        // A table keeps the location in the first file that has it: later files only add keys.
         let SourceValue::Table(addition) = later.node.value else { return };
         merge_table(table, addition);
         return;
--- a/crates/rudder-settings/src/model.rs
+++ b/crates/rudder-settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The checked settings, in the form that the proxy works with.
+//! Validated settings as the proxy uses them.
 
 use rudder_core::{
     CallerKind, ConnectionCount, DomainName, MemberName, MemberSpeed, ServiceName, SlotCount,
@@ -8,22 +8,22 @@
 use std::time::Duration;
 
 plain_data! {
-    /// Everything that operators declare, merged and checked. Every list is sorted by name.
+    /// All merged and validated settings. Every list is sorted by name.
     #[derive(Default)]
     pub struct FleetSettings {
-        /// The database services.
+        /// Database services.
         pub services: Vec<ServiceSettings>,
-        /// The kinds of caller.
+        /// Kinds of caller.
         pub callers: Vec<CallerSettings>,
-        /// The failure domains.
+        /// Failure domains.
         pub domains: Vec<DomainSettings>,
-        /// Bounds in time.
+        /// Intervals and timeouts.
         pub timing: TimingSettings,
     }
 }
 
 impl FleetSettings {
-    /// The service of this name.
+    /// Returns the service with this name.
     ///
     /// ```
     /// let fleet = rudder_settings::FleetSettings::default();
@@ -36,7 +36,7 @@
         Some(&self.services[index])
     }
 
-    /// The kind of the caller who logs in as `user`: the first kind that names the user.
+    /// Returns the settings of the caller kind that lists `user` as one of its users.
     ///
     /// ```
     /// assert!(rudder_settings::FleetSettings::default().caller_of("anna").is_none());
@@ -50,17 +50,18 @@
 plain_data! {
     /// One database service and the members of its group.
     pub struct ServiceSettings {
-        /// The name that callers give as their database.
+        /// Name that callers specify as their database.
         pub name: ServiceName,
-        /// The database's name at the members; the service's name unless declared.
+        /// Name of the database at the members; defaults to the service name.
         pub database: String,
-        /// The user that the proxy logs in as at the members.
+        /// User that the proxy logs in as at the members.
         pub user: String,
-        /// Name of the environment variable that holds that user's password, if it has one.
+        /// Name of the environment variable that holds this user's password; `None` without a
+        /// password.
         pub password_variable: Option<String>,
-        /// When a commit is acknowledged.
+        /// Condition for acknowledging a commit.
         pub ack: AckRule,
-        /// The group's members, sorted by name.
+        /// Members of the group, sorted by name.
         pub members: Vec<MemberSettings>,
     }
 }
@@ -68,58 +69,58 @@
 plain_data! {
     /// One member of a database group.
     pub struct MemberSettings {
-        /// The member's name.
+        /// Name of the member.
         pub name: MemberName,
-        /// Where it listens.
+        /// Address that the member listens on.
         pub address: SocketAddr,
-        /// The failure domain that it stands in.
+        /// Failure domain that the member runs in.
         pub domain: DomainName,
-        /// Statements that it runs at the same time.
+        /// Maximum number of statements that the member runs concurrently.
         pub slots: SlotCount,
-        /// Connections that it accepts from all instances together.
+        /// Maximum number of connections that the member accepts from all instances together.
         pub connections: ConnectionCount,
-        /// Speed of its hardware, as a first guess until it has been observed.
+        /// Relative hardware speed, used until the member's speed has been observed.
         pub speed: MemberSpeed,
-        /// Whether it is leaving and gets no new work.
+        /// Whether the member is being drained and receives no new requests.
         pub draining: bool,
     }
 }
 
-/// When a commit is acknowledged to the caller.
+/// Condition for acknowledging a commit to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AckRule {
-    /// Once a majority of the members holds it at the primary's own term.
+    /// A majority of the members stores the commit in the primary's current term.
     #[default]
     Majority,
-    /// On the primary's word alone; a failover may lose the change.
+    /// The primary alone confirms the commit; a failover may lose it.
     Primary,
 }
 
 plain_data! {
-    /// What one kind of caller is given.
+    /// Limits and guarantees for one kind of caller.
     pub struct CallerSettings {
-        /// The kind's name.
+        /// Name of the kind.
         pub kind: CallerKind,
-        /// The users who log in as this kind.
+        /// Users who log in as this kind.
         pub users: Vec<String>,
-        /// The greatest age that a read of this kind accepts; zero reads from the primary only
-        /// what no replica is known to hold.
+        /// Maximum staleness that reads of this kind accept. With zero, a read uses the primary
+        /// only if no replica is known to have the data.
         pub staleness: Duration,
-        /// Whether this kind is turned away before others under overload.
+        /// Whether requests of this kind are shed before others under overload.
         pub shed: ShedOrder,
-        /// Requests of this kind in flight or waiting at one instance.
+        /// Maximum number of requests of this kind in flight or queued at one instance.
         pub in_flight_max: u32,
-        /// How long a request of this kind waits for a slot.
+        /// Maximum time that a request of this kind waits for a slot.
         pub queue_wait: Duration,
     }
 }
 
-/// Which kinds are turned away first under overload.
+/// Order in which caller kinds are shed under overload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedOrder {
-    /// Turned away before others: it can come back later.
+    /// Shed before others, because its requests can be retried later.
     First,
-    /// Turned away last.
+    /// Shed last.
     #[default]
     Last,
 }
@@ -127,35 +128,35 @@
 plain_data! {
     /// One failure domain.
     pub struct DomainSettings {
-        /// The failure domain's name.
+        /// Name of the failure domain.
         pub name: DomainName,
-        /// The region that it belongs to.
+        /// Region that the failure domain belongs to.
         pub region: String,
     }
 }
 
 plain_data! {
-    /// Bounds in time. Each has a default; all must be positive.
+    /// Intervals and timeouts. Each has a default; all must be positive.
     pub struct TimingSettings {
-        /// How often a keeper asks a member for its status while no traffic does.
+        /// Interval at which a keeper polls a member's status if no traffic reports it.
         pub probe_interval: Duration,
-        /// How long a primary may stay unheard before an observer suspects it.
+        /// Time without a response after which an observer suspects a primary.
         pub suspect_after: Duration,
-        /// How long a read waits for a replica to catch up.
+        /// Maximum time that a read waits for a replica to catch up.
         pub read_wait: Duration,
-        /// How long one statement may take at a member.
+        /// Timeout of one statement at a member.
         pub statement_timeout: Duration,
-        /// How long a commit waits for a majority.
+        /// Maximum time that a commit waits for a majority.
         pub ack_timeout: Duration,
-        /// How long a caller may take to log in.
+        /// Timeout for a caller's login.
         pub login_timeout: Duration,
-        /// How long a caller may stay idle outside a transaction.
+        /// Maximum idle time of a caller outside a transaction.
         pub idle_timeout: Duration,
-        /// How long a caller may stay idle inside a transaction.
+        /// Maximum idle time of a caller inside a transaction.
         pub transaction_idle_timeout: Duration,
-        /// How long connecting and logging in at a member may take.
+        /// Timeout for connecting and logging in to a member.
         pub connect_timeout: Duration,
-        /// After how long an idle connection to a member is checked before reuse.
+        /// Idle time after which a connection to a member is checked before reuse.
         pub idle_check_after: Duration,
     }
 }
--- a/crates/rudder-settings/src/problem.rs
+++ b/crates/rudder-settings/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a folder: every problem at once, each with its place.
+//! Problems of a settings folder, each with its file, line and key.
 
 use crate::file::FileName;
 use rudder_core::plain_data;
@@ -6,12 +6,12 @@
 use std::fmt;
 
 plain_data! {
-    /// Where a key or value stands.
+    /// Location of a key or value.
     #[derive(PartialOrd, Ord, Serialize)]
     pub struct SourcePlace {
-        /// The file.
+        /// Name of the file.
         pub file: FileName,
-        /// The line, counted from 1.
+        /// Line number, starting at 1.
         pub line: usize,
     }
 }
@@ -23,16 +23,16 @@
 }
 
 plain_data! {
-    /// One thing that is wrong.
+    /// One problem of a settings folder.
     #[derive(PartialOrd, Ord, Serialize)]
     pub struct SettingsProblem {
-        /// Where; none when no file speaks of it.
+        /// Location; `None` if no file contains the key.
         pub place: Option<SourcePlace>,
-        /// The key, dotted; empty for a whole file.
+        /// Dotted key; empty if the problem concerns a whole file.
         pub key: String,
-        /// What is wrong.
+        /// Description of the problem.
         pub wrong: String,
-        /// What would be right.
+        /// Suggested correction.
         pub right: String,
     }
 }
@@ -51,10 +51,10 @@
 }
 
 plain_data! {
-    /// A refused folder: all its problems, sorted by place. Nothing of it takes force.
+    /// Error for an invalid folder. None of its settings are applied.
     #[derive(Serialize)]
     pub struct SettingsRefusal {
-        /// The problems; never empty.
+        /// Problems, sorted by location; never empty.
         pub problems: Vec<SettingsProblem>,
     }
 }
--- a/crates/rudder-settings/src/source.rs
+++ b/crates/rudder-settings/src/source.rs
@@ -1,4 +1,4 @@
-//! The tree of keys and values of a file, with the place of each.
+//! Parses a settings file into a tree of keys and values, each with its file and line.
 
 use crate::file::SettingsFile;
 use crate::problem::{SettingsProblem, SourcePlace};
@@ -6,7 +6,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A value and where it stands.
+/// A value and its location.
 #[derive(Clone, Debug)]
 pub(crate) struct SourceNode {
     pub(crate) place: SourcePlace,
@@ -21,12 +21,12 @@
     Integer(i64),
     Boolean(bool),
     List(Vec<SourceNode>),
-    /// A kind that no setting takes (a float, a date): its name, and its text for messages.
+    /// A type that no setting accepts, such as a float or date: its name and text for messages.
     Other(&'static str, String),
 }
 
 impl SourceValue {
-    /// The kind's name, for messages.
+    /// Returns the name of the value's type for messages.
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Table(_) => "a table",
@@ -55,7 +55,7 @@
     }
 }
 
-/// One key of a table, with the place of the key.
+/// One key of a table with its location and value.
 #[derive(Clone, Debug)]
 pub(crate) struct SourceEntry {
     pub(crate) key: String,
@@ -63,26 +63,26 @@
     pub(crate) node: SourceNode,
 }
 
-/// A table: its entries, sorted by key.
+/// A table with its entries sorted by key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SourceTable {
     pub(crate) entries: Vec<SourceEntry>,
 }
 
 impl SourceTable {
-    /// The entry of this key.
+    /// Returns the entry of this key.
     pub(crate) fn entry(&self, key: &str) -> Option<&SourceEntry> {
         let index = self.position(key).ok()?;
         Some(&self.entries[index])
     }
 
-    /// Where the key stands, or where it would be inserted.
+    /// Returns the index of the key, or the index at which to insert it.
     pub(crate) fn position(&self, key: &str) -> Result<usize, usize> {
         self.entries.binary_search_by(|entry| entry.key.as_str().cmp(key))
     }
 }
 
-/// Parses one file; every syntax error becomes a problem with its line.
+/// Parses one file. Every syntax error becomes a problem with its line.
 pub(crate) fn parse_file(file: &SettingsFile) -> Result<SourceTable, Vec<SettingsProblem>> {
     let reader = TreeBuilder::new(file);
     let (table, errors) = DeTable::parse_recoverable(&file.text);
@@ -98,7 +98,7 @@
     Err(errors.iter().map(problem).collect())
 }
 
-/// Turns byte offsets of one file into lines.
+/// Builds the tree of one file and converts byte offsets to line numbers.
 struct TreeBuilder<'f> {
     file: &'f SettingsFile,
     line_starts: Vec<usize>,
--- a/crates/rudder-settings/tests/merging.rs
+++ b/crates/rudder-settings/tests/merging.rs
@@ -1,4 +1,4 @@
-//! Merging of a folder's files, and the example folders.
+//! Tests of merging settings files and of the example folders.
 
 use proptest::prelude::*;
 use rudder_settings::{SettingsFile, merge_folder, read_folder};
@@ -61,7 +61,8 @@
     }
 }
 
-/// Folders of one to six files with different names, each giving some of three durations.
+/// Generates folders of one to five files with different names, each of which sets some of three
+/// durations.
 fn folders() -> impl Strategy<Value = Vec<SettingsFile>> {
     let keys = ["read_wait", "ack_timeout", "login_timeout"];
     let given = prop::collection::vec((prop::sample::select(keys.to_vec()), 1_u32..5000), 0..4);
--- a/crates/rudder-settings/tests/refusals.rs
+++ b/crates/rudder-settings/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! What operators read when a folder is refused: file, line, key, what is wrong, what would be right.
+//! Tests of the error messages for invalid folders: file, line, key, problem and correction.
 
 use rudder_settings::{SettingsFile, merge_folder};
 
