--- a/crates/rudder-settings/src/check/fleet.rs
+++ b/crates/rudder-settings/src/check/fleet.rs
@@ -69,8 +69,8 @@
             Ok(index) => {
                 let path = ["services", service, "members", member.name.as_str(), "address"];
                 let wrong =
-                    format!("address {} belongs to {} already", member.address, seen[index].1);
-                let right = "give each member an address of its own";
+                    format!("address {} is already used by {}", member.address, seen[index].1);
+                let right = "give each member a unique address";
                 problems.push(problem_at(tree, &path, wrong, right));
             }
             Err(index) => seen.insert(index, (member.address, owner)),
@@ -91,8 +91,9 @@
         match seen.binary_search_by(|(known, _)| (*known).cmp(name)) {
             Ok(index) => {
                 let path = ["services", service, "members", name];
-                let wrong = format!("service {} has a member of this name already", seen[index].1);
-                let right = "give each member of the fleet a name of its own";
+                let wrong =
+                    format!("service {} already has a member with this name", seen[index].1);
+                let right = "give each member a name that is unique across all services";
                 problems.push(problem_at(tree, &path, wrong, right));
             }
             Err(index) => seen.insert(index, (name, service)),
@@ -109,8 +110,8 @@
                 Ok(index) => {
                     let path = ["callers", kind, "users"];
                     let wrong =
-                        format!("user \"{user}\" belongs to kind {} already", seen[index].1);
-                    let right = "name each user in one kind of caller";
+                        format!("user \"{user}\" is already listed in kind {}", seen[index].1);
+                    let right = "list each user in one kind of caller only";
                     problems.push(problem_at(tree, &path, wrong, right));
                 }
                 Err(index) => seen.insert(index, (user, kind)),
--- a/crates/rudder-settings/src/check/reader.rs
+++ b/crates/rudder-settings/src/check/reader.rs
@@ -97,7 +97,7 @@
             }
             let right = match nearest_key(&entry.key, &self.known_keys) {
                 Some(key) => format!("did you mean {key}?"),
-                None => format!("known here: {}", self.known_keys.join(", ")),
+                None => format!("known keys: {}", self.known_keys.join(", ")),
             };
             self.problems.push(SettingsProblem {
                 place: Some(entry.place.clone()),
@@ -123,7 +123,7 @@
                 self.problems.push(SettingsProblem {
                     place: Some(entry.place.clone()),
                     key: path,
-                    wrong: format!("not a name: {error}"),
+                    wrong: format!("invalid name: {error}"),
                     right: "choose a name such as kigali-a".to_owned(),
                 });
                 None
--- a/crates/rudder-settings/src/check/service.rs
+++ b/crates/rudder-settings/src/check/service.rs
@@ -51,7 +51,7 @@
     if let (Some(slots), Some(connections)) = (slots, connections)
         && connections < slots
     {
-        let wrong = format!("{connections} connections cannot fill {slots} slots");
+        let wrong = format!("{connections} connections are fewer than {slots} slots");
         reader.report_key("connections", wrong, format!("give at least {slots}"));
     }
     Some(MemberSettings {
@@ -71,12 +71,12 @@
     let right =
         "name the environment variable that holds the password, such as \"SCORES_PASSWORD\"";
     let SourceValue::String(text) = value else {
-        return Err(ValueError::new("not a text", right));
+        return Err(ValueError::new("not a string", right));
     };
     let allowed = |byte: u8| byte.is_ascii_uppercase() || byte.is_ascii_digit() || byte == b'_';
     let starts_well = text.bytes().next().is_some_and(|byte| !byte.is_ascii_digit());
     if starts_well && text.bytes().all(allowed) {
         return Ok(text.clone());
     }
-    Err(ValueError::new("not the name of a variable (A-Z, 0-9 and \"_\")", right))
+    Err(ValueError::new("not a valid variable name (A-Z, 0-9 and \"_\")", right))
 }
--- a/crates/rudder-settings/src/check/timing.rs
+++ b/crates/rudder-settings/src/check/timing.rs
@@ -37,7 +37,8 @@
     // A shorter timeout would let a single late probe mark the primary as suspected and cause
     // repeated promotions. Two intervals leave time for at least one more complete probe.
     if timing.suspect_after < timing.probe_interval * 2 {
-        let wrong = "shorter than two probe intervals, so one late probe raises suspicion";
+        let wrong =
+            "shorter than two probe intervals, so one late probe marks the primary as suspected";
         let least = humantime::format_duration(timing.probe_interval * 2);
         reader.report_key("suspect_after", wrong.to_owned(), format!("give at least \"{least}\""));
     }
--- a/crates/rudder-settings/src/check/value.rs
+++ b/crates/rudder-settings/src/check/value.rs
@@ -27,8 +27,10 @@
 pub(crate) fn parse_string(value: &SourceValue) -> Result<String, ValueError> {
     match value {
         SourceValue::String(text) if !text.trim().is_empty() => Ok(text.clone()),
-        SourceValue::String(_) => Err(ValueError::new("the text is empty", "give a text")),
-        other => Err(ValueError::wrong_type(other, "give a text in quotes")),
+        SourceValue::String(_) => {
+            Err(ValueError::new("the string is empty", "give a non-empty string"))
+        }
+        other => Err(ValueError::wrong_type(other, "give a string in quotes")),
     }
 }
 
@@ -38,7 +40,7 @@
     N::Err: Display,
 {
     let text = parse_string(value)?;
-    let invalid_name = |error: N::Err| ValueError::new(error.to_string(), "give such a name");
+    let invalid_name = |error: N::Err| ValueError::new(error.to_string(), "give a valid name");
     text.parse().map_err(invalid_name)
 }
 
@@ -51,7 +53,7 @@
     for node in nodes {
         let text = parse_string(&node.value)?;
         if texts.contains(&text) {
-            return Err(ValueError::new(format!("\"{text}\" stands twice"), "give it once"));
+            return Err(ValueError::new(format!("\"{text}\" is listed twice"), "list it once"));
         }
         texts.push(text);
     }
@@ -69,7 +71,7 @@
 /// Parses an IP address and port. Host names are rejected, because processes communicate by IP
 /// address.
 pub(crate) fn parse_address(value: &SourceValue) -> Result<SocketAddr, ValueError> {
-    let right = "give an IP number and port such as \"10.20.1.11:5432\"";
+    let right = "give an IP address and port such as \"10.20.1.11:5432\"";
     let text = parse_string(value)?;
     let address: SocketAddr = text
         .parse()
@@ -82,7 +84,7 @@
 
 /// Parses an integer in the range `least..=most`.
 pub(crate) fn parse_count(value: &SourceValue, least: u32, most: u32) -> Result<u32, ValueError> {
-    let right = format!("give a whole number from {least} to {most}, without quotes");
+    let right = format!("give an integer from {least} to {most}, without quotes");
     let SourceValue::Integer(number) = value else {
         return Err(ValueError::wrong_type(value, right));
     };
@@ -99,7 +101,7 @@
     };
     let number = text.strip_suffix('%').and_then(|digits| digits.trim().parse::<u32>().ok());
     let in_range = |percent: &u32| (least..=most).contains(percent);
-    let wrong = || ValueError::new(format!("\"{text}\" is not such a percentage"), right);
+    let wrong = || ValueError::new(format!("\"{text}\" is not a valid percentage"), right);
     number.filter(in_range).ok_or_else(wrong)
 }
 
@@ -135,5 +137,5 @@
         return Err(ValueError::wrong_type(value, right));
     };
     let chosen = choices.iter().find(|(word, _)| word == text).map(|(_, choice)| *choice);
-    chosen.ok_or_else(|| ValueError::new(format!("\"{text}\" is not known"), right))
+    chosen.ok_or_else(|| ValueError::new(format!("\"{text}\" is not a valid value"), right))
 }
--- a/crates/rudder-settings/src/source.rs
+++ b/crates/rudder-settings/src/source.rs
@@ -30,8 +30,8 @@
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Table(_) => "a table",
-            Self::String(_) => "a text",
-            Self::Integer(_) => "a whole number",
+            Self::String(_) => "a string",
+            Self::Integer(_) => "an integer",
             Self::Boolean(_) => "a boolean",
             Self::List(_) => "a list",
             Self::Other(kind, _) => kind,
@@ -92,7 +92,7 @@
     let problem = |error: &toml::de::Error| SettingsProblem {
         place: Some(reader.place(&error.span().unwrap_or_default())),
         key: String::new(),
-        wrong: format!("not TOML: {}", error.message()),
+        wrong: format!("invalid TOML: {}", error.message()),
         right: "give each key once, as key = value".to_owned(),
     };
     Err(errors.iter().map(problem).collect())
@@ -143,10 +143,10 @@
             DeValue::Integer(integer) => {
                 match i64::from_str_radix(integer.as_str(), integer.radix()) {
                     Ok(number) => SourceValue::Integer(number),
-                    Err(_) => SourceValue::Other("a number out of range", integer.to_string()),
+                    Err(_) => SourceValue::Other("an integer out of range", integer.to_string()),
                 }
             }
-            DeValue::Float(float) => SourceValue::Other("a fraction", float.to_string()),
+            DeValue::Float(float) => SourceValue::Other("a float", float.to_string()),
             DeValue::Datetime(date) => SourceValue::Other("a date", date.to_string()),
         }
     }
