--- a/crates/rudder-store/examples/settings_cost.rs
+++ b/crates/rudder-store/examples/settings_cost.rs
@@ -21,10 +21,10 @@
 /// measure what settings cost at a given size
 #[derive(argh::FromArgs)]
 struct CostOptions {
-    /// how many services, of three members each
+    /// number of services, with three members each
     #[argh(option, default = "780")]
     services: usize,
-    /// over how many files they are spread
+    /// number of files that the services are spread over
     #[argh(option, default = "60")]
     files: usize,
 }
@@ -50,7 +50,7 @@
     println!("poll that finds nothing new: {}", wire_bytes(before, standin.calls()));
     let before = standin.calls();
     store.get(ObjectKind::SettingsRevision, "accepted").await?;
-    println!("the same by reading the revision: {}", wire_bytes(before, standin.calls()));
+    println!("the same poll by reading the revision: {}", wire_bytes(before, standin.calls()));
 
     let mut edited = files[0].clone();
     edited.text.push_str("# edited\n");
@@ -67,7 +67,10 @@
     let started = standin.calls();
     poll_revision(&store, None).await?;
     let reads = standin.calls().reads - started.reads;
-    println!("starting without any: {reads} reads, {}", wire_bytes(started, standin.calls()));
+    println!(
+        "starting without a cached revision: {reads} reads, {}",
+        wire_bytes(started, standin.calls())
+    );
     let adopt = median(|| {
         RevisionFollower::default().offer(newer.clone());
     });
@@ -78,7 +81,7 @@
 fn wire_bytes(before: CallCounts, after: CallCounts) -> String {
     let received = after.received_bytes - before.received_bytes;
     let sent = after.sent_bytes - before.sent_bytes;
-    format!("{received} bytes asked, {sent} bytes answered")
+    format!("{received} bytes of requests, {sent} bytes of responses")
 }
 
 fn folder(options: &CostOptions) -> Result<Vec<SettingsFile>, Box<dyn Error>> {
--- a/crates/rudder-store/src/kubernetes/call.rs
+++ b/crates/rudder-store/src/kubernetes/call.rs
@@ -77,8 +77,9 @@
         &self,
         body: &(impl Serialize + Sync),
     ) -> Result<T, StoreError> {
-        let bytes = serde_json::to_vec(body)
-            .map_err(|error| StoreError::Refused(format!("the object is not JSON: {error}")))?;
+        let bytes = serde_json::to_vec(body).map_err(|error| {
+            StoreError::Refused(format!("the object cannot be serialized as JSON: {error}"))
+        })?;
         self.send(bytes).await.map_err(|error| write_error(self.verb, &error))
     }
 
--- a/crates/rudder-store/src/kubernetes/error.rs
+++ b/crates/rudder-store/src/kubernetes/error.rs
@@ -38,7 +38,7 @@
         match self {
             Self::ErrorResponse(status) => write!(f, "{}: {}", status.code, status.message),
             Self::NotSent(reason) | Self::ConnectionLost(reason) => f.write_str(reason),
-            Self::TimedOut => f.write_str("no answer in time"),
+            Self::TimedOut => f.write_str("no response before the timeout"),
         }
     }
 }
--- a/crates/rudder-store/src/kubernetes/tests.rs
+++ b/crates/rudder-store/src/kubernetes/tests.rs
@@ -15,7 +15,7 @@
             "targetRef": { "name": name },
         }],
     });
-    serde_json::from_value(slice).expect("the shape is the API's")
+    serde_json::from_value(slice).expect("the slice is valid")
 }
 
 fn readiness(slices: &[EndpointSlice]) -> Vec<InstanceReadiness> {
--- a/crates/rudder-store/src/kubernetes/wire.rs
+++ b/crates/rudder-store/src/kubernetes/wire.rs
@@ -74,7 +74,7 @@
     type Error = StoreError;
 
     fn try_from(wire: MetadataWire) -> Result<Self, Self::Error> {
-        let unversioned = format!("object {} came without a version", wire.name);
+        let unversioned = format!("object {} has no version", wire.name);
         wire.resource_version.map(Self).ok_or(StoreError::Refused(unversioned))
     }
 }
--- a/crates/rudder-store/src/revision/bundle.rs
+++ b/crates/rudder-store/src/revision/bundle.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[ignore_extra_doc_attributes]
 pub enum BundleError {
-    /// the text of object {0} is not the one that its name stands for
+    /// the content of object {0} does not match the hash in its name
     Damaged(String),
-    /// the merged settings are refused: {0}
+    /// the merged settings are invalid: {0}
     Refused(SettingsRefusal),
 }
 
--- a/crates/rudder-store/src/revision/read.rs
+++ b/crates/rudder-store/src/revision/read.rs
@@ -16,14 +16,14 @@
 pub enum ReadError {
     /// {0}
     Store(StoreError),
-    /// object {object} does not have the shape of this version: {reason}
+    /// object {object} cannot be decoded by this version: {reason}
     Malformed {
         /// Name of the object.
         object: String,
         /// Error message of the decoder.
         reason: String,
     },
-    /// object {0} is gone: a newer revision was accepted meanwhile; read again
+    /// object {0} no longer exists: a newer revision was accepted meanwhile; read again
     Missing(String),
 }
 
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -50,9 +50,9 @@
     FileConflict(FileConflict),
     /// the platform cannot be reached; nothing was changed, submit again later
     Unavailable,
-    /// other operators submit all the time; nothing was changed, submit again
+    /// too many concurrent submissions; nothing was changed, submit again
     Busy,
-    /// the answer was lost and the change may be in force; look at the status before submitting again
+    /// the response was lost and the change may be in force; check the status before submitting again
     Unresolved,
     /// {0}
     Platform(ReadError),
@@ -86,7 +86,10 @@
     if outcome.changed
         && let Err(error) = prune_files(store).await
     {
-        log::warn!(target: "rudder::settings", reason:% = error; "old settings files stay");
+        log::warn!(
+            target: "rudder::settings", reason:% = error;
+            "failed to remove superseded settings files"
+        );
     }
     Ok(outcome)
 }
--- a/crates/rudder-store/src/store.rs
+++ b/crates/rudder-store/src/store.rs
@@ -109,11 +109,11 @@
 pub enum StoreError {
     /// the object changed since it was read; read it again
     Conflict,
-    /// the platform cannot be reached or answers too slowly; nothing was changed
+    /// the platform cannot be reached or did not respond in time; nothing was changed
     Unavailable,
-    /// the answer was lost: the change may have taken effect; read the object back
+    /// the response was lost: the change may have taken effect; read the object back
     Unresolved,
-    /// the platform refused the call: {0}
+    /// the platform rejected the call: {0}
     Refused(String),
 }
 
