--- a/crates/rudder-store/src/revision/plan.rs
+++ b/crates/rudder-store/src/revision/plan.rs
@@ -58,8 +58,8 @@
         let at_base = base.object(&file.name);
         let object = file.object.as_deref();
         // A removal is always an explicit change by this operator, even if `base` lacks the file.
-        let untouched = object.is_some() && object == at_base;
-        if object == in_force || untouched {
+        let unchanged = object.is_some() && object == at_base;
+        if object == in_force || unchanged {
             continue;
         }
         if in_force != at_base {
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -127,8 +127,8 @@
                 Ok(outcome) => return Ok(outcome),
                 Err(AttemptError::Conflict) => SubmitError::Busy,
                 Err(AttemptError::Unavailable) => SubmitError::Unavailable,
-                Err(AttemptError::Fatal(refusal)) => {
-                    error = refusal;
+                Err(AttemptError::Fatal(fatal)) => {
+                    error = fatal;
                     break;
                 }
             };
@@ -148,7 +148,7 @@
         }
         let base = self.base.get_or_insert_with(|| current.clone());
         let planned = plan_revision(&current, base, &self.wanted, &self.mark, self.change.above)
-            .map_err(|refusal| AttemptError::Fatal(SubmitError::FileConflict(refusal)))?;
+            .map_err(|conflict| AttemptError::Fatal(SubmitError::FileConflict(conflict)))?;
         let Some(next) = planned else {
             return Ok(SubmitOutcome { number: current.number, changed: false });
         };
--- a/crates/rudder-store/tests/platform/store.rs
+++ b/crates/rudder-store/tests/platform/store.rs
@@ -128,11 +128,11 @@
     store.put(KIND, "a", None, json!({ "to": "one" })).await.unwrap();
 
     link.cut();
-    let silent = store.get(KIND, "a").await;
+    let timed_out = store.get(KIND, "a").await;
     link.heal();
     let again = store.get(KIND, "a").await;
 
-    assert_eq!(silent, Err(StoreError::Unavailable));
+    assert_eq!(timed_out, Err(StoreError::Unavailable));
     assert_eq!(again.unwrap().unwrap().spec, json!({ "to": "one" }));
 }
 
