--- a/crates/rudder-settings/src/check/service.rs
+++ b/crates/rudder-settings/src/check/service.rs
@@ -74,8 +74,8 @@
         return Err(ValueError::new("not a string", right));
     };
     let allowed = |byte: u8| byte.is_ascii_uppercase() || byte.is_ascii_digit() || byte == b'_';
-    let starts_well = text.bytes().next().is_some_and(|byte| !byte.is_ascii_digit());
-    if starts_well && text.bytes().all(allowed) {
+    let valid_start = text.bytes().next().is_some_and(|byte| !byte.is_ascii_digit());
+    if valid_start && text.bytes().all(allowed) {
         return Ok(text.clone());
     }
     Err(ValueError::new("not a valid variable name (A-Z, 0-9 and \"_\")", right))
--- a/crates/rudder-settings/src/check/value.rs
+++ b/crates/rudder-settings/src/check/value.rs
@@ -131,11 +131,11 @@
     value: &SourceValue,
     choices: &[(&str, T)],
 ) -> Result<T, ValueError> {
-    let words: Vec<String> = choices.iter().map(|(word, _)| format!("\"{word}\"")).collect();
-    let right = format!("give {}", words.join(" or "));
+    let names: Vec<String> = choices.iter().map(|(name, _)| format!("\"{name}\"")).collect();
+    let right = format!("give {}", names.join(" or "));
     let SourceValue::String(text) = value else {
         return Err(ValueError::wrong_type(value, right));
     };
-    let chosen = choices.iter().find(|(word, _)| word == text).map(|(_, choice)| *choice);
+    let chosen = choices.iter().find(|(name, _)| name == text).map(|(_, choice)| *choice);
     chosen.ok_or_else(|| ValueError::new(format!("\"{text}\" is not a valid value"), right))
 }
--- a/crates/rudder-settings/src/file.rs
+++ b/crates/rudder-settings/src/file.rs
@@ -48,8 +48,8 @@
         let stem = text.strip_suffix(FILE_SUFFIX).ok_or_else(name_error)?;
         let allowed =
             |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-_.".contains(&byte);
-        let starts_well = stem.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
-        if starts_well && text.len() <= FILE_NAME_LENGTH_MAX && stem.bytes().all(allowed) {
+        let valid_start = stem.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
+        if valid_start && text.len() <= FILE_NAME_LENGTH_MAX && stem.bytes().all(allowed) {
             return Ok(Self(text.to_owned()));
         }
         Err(name_error())
