--- a/crates/arbutusrudder/src/caller/attempt.rs
+++ b/crates/arbutusrudder/src/caller/attempt.rs
@@ -93,7 +93,7 @@
         caller: session.caller_key,
         class,
         size: group.size_of(work.fingerprint),
-        shed: session.caller.shed == rudder_settings::ShedOrder::First,
+        sheddable: session.caller.shed == rudder_settings::ShedOrder::First,
         in_flight_max: session.caller.in_flight_max,
         queue_wait: session.caller.queue_wait,
         deadline,
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -132,7 +132,7 @@
     let demand = ReadDemand {
         floor: session.floor(),
         floor_age: session.floor_at.elapsed(),
-        bound: session.bound(),
+        max_staleness: session.bound(),
         domain: context.domain().clone(),
         wait_max: group.timing.read_wait.saturating_sub(waited),
     };
--- a/crates/arbutusrudder/src/group/admission.rs
+++ b/crates/arbutusrudder/src/group/admission.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rudder_decisions::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, RefusalReason,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, RefusalReason,
     TicketId, TicketNotice, TicketOutcome,
 };
 use std::sync::{Arc, Mutex};
@@ -57,9 +57,9 @@
         request: &AdmissionRequest,
     ) -> Result<AdmissionPass, RefusalReason> {
         let (ticket, outcome) = match self.offer(request) {
-            (AdmissionVerdict::Run(ticket), _) => return Ok(self.pass(ticket)),
-            (AdmissionVerdict::Refuse(reason), _) => return Err(reason),
-            (AdmissionVerdict::Wait(ticket), outcome) => (ticket, outcome),
+            (AdmissionDecision::Run(ticket), _) => return Ok(self.pass(ticket)),
+            (AdmissionDecision::Refuse(reason), _) => return Err(reason),
+            (AdmissionDecision::Wait(ticket), outcome) => (ticket, outcome),
         };
         // The pass is held during the wait as well: if the caller is dropped, its place is
         // released.
@@ -83,15 +83,15 @@
     fn offer(
         &self,
         request: &AdmissionRequest,
-    ) -> (AdmissionVerdict, oneshot::Receiver<TicketOutcome>) {
+    ) -> (AdmissionDecision, oneshot::Receiver<TicketOutcome>) {
         let (sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
         let QueueState { gate, rng, waiters } = &mut *inner;
-        let verdict = gate.offer(request, Instant::now(), rng);
-        if let AdmissionVerdict::Wait(ticket) = verdict {
+        let decision = gate.offer(request, Instant::now(), rng);
+        if let AdmissionDecision::Wait(ticket) = decision {
             waiters.push((ticket, sender));
         }
-        (verdict, receiver)
+        (decision, receiver)
     }
 
     fn release(&self, ticket: TicketId) {
--- a/crates/arbutusrudder/src/group/member.rs
+++ b/crates/arbutusrudder/src/group/member.rs
@@ -159,7 +159,7 @@
         status: MemberStatus,
         freshness: MemberFreshness,
         weight: MemberWeight,
-        sharers: u32,
+        sending_instances: u32,
     ) -> MemberView {
         let now = Instant::now();
         let service = self.lock_meter().service(now);
@@ -172,11 +172,11 @@
             lag: freshness.lag,
             in_flight: self.in_flight.load(Ordering::Relaxed),
             slots: self.settings.slots.0,
-            sharers,
+            sending_instances,
             service,
-            link: self.link(),
+            link_cost: self.link(),
             health: self.health(),
-            weight: weight.and(self.ramp_weight(now)),
+            weight: weight.min_with(self.ramp_weight(now)),
         }
     }
 
--- a/crates/arbutusrudder/src/group/probe.rs
+++ b/crates/arbutusrudder/src/group/probe.rs
@@ -32,11 +32,11 @@
         if !probe(&group, index).await {
             // The pause is randomized, so that not all instances reconnect to a recovered member at
             // once.
-            let pause = pacer.after_failure(&mut rand::rng());
+            let pause = pacer.retry_delay(&mut rand::rng());
             sleep(pause).await;
             continue;
         }
-        pacer.succeed();
+        pacer.record_success();
         if member.waiters.load(Ordering::Acquire) > 0 {
             sleep(EAGER_PROBE_INTERVAL).await;
         } else if group.is_in_use() {
--- a/crates/arbutusrudder/src/group/state.rs
+++ b/crates/arbutusrudder/src/group/state.rs
@@ -87,7 +87,7 @@
     keeper: Mutex<Option<KeeperHandle>>,
     outliers: Mutex<OutlierTracker>,
     retries: Mutex<RetryBudget>,
-    sharers: AtomicU32,
+    sending_instances: AtomicU32,
     limits: bool,
     last_acknowledged: Mutex<Option<(LogTerm, Instant)>>,
     estimate: Mutex<WorkEstimate>,
@@ -136,7 +136,7 @@
             keeper,
             outliers: Mutex::new(OutlierTracker::new(Instant::now())),
             retries: Mutex::new(RetryBudget::new()),
-            sharers: AtomicU32::new(tuning.instances),
+            sending_instances: AtomicU32::new(tuning.instances),
             limits: tuning.limits,
             last_acknowledged: Mutex::default(),
             estimate: Mutex::new(WorkEstimate::new()),
@@ -236,7 +236,7 @@
         let mut outliers = self.outliers.lock().expect("no holder of this lock panics");
         outliers.observe(self.members[index].name(), responded);
         if responded {
-            self.retries.lock().expect("no holder of this lock panics").succeed();
+            self.retries.lock().expect("no holder of this lock panics").record_success();
         }
     }
 
@@ -282,7 +282,7 @@
     /// call.
     pub(crate) fn refresh(&self, instances: u32) {
         self.outliers.lock().expect("no holder of this lock panics").step(Instant::now());
-        self.sharers.store(instances, Ordering::Relaxed);
+        self.sending_instances.store(instances, Ordering::Relaxed);
         self.share_connections(instances);
         self.refresh_lanes();
     }
@@ -304,7 +304,7 @@
     /// member index of each view.
     pub(crate) fn views(&self) -> (Vec<MemberView>, Vec<usize>) {
         let now = self.board.now();
-        let sharers = self.sharers.load(Ordering::Relaxed);
+        let sending_instances = self.sending_instances.load(Ordering::Relaxed);
         let mut views = Vec::with_capacity(self.members.len());
         let mut indexes = Vec::with_capacity(self.members.len());
         for report in self.board.reports() {
@@ -315,7 +315,12 @@
                 lag: ledger.age_of(applied, report.asked_at).unwrap_or(ASSUMED_LAG),
             });
             let weight = self.weight_of(index);
-            views.push(self.members[index].view(report.status, freshness, weight, sharers));
+            views.push(self.members[index].view(
+                report.status,
+                freshness,
+                weight,
+                sending_instances,
+            ));
             indexes.push(index);
         }
         (views, indexes)
--- a/crates/rudder-decisions/examples/costs.rs
+++ b/crates/rudder-decisions/examples/costs.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rudder_core::{LogStamp, MemberRole};
 use rudder_decisions::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, MemberHealth,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, MemberHealth,
     MemberMeter, MemberView, MemberWeight, ReadDemand, ReadRouter, SilenceDetector, WorkClass,
     WorkEstimate, WorkSize,
 };
@@ -70,7 +70,7 @@
             caller: 1,
             class: WorkClass::Read,
             size: WorkSize::Short,
-            shed: false,
+            sheddable: false,
             in_flight_max: 1000,
             queue_wait: Duration::from_secs(1),
             deadline: now + Duration::from_secs(60),
@@ -79,7 +79,7 @@
     let start = Instant::now();
     for round in 0..ROUNDS as usize {
         let decision = gate.offer(&requests[round * 7 % lanes], now, rng);
-        if let AdmissionVerdict::Run(ticket) = decision {
+        if let AdmissionDecision::Run(ticket) = decision {
             black_box(gate.release(ticket, now, rng));
         }
     }
@@ -97,9 +97,9 @@
         lag: Duration::from_millis(50),
         in_flight: 1,
         slots: 5,
-        sharers: 7,
+        sending_instances: 7,
         service: Duration::from_millis(10),
-        link: Duration::from_millis(8),
+        link_cost: Duration::from_millis(8),
         health: MemberHealth::Ready,
         weight: MemberWeight::FULL,
     };
@@ -107,7 +107,7 @@
     let demand = ReadDemand {
         floor: Some(LogStamp::new(1, 90)),
         floor_age: Duration::ZERO,
-        bound: Duration::from_secs(1),
+        max_staleness: Duration::from_secs(1),
         domain: "domain-1".parse().expect("a valid name"),
         wait_max: Duration::from_millis(50),
     };
--- a/crates/rudder-decisions/examples/trials/current.rs
+++ b/crates/rudder-decisions/examples/trials/current.rs
@@ -5,9 +5,9 @@
 use rand::rngs::StdRng;
 use rudder_core::{ConnectionCount, DomainName, LogStamp, MemberName, MemberRole};
 use rudder_decisions::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, DemandPart, LaneKey, LaneLimits,
-    MemberHealth, MemberMeter, MemberView, MemberWeight, OutlierTracker, RampSchedule, ReadDemand,
-    ReadRoute, ReadRouter, SlotShare, TicketId, TicketNotice, TicketOutcome, WorkClass,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, DemandPart, HolderShare, LaneKey,
+    LaneLimits, MemberHealth, MemberMeter, MemberView, MemberWeight, OutlierTracker, RampSchedule,
+    ReadDemand, ReadRoute, ReadRouter, TicketId, TicketNotice, TicketOutcome, WorkClass,
     WorkEstimate, WorkSize,
 };
 use std::time::{Duration, Instant};
@@ -172,7 +172,7 @@
     /// Returns this instance's connections once its share has taken effect.
     fn settled_share(&self, permille: u32) -> u32 {
         let settled_at = self.origin + Duration::from_secs(10);
-        let mut share = SlotShare::new(CONNECTIONS, self.instances(), self.origin);
+        let mut share = HolderShare::new(CONNECTIONS, self.instances(), self.origin);
         let part = DemandPart::of(permille, 1000, self.instances());
         share.set_holders(self.instances(), part, self.origin);
         share.current(settled_at)
@@ -243,11 +243,11 @@
             lag: member.lag,
             in_flight: usage.reads + usage.writes + usage.waiting,
             slots: member.slots,
-            sharers: if self.settings.sharers_known { self.instances() } else { 1 },
+            sending_instances: if self.settings.sharers_known { self.instances() } else { 1 },
             service: self.meters[index].service(now),
-            link: member.links[self.instance],
+            link_cost: member.links[self.instance],
             health: MemberHealth::Ready,
-            weight: ramp_weight.and(outlier_weight),
+            weight: ramp_weight.min_with(outlier_weight),
         }
     }
 
@@ -260,7 +260,7 @@
         let demand = ReadDemand {
             floor: request.floor.map(stamp_at),
             floor_age: request.floor.map_or(Duration::ZERO, |floor| since_start - floor),
-            bound: Duration::from_secs(10),
+            max_staleness: Duration::from_secs(10),
             domain: self.own_domain(),
             wait_max: self.settings.read_wait,
         };
@@ -291,21 +291,21 @@
             caller: request.caller,
             class: request.class,
             size: self.size_of(request),
-            shed: request.shed,
+            sheddable: request.shed,
             in_flight_max: self.settings.in_flight_max,
             queue_wait: request.queue_wait.unwrap_or(self.settings.queue_wait),
             deadline: self.origin + request.at + request.timeout,
         };
         match self.gate.offer(&offer, now, rng) {
-            AdmissionVerdict::Run(ticket) => {
+            AdmissionDecision::Run(ticket) => {
                 self.open_tickets.push(OpenTicket { ticket, id, member });
                 vec![Action::Send(id, member)]
             }
-            AdmissionVerdict::Wait(ticket) => {
+            AdmissionDecision::Wait(ticket) => {
                 self.open_tickets.push(OpenTicket { ticket, id, member });
                 Vec::new()
             }
-            AdmissionVerdict::Refuse(reason) => vec![Action::Refuse(id, reason.retry_after)],
+            AdmissionDecision::Refuse(reason) => vec![Action::Refuse(id, reason.retry_after)],
         }
     }
 
--- a/crates/rudder-decisions/examples/trials/detection.rs
+++ b/crates/rudder-decisions/examples/trials/detection.rs
@@ -227,7 +227,7 @@
             let origin = Instant::now();
             let mut detector = SilenceDetector::new(bound, INTERVAL, origin);
             Box::new(move |at| {
-                detector.heard(origin + at);
+                detector.record_response(origin + at);
                 detector.suspect_at().duration_since(origin)
             })
         }
--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -9,7 +9,7 @@
 
 use super::lane::{FlowKey, LaneLimits, LaneUsage, MemberLane, WaitingTicket};
 use super::request::{
-    AdmissionRequest, AdmissionVerdict, LaneKey, RefusalCause, RefusalReason, TicketId,
+    AdmissionDecision, AdmissionRequest, LaneKey, RefusalCause, RefusalReason, TicketId,
     TicketNotice, TicketOutcome,
 };
 use super::retry_after::RetryPacer;
@@ -51,7 +51,7 @@
 /// ```
 /// use rand::SeedableRng;
 /// use rudder_decisions::{
-///     AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, WorkClass, WorkSize,
+///     AdmissionGate, AdmissionRequest, AdmissionDecision, LaneKey, LaneLimits, WorkClass, WorkSize,
 /// };
 /// use std::time::{Duration, Instant};
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
@@ -63,7 +63,7 @@
 ///     caller: 7,
 ///     class: WorkClass::Read,
 ///     size: WorkSize::Short,
-///     shed: false,
+///     sheddable: false,
 ///     in_flight_max: 100,
 ///     queue_wait: Duration::from_secs(1),
 ///     deadline: now + Duration::from_secs(30),
@@ -71,8 +71,8 @@
 /// let mut gate = AdmissionGate::new();
 /// gate.set_lane(&lane, LaneLimits { slots: 1, ..LaneLimits::default() });
 ///
-/// let AdmissionVerdict::Run(first) = gate.offer(&request, now, &mut rng) else { panic!() };
-/// let AdmissionVerdict::Wait(second) = gate.offer(&request, now, &mut rng) else { panic!() };
+/// let AdmissionDecision::Run(first) = gate.offer(&request, now, &mut rng) else { panic!() };
+/// let AdmissionDecision::Wait(second) = gate.offer(&request, now, &mut rng) else { panic!() };
 /// let notices = gate.release(first, now, &mut rng);
 ///
 /// assert_eq!(notices[0].ticket, second);
@@ -134,9 +134,9 @@
         request: &AdmissionRequest,
         now: Instant,
         rng: &mut dyn Rng,
-    ) -> AdmissionVerdict {
+    ) -> AdmissionDecision {
         if let Some(cause) = self.refusal_cause(request, now) {
-            return AdmissionVerdict::Refuse(self.refusal_reason(&request.lane, cause, now, rng));
+            return AdmissionDecision::Refuse(self.refusal_reason(&request.lane, cause, now, rng));
         }
         let flow = flow_of(request);
         let ticket = self.open_ticket(request, flow);
@@ -146,11 +146,11 @@
         if lane.has_room(flow) && !lane.can_serve_next() {
             lane.acquire_slot(flow);
             self.mark_running(ticket, now);
-            return AdmissionVerdict::Run(ticket);
+            return AdmissionDecision::Run(ticket);
         }
         let expires_at = request.deadline.min(now + request.queue_wait);
         lane.enqueue(flow, WaitingTicket { ticket, expires_at });
-        AdmissionVerdict::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// Releases a ticket, running or waiting, and returns the notices for waiting tickets that now
@@ -238,7 +238,7 @@
         if waiting >= queue_max {
             return Some(RefusalCause::QueueFull);
         }
-        if request.shed && waiting >= queue_max * SHED_QUEUE_FRACTION {
+        if request.sheddable && waiting >= queue_max * SHED_QUEUE_FRACTION {
             return Some(RefusalCause::Shed);
         }
         let expires_at = request.deadline.min(now + request.queue_wait);
@@ -338,7 +338,12 @@
 }
 
 fn flow_of(request: &AdmissionRequest) -> FlowKey {
-    FlowKey { caller: request.caller, class: request.class, size: request.size, shed: request.shed }
+    FlowKey {
+        caller: request.caller,
+        class: request.class,
+        size: request.size,
+        shed: request.sheddable,
+    }
 }
 
 fn count_of<K: Ord>(counts: &[UsageCount<K>], key: &K) -> u32 {
--- a/crates/rudder-decisions/src/admission/mod.rs
+++ b/crates/rudder-decisions/src/admission/mod.rs
@@ -19,6 +19,6 @@
 pub use gate::AdmissionGate;
 pub use lane::{LaneLimits, LaneUsage};
 pub use request::{
-    AdmissionRequest, AdmissionVerdict, LaneKey, RefusalCause, RefusalReason, TicketId,
+    AdmissionDecision, AdmissionRequest, LaneKey, RefusalCause, RefusalReason, TicketId,
     TicketNotice, TicketOutcome,
 };
--- a/crates/rudder-decisions/src/admission/request.rs
+++ b/crates/rudder-decisions/src/admission/request.rs
@@ -36,7 +36,7 @@
         /// Size of the work: whether it is expected to hold its slot for long.
         pub size: WorkSize,
         /// Whether it is sheddable: refused before other requests when the queue fills up.
-        pub shed: bool,
+        pub sheddable: bool,
         /// Maximum number of running and waiting requests of this kind.
         pub in_flight_max: u32,
         /// Maximum wait for a slot.
@@ -58,7 +58,7 @@
 
 /// Decision of the gate on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionVerdict {
+pub enum AdmissionDecision {
     /// The request holds a slot; its ticket has to be released when it is done.
     Run(TicketId),
     /// The request waits; a later notice reports the outcome of the ticket.
--- a/crates/rudder-decisions/src/connection_headroom.rs
+++ b/crates/rudder-decisions/src/connection_headroom.rs
@@ -28,7 +28,7 @@
 /// assert_eq!(headroom.extra(now), 0);
 /// headroom.set_scarce(true);
 /// assert_eq!(headroom.extra(now), 2);
-/// headroom.note_refusal(now);
+/// headroom.record_refusal(now);
 /// assert_eq!(headroom.extra(now), 0);
 /// assert_eq!(headroom.extra(now + Duration::from_secs(2)), 2);
 /// ```
@@ -49,7 +49,7 @@
     /// Records that the member refused a connection because it was at its limit.
     ///
     /// See the example of [`ConnectionHeadroom`].
-    pub fn note_refusal(&mut self, now: Instant) {
+    pub fn record_refusal(&mut self, now: Instant) {
         self.refused_at = Some(now);
     }
 
--- a/crates/rudder-decisions/src/detector.rs
+++ b/crates/rudder-decisions/src/detector.rs
@@ -56,7 +56,7 @@
 /// let start = Instant::now();
 /// let bound = SuspicionBound::around(Duration::from_millis(800));
 /// let mut detector = SilenceDetector::new(bound, Duration::from_millis(250), start);
-/// detector.heard(start + Duration::from_millis(250));
+/// detector.record_response(start + Duration::from_millis(250));
 /// assert!(!detector.is_suspect(start + Duration::from_millis(900)));
 /// assert!(detector.is_suspect(start + Duration::from_millis(1900)));
 /// ```
@@ -79,7 +79,7 @@
     /// Records a response of the member to a probe or to a request.
     ///
     /// See the example of [`SilenceDetector`].
-    pub fn heard(&mut self, now: Instant) {
+    pub fn record_response(&mut self, now: Instant) {
         let gap = now.duration_since(self.last_response_at);
         let half_lives = gap.as_secs_f64() / GAP_HALF_LIFE.as_secs_f64();
         // A silence longer than the ceiling is an outage, not a property of the link. It counts as
--- a/crates/rudder-decisions/src/dial_gate.rs
+++ b/crates/rudder-decisions/src/dial_gate.rs
@@ -39,12 +39,12 @@
 /// let now = Instant::now();
 /// let mut gate = DialGate::default();
 /// assert!(gate.try_begin(now));
-/// gate.note_failure(DialFailure::ConnectionLimit, now);
+/// gate.record_failure(DialFailure::ConnectionLimit, now);
 /// assert!(!gate.try_begin(now + Duration::from_millis(40)));
 /// let later = now + Duration::from_millis(60);
 /// assert!(gate.try_begin(later));
 /// assert!(!gate.try_begin(later), "one at a time");
-/// gate.note_success();
+/// gate.record_success();
 /// assert!(gate.try_begin(later) && gate.try_begin(later));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -94,7 +94,7 @@
     /// use std::time::{Duration, Instant};
     /// let now = Instant::now();
     /// let mut gate = DialGate::default();
-    /// gate.note_failure(DialFailure::Unreachable, now);
+    /// gate.record_failure(DialFailure::Unreachable, now);
     /// assert!(gate.is_unreachable(now + Duration::from_millis(100)));
     /// assert!(!gate.is_unreachable(now + Duration::from_millis(200)));
     /// ```
@@ -106,19 +106,19 @@
     /// Records a successful dial: the member is reachable and accepts connections.
     ///
     /// See the example of [`DialGate`].
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// Records a failed dial and returns how long no dial may begin.
     ///
     /// See the example of [`DialGate`].
-    pub fn note_failure(&mut self, failure: DialFailure, now: Instant) -> Duration {
+    pub fn record_failure(&mut self, failure: DialFailure, now: Instant) -> Duration {
         match failure {
             DialFailure::ConnectionLimit => self.record_refusal(now),
             DialFailure::Unreachable => {
                 self.unreachable_until = Some(now + UNREACHABLE_PAUSE);
-                self.note_given_up();
+                self.record_cancellation();
                 UNREACHABLE_PAUSE
             }
         }
@@ -131,13 +131,13 @@
     /// use std::time::{Duration, Instant};
     /// let now = Instant::now();
     /// let mut gate = DialGate::default();
-    /// gate.note_failure(DialFailure::ConnectionLimit, now);
+    /// gate.record_failure(DialFailure::ConnectionLimit, now);
     /// let later = now + Duration::from_millis(60);
     /// assert!(gate.try_begin(later));
-    /// gate.note_given_up();
+    /// gate.record_cancellation();
     /// assert!(gate.try_begin(later));
     /// ```
-    pub fn note_given_up(&mut self) {
+    pub fn record_cancellation(&mut self) {
         if let Some(refused) = &mut self.refused {
             refused.probing = false;
         }
--- a/crates/rudder-decisions/src/lib.rs
+++ b/crates/rudder-decisions/src/lib.rs
@@ -17,17 +17,17 @@
 mod outlier;
 mod place;
 mod ramp;
+mod read_rank;
 mod reconnect;
 mod replica_progress;
 mod retry;
 mod routing;
 mod share;
-mod standing;
 mod wait_queue;
 mod work;
 
 pub use admission::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, LaneUsage,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, LaneUsage,
     RefusalCause, RefusalReason, TicketId, TicketNotice, TicketOutcome,
 };
 pub use connection_headroom::ConnectionHeadroom;
@@ -36,12 +36,13 @@
 pub use dial_gate::{DialFailure, DialGate};
 pub use meter::MemberMeter;
 pub use operation_limit::{
-    ClaimPlan, ClaimVerdict, FleetContact, LimitBounds, LimitLedger, OperationBucket,
-    OperationLimit, OwnerRole, OwnerState, OwnerWatch, RecentNotes, rank_owners,
+    ClaimDecision, ClaimPlan, ExpiringSet, FleetContact, LimitBounds, LimitLedger, OperationBucket,
+    OperationLimit, OwnerRole, OwnerState, OwnerWatch, rank_owners,
 };
 pub use outlier::OutlierTracker;
 pub use place::{NodePlace, PlaceDistance};
 pub use ramp::RampSchedule;
+pub use read_rank::ReadRank;
 pub use reconnect::ReconnectPacer;
 pub use replica_progress::ReplicaProgress;
 pub use retry::RetryBudget;
@@ -49,7 +50,6 @@
     MemberHealth, MemberView, MemberWeight, ReadDemand, ReadPolicy, ReadRoute, ReadRouter,
     RouteChoice, RouteReason,
 };
-pub use share::{DemandPart, SlotShare, holders_max, holders_of};
-pub use standing::ReadStanding;
+pub use share::{DemandPart, HolderShare, holders_max, holders_of};
 pub use wait_queue::{WaitQueue, WaitingWork};
 pub use work::{WorkClass, WorkEstimate, WorkSize};
--- a/crates/rudder-decisions/src/operation_limit/ledger.rs
+++ b/crates/rudder-decisions/src/operation_limit/ledger.rs
@@ -10,7 +10,7 @@
 const PROVISIONAL_AFTER: Duration = Duration::from_millis(200);
 
 /// How long an earlier owner has to be silent before its successor grants in full. An owner that is
-/// cut off stops granting earlier: [`LimitBounds::joined_life`] after its last contact with the
+/// cut off stops granting earlier: [`LimitBounds::contact_timeout`] after its last contact with the
 /// fleet.
 const FULL_AFTER: Duration = Duration::from_millis(1900);
 
@@ -45,10 +45,10 @@
     ///
     /// ```
     /// use rudder_decisions::LimitBounds;
-    /// assert!(LimitBounds::joined_life().as_millis() < 1900);
+    /// assert!(LimitBounds::contact_timeout().as_millis() < 1900);
     /// ```
     #[must_use]
-    pub fn joined_life() -> Duration {
+    pub fn contact_timeout() -> Duration {
         Duration::from_millis(1800)
     }
 
@@ -115,10 +115,10 @@
 /// Contact of an instance with the rest of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetContact {
-    /// No contact within [`LimitBounds::joined_life`].
+    /// No contact within [`LimitBounds::contact_timeout`].
     Lost,
-    /// Contact within [`LimitBounds::joined_life`].
-    Joined,
+    /// Contact within [`LimitBounds::contact_timeout`].
+    Connected,
     /// Uninterrupted contact for a whole window.
     Settled,
 }
@@ -132,12 +132,12 @@
     /// use std::time::Duration;
     /// let silent = |ms| OwnerState::SilentFor(Duration::from_millis(ms));
     /// assert_eq!(OwnerRole::of(FleetContact::Settled, &[]), OwnerRole::Settled);
-    /// let joined = FleetContact::Joined;
-    /// assert_eq!(OwnerRole::of(joined, &[]), OwnerRole::Full);
-    /// assert_eq!(OwnerRole::of(joined, &[OwnerState::Granting]), OwnerRole::Absent);
-    /// assert_eq!(OwnerRole::of(joined, &[silent(300)]), OwnerRole::Provisional);
+    /// let connected = FleetContact::Connected;
+    /// assert_eq!(OwnerRole::of(connected, &[]), OwnerRole::Full);
+    /// assert_eq!(OwnerRole::of(connected, &[OwnerState::Granting]), OwnerRole::Absent);
+    /// assert_eq!(OwnerRole::of(connected, &[silent(300)]), OwnerRole::Provisional);
     /// let earlier = [silent(3000), OwnerState::NotGranting];
-    /// assert_eq!(OwnerRole::of(joined, &earlier), OwnerRole::Full);
+    /// assert_eq!(OwnerRole::of(connected, &earlier), OwnerRole::Full);
     /// assert_eq!(OwnerRole::of(FleetContact::Lost, &[]), OwnerRole::Detached);
     /// ```
     #[must_use]
@@ -157,14 +157,14 @@
             FleetContact::Lost => Self::Detached,
             _ if roles.contains(&Self::Provisional) => Self::Provisional,
             FleetContact::Settled if earlier.is_empty() => Self::Settled,
-            FleetContact::Settled | FleetContact::Joined => Self::Full,
+            FleetContact::Settled | FleetContact::Connected => Self::Full,
         }
     }
 }
 
 /// Response to the claim of one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimDecision {
     /// The operation may run.
     Granted,
     /// The limit is exhausted for this long.
@@ -183,7 +183,7 @@
 /// Token buckets of the accounts that an instance owns, sorted by account.
 ///
 /// ```
-/// use rudder_decisions::{ClaimVerdict, LimitBounds, LimitLedger, OperationLimit, OwnerRole};
+/// use rudder_decisions::{ClaimDecision, LimitBounds, LimitLedger, OperationLimit, OwnerRole};
 /// use std::time::Duration;
 /// let account = "choirs".parse()?;
 /// assert!(!LimitLedger::default().grants(&account, OwnerRole::Detached));
@@ -193,9 +193,9 @@
 /// let mut claim = |role, ms| {
 ///     ledger.claim(&account, limit, bounds, role, 0, Duration::from_millis(ms))
 /// };
-/// assert_eq!(claim(OwnerRole::Full, 0), ClaimVerdict::Granted);
-/// assert_eq!(claim(OwnerRole::Full, 0), ClaimVerdict::Spent(Duration::from_secs(1)));
-/// assert_eq!(claim(OwnerRole::Absent, 0), ClaimVerdict::NotOwner);
+/// assert_eq!(claim(OwnerRole::Full, 0), ClaimDecision::Granted);
+/// assert_eq!(claim(OwnerRole::Full, 0), ClaimDecision::Spent(Duration::from_secs(1)));
+/// assert_eq!(claim(OwnerRole::Absent, 0), ClaimDecision::NotOwner);
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -215,7 +215,7 @@
         role: OwnerRole,
         rank: usize,
         now: Duration,
-    ) -> ClaimVerdict {
+    ) -> ClaimDecision {
         let found = self.records.binary_search_by(|known| known.account.cmp(account));
         let granted = bounds.effective_limit(role, limit);
         let index = match (found, role) {
@@ -223,9 +223,9 @@
                 // Another instance may grant from now on, so the content of this bucket is out of
                 // date.
                 self.records.remove(index);
-                return ClaimVerdict::NotOwner;
+                return ClaimDecision::NotOwner;
             }
-            (Err(_), OwnerRole::Absent | OwnerRole::Detached) => return ClaimVerdict::NotOwner,
+            (Err(_), OwnerRole::Absent | OwnerRole::Detached) => return ClaimDecision::NotOwner,
             (Ok(index), _) => index,
             (Err(index), _) => {
                 let bucket =
@@ -238,8 +238,8 @@
         let record = &mut self.records[index];
         record.role = role;
         match record.bucket.take(granted, now) {
-            Ok(()) => ClaimVerdict::Granted,
-            Err(after) => ClaimVerdict::Spent(after),
+            Ok(()) => ClaimDecision::Granted,
+            Err(after) => ClaimDecision::Spent(after),
         }
     }
 
--- a/crates/rudder-decisions/src/operation_limit/mod.rs
+++ b/crates/rudder-decisions/src/operation_limit/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 pub use bucket::{OperationBucket, OperationLimit};
-pub use ledger::{ClaimVerdict, FleetContact, LimitBounds, LimitLedger, OwnerRole};
+pub use ledger::{ClaimDecision, FleetContact, LimitBounds, LimitLedger, OwnerRole};
 pub use owners::rank_owners;
-pub use plan::{ClaimPlan, RecentNotes};
+pub use plan::{ClaimPlan, ExpiringSet};
 pub use watch::{OwnerState, OwnerWatch};
--- a/crates/rudder-decisions/src/operation_limit/plan.rs
+++ b/crates/rudder-decisions/src/operation_limit/plan.rs
@@ -57,27 +57,27 @@
 ///
 /// ```
 /// use rudder_core::InstanceName;
-/// use rudder_decisions::RecentNotes;
+/// use rudder_decisions::ExpiringSet;
 /// use std::time::Duration;
 /// let owner: InstanceName = "entry-1".parse()?;
-/// let mut recent = RecentNotes::new(Duration::from_secs(1));
-/// recent.note(&owner, Duration::ZERO);
+/// let mut recent = ExpiringSet::new(Duration::from_secs(1));
+/// recent.insert(&owner, Duration::ZERO);
 /// assert!(recent.contains(&owner, Duration::from_millis(500)));
 /// assert!(!recent.contains(&owner, Duration::from_millis(1500)));
-/// recent.forget(&owner);
+/// recent.remove(&owner);
 /// assert!(!recent.contains(&owner, Duration::from_millis(500)));
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[derive(Clone, Debug)]
-pub struct RecentNotes<N> {
+pub struct ExpiringSet<N> {
     retention: Duration,
     entries: Vec<(N, Duration)>,
 }
 
-impl<N: Ord + Clone> RecentNotes<N> {
+impl<N: Ord + Clone> ExpiringSet<N> {
     /// Creates an empty set whose names expire after `retention`.
     ///
-    /// See the example of [`RecentNotes`].
+    /// See the example of [`ExpiringSet`].
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         Self { retention, entries: Vec::new() }
@@ -85,8 +85,8 @@
 
     /// Adds a name or renews its expiry.
     ///
-    /// See the example of [`RecentNotes`].
-    pub fn note(&mut self, name: &N, now: Duration) {
+    /// See the example of [`ExpiringSet`].
+    pub fn insert(&mut self, name: &N, now: Duration) {
         self.entries.retain(|(_, expires_at)| now < *expires_at);
         let expires_at = now + self.retention;
         match self.entries.binary_search_by(|(known, _)| known.cmp(name)) {
@@ -97,14 +97,14 @@
 
     /// Removes a name.
     ///
-    /// See the example of [`RecentNotes`].
-    pub fn forget(&mut self, name: &N) {
+    /// See the example of [`ExpiringSet`].
+    pub fn remove(&mut self, name: &N) {
         self.entries.retain(|(known, _)| known != name);
     }
 
     /// Whether the set holds a name that has not expired.
     ///
-    /// See the example of [`RecentNotes`].
+    /// See the example of [`ExpiringSet`].
     #[must_use]
     pub fn contains(&self, name: &N, now: Duration) -> bool {
         let found = self.entries.binary_search_by(|(known, _)| known.cmp(name));
--- a/crates/rudder-decisions/src/operation_limit/watch.rs
+++ b/crates/rudder-decisions/src/operation_limit/watch.rs
@@ -47,10 +47,10 @@
 /// let (account, owner) = ("choirs".parse()?, "entry-1".parse()?);
 /// let ms = Duration::from_millis;
 /// let mut watch = OwnerWatch::default();
-/// assert!(watch.probe_is_due(&account, &owner, ms(1000)));
-/// assert_eq!(watch.standing(&account, &owner, ms(1200)), OwnerState::SilentFor(ms(200)));
-/// watch.note_answer(&account, &owner, true, ms(1200));
-/// assert_eq!(watch.standing(&account, &owner, ms(1250)), OwnerState::Granting);
+/// assert!(watch.try_begin_probe(&account, &owner, ms(1000)));
+/// assert_eq!(watch.state(&account, &owner, ms(1200)), OwnerState::SilentFor(ms(200)));
+/// watch.record_response(&account, &owner, true, ms(1200));
+/// assert_eq!(watch.state(&account, &owner, ms(1250)), OwnerState::Granting);
 /// # Ok::<(), rudder_core::ParseError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -59,11 +59,11 @@
 }
 
 impl OwnerWatch {
-    /// Whether a probe of the owner is due. If so, it counts as sent, and the caller has to send
-    /// it.
+    /// Whether a probe of the owner is due. If so, it is recorded as sent, and the caller has to
+    /// send it.
     ///
     /// See the example of [`OwnerWatch`].
-    pub fn probe_is_due(
+    pub fn try_begin_probe(
         &mut self,
         account: &AccountName,
         owner: &InstanceName,
@@ -98,7 +98,7 @@
     /// Records the response of an owner: whether it grants the account's operations.
     ///
     /// See the example of [`OwnerWatch`].
-    pub fn note_answer(
+    pub fn record_response(
         &mut self,
         account: &AccountName,
         owner: &InstanceName,
@@ -116,12 +116,7 @@
     ///
     /// See the example of [`OwnerWatch`].
     #[must_use]
-    pub fn standing(
-        &self,
-        account: &AccountName,
-        owner: &InstanceName,
-        now: Duration,
-    ) -> OwnerState {
+    pub fn state(&self, account: &AccountName, owner: &InstanceName, now: Duration) -> OwnerState {
         let Ok(index) = self.position(account, owner) else {
             return OwnerState::SilentFor(Duration::ZERO);
         };
--- a/crates/rudder-decisions/src/standing.rs
+++ b/crates/rudder-decisions/src/read_rank.rs
@@ -7,48 +7,49 @@
 //! necessary costs bytes between domains. Without an order, all reads of a domain go to the near
 //! member while it lags, and each of them is sent twice.
 //!
-//! There are no thresholds here: the caller decides what makes a member doubtful and for how long.
-//! The order is by certainty: members that cannot be reached, members that lack the position,
-//! members that failed recently, members that would make the read wait, and only then the distance.
+//! There are no thresholds here: the caller decides which members count as recently failed, and for
+//! how long. The order is by certainty: members that cannot be reached, members that lack the
+//! position, members that failed recently, members that would make the read wait, and only then the
+//! distance.
 
 use crate::place::PlaceDistance;
 
 /// Rank of a member for one read; the member with the least rank is tried first.
 ///
 /// ```
-/// use rudder_decisions::{PlaceDistance, ReadStanding};
-/// let near = ReadStanding {
+/// use rudder_decisions::{PlaceDistance, ReadRank};
+/// let near = ReadRank {
 ///     unreachable: false,
-///     behind: false,
-///     doubtful: false,
-///     full: false,
+///     lagging: false,
+///     recently_failed: false,
+///     no_free_connection: false,
 ///     distance: PlaceDistance::SameDomain,
 /// };
-/// let trailing = ReadStanding { behind: true, ..near };
-/// let far = ReadStanding { distance: PlaceDistance::Elsewhere, ..near };
+/// let trailing = ReadRank { lagging: true, ..near };
+/// let far = ReadRank { distance: PlaceDistance::Elsewhere, ..near };
 /// assert!(near < far && far < trailing);
-/// assert!(far.is_sound() && !trailing.is_sound());
+/// assert!(far.is_eligible() && !trailing.is_eligible());
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ReadStanding {
+pub struct ReadRank {
     /// Whether the member was unreachable at a recent attempt.
     pub unreachable: bool,
     /// Whether the member recently lacked the position that the read needs.
-    pub behind: bool,
+    pub lagging: bool,
     /// Whether the member failed a read recently.
-    pub doubtful: bool,
+    pub recently_failed: bool,
     /// Whether no connection to the member is free.
-    pub full: bool,
+    pub no_free_connection: bool,
     /// Distance to the member.
     pub distance: PlaceDistance,
 }
 
-impl ReadStanding {
+impl ReadRank {
     /// Whether the member is expected to serve the read.
     ///
-    /// See the example of [`ReadStanding`].
+    /// See the example of [`ReadRank`].
     #[must_use]
-    pub fn is_sound(&self) -> bool {
-        !self.unreachable && !self.behind && !self.doubtful
+    pub fn is_eligible(&self) -> bool {
+        !self.unreachable && !self.lagging && !self.recently_failed
     }
 }
--- a/crates/rudder-decisions/src/reconnect.rs
+++ b/crates/rudder-decisions/src/reconnect.rs
@@ -34,8 +34,8 @@
 /// use std::time::Duration;
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
 /// let mut pacer = ReconnectPacer::new();
-/// assert!(pacer.after_failure(&mut rng) <= Duration::from_millis(80));
-/// assert!(pacer.after_failure(&mut rng) <= Duration::from_millis(160));
+/// assert!(pacer.retry_delay(&mut rng) <= Duration::from_millis(80));
+/// assert!(pacer.retry_delay(&mut rng) <= Duration::from_millis(160));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ReconnectPacer {
@@ -61,10 +61,10 @@
     /// use std::time::Duration;
     /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
     /// let pacer = rudder_decisions::ReconnectPacer::new();
-    /// assert!(pacer.first_try(1, &mut rng) <= Duration::from_millis(3));
+    /// assert!(pacer.initial_delay(1, &mut rng) <= Duration::from_millis(3));
     /// ```
     #[must_use]
-    pub fn first_try(&self, connections: u32, rng: &mut dyn Rng) -> Duration {
+    pub fn initial_delay(&self, connections: u32, rng: &mut dyn Rng) -> Duration {
         let window = CONNECT_COST * connections / CONNECT_PARALLEL;
         window.min(BACKOFF_MAX).mul_f64(rng.random_range(0.0..1.0))
     }
@@ -72,7 +72,7 @@
     /// Returns the delay after a failed attempt.
     ///
     /// See the example of [`ReconnectPacer`].
-    pub fn after_failure(&mut self, rng: &mut dyn Rng) -> Duration {
+    pub fn retry_delay(&mut self, rng: &mut dyn Rng) -> Duration {
         let doublings = self.failures.min(10);
         self.failures = self.failures.saturating_add(1);
         let bound = (BACKOFF_MIN * 2_u32.pow(doublings)).min(BACKOFF_MAX);
@@ -83,9 +83,9 @@
     ///
     /// ```
     /// let mut pacer = rudder_decisions::ReconnectPacer::new();
-    /// pacer.succeed();
+    /// pacer.record_success();
     /// ```
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/rudder-decisions/src/replica_progress.rs
+++ b/crates/rudder-decisions/src/replica_progress.rs
@@ -29,7 +29,7 @@
 /// let stamp = |position| LogStamp::new(1, position);
 /// let ms = Duration::from_millis;
 /// let mut progress = ReplicaProgress::default();
-/// progress.note(stamp(100), ms(2000), ms(10_000));
+/// progress.record(stamp(100), ms(2000), ms(10_000));
 /// assert!(!progress.lacks(stamp(100), ms(0), ms(10_100)));
 /// // It lags by two seconds; the primary reached 180 half a second ago, and 110 three seconds ago.
 /// assert!(progress.lacks(stamp(180), ms(500), ms(10_100)));
@@ -55,7 +55,7 @@
     /// ahead of that position for `lag` by then.
     ///
     /// See the example of [`ReplicaProgress`].
-    pub fn note(&mut self, applied: LogStamp, lag: Duration, now: Duration) {
+    pub fn record(&mut self, applied: LogStamp, lag: Duration, now: Duration) {
         self.observation = Some(ProgressObservation { applied, lag, at: now });
     }
 
@@ -69,11 +69,11 @@
     /// let stamp = |position| LogStamp::new(1, position);
     /// let ms = Duration::from_millis;
     /// let mut progress = ReplicaProgress::default();
-    /// progress.note(stamp(100), ms(2000), ms(10_000));
-    /// progress.note_tried(stamp(180), ms(10_300));
+    /// progress.record(stamp(100), ms(2000), ms(10_000));
+    /// progress.record_attempt(stamp(180), ms(10_300));
     /// assert!(progress.lacks(stamp(180), ms(500), ms(10_310)), "another read tries it already");
     /// ```
-    pub fn note_tried(&mut self, floor: LogStamp, now: Duration) {
+    pub fn record_attempt(&mut self, floor: LogStamp, now: Duration) {
         if let Some(observation) = &mut self.observation
             && observation.applied < floor
         {
--- a/crates/rudder-decisions/src/retry.rs
+++ b/crates/rudder-decisions/src/retry.rs
@@ -51,10 +51,10 @@
     ///
     /// ```
     /// let mut budget = rudder_decisions::RetryBudget::new();
-    /// budget.succeed();
+    /// budget.record_success();
     /// assert_eq!(budget.remaining(), 15);
     /// ```
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.credit = (self.credit + CREDIT_PER_SUCCESS).min(CREDIT_MAX);
     }
 
--- a/crates/rudder-decisions/src/routing/demand.rs
+++ b/crates/rudder-decisions/src/routing/demand.rs
@@ -12,7 +12,7 @@
         /// Time since the floor was written, as far as this instance knows; zero if unknown.
         pub floor_age: Duration,
         /// Maximum staleness that the caller accepts.
-        pub bound: Duration,
+        pub max_staleness: Duration,
         /// Failure domain of this instance.
         pub domain: DomainName,
         /// Maximum wait for a replica to catch up.
@@ -79,11 +79,11 @@
     ///
     /// ```
     /// use rudder_decisions::MemberWeight;
-    /// let weight = MemberWeight::FULL.and(MemberWeight::new(200));
+    /// let weight = MemberWeight::FULL.min_with(MemberWeight::new(200));
     /// assert_eq!(weight.permille(), 200);
     /// ```
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
+    pub fn min_with(self, other: Self) -> Self {
         self.min(other)
     }
 }
@@ -120,11 +120,11 @@
         /// Number of statements that it runs concurrently, for all instances together.
         pub slots: u32,
         /// Number of instances that send it work, including this one.
-        pub sharers: u32,
+        pub sending_instances: u32,
         /// Expected time of a statement at the member, without the link.
         pub service: Duration,
         /// Round trip of the link plus the cost of its use, expressed as time.
-        pub link: Duration,
+        pub link_cost: Duration,
         /// Health of the member.
         pub health: MemberHealth,
         /// Share of its usual work that it gets.
--- a/crates/rudder-decisions/src/routing/router.rs
+++ b/crates/rudder-decisions/src/routing/router.rs
@@ -48,7 +48,7 @@
 /// let demand = ReadDemand {
 ///     floor: None,
 ///     floor_age: Duration::ZERO,
-///     bound: Duration::from_secs(1),
+///     max_staleness: Duration::from_secs(1),
 ///     domain: "kigali-a".parse()?,
 ///     wait_max: Duration::from_millis(50),
 /// };
@@ -102,7 +102,7 @@
     /// let demand = ReadDemand {
     ///     floor: None,
     ///     floor_age: Duration::ZERO,
-    ///     bound: Duration::ZERO,
+    ///     max_staleness: Duration::ZERO,
     ///     domain: "bangor".parse()?,
     ///     wait_max: Duration::ZERO,
     /// };
@@ -207,7 +207,7 @@
 /// Returns the reason why `member` cannot serve the read now. Age is checked first, as waiting does
 /// not remove it.
 fn obstacle(demand: &ReadDemand, member: &MemberView) -> Option<ReadObstacle> {
-    if member.age.is_none_or(|age| age > demand.bound) {
+    if member.age.is_none_or(|age| age > demand.max_staleness) {
         return Some(ReadObstacle::Age);
     }
     if demand.floor.is_some_and(|floor| member.applied < floor) {
@@ -257,12 +257,12 @@
 /// An instance sees only its own requests. It assumes that every other instance loads the member as
 /// much, so that the choice reacts before its own requests alone fill the member.
 fn estimated_load(member: &MemberView) -> u32 {
-    member.in_flight.saturating_mul(member.sharers.max(1))
+    member.in_flight.saturating_mul(member.sending_instances.max(1))
 }
 
 /// Returns the sum of link, service time and wait for a slot, in seconds.
 fn expected_time_s(member: &MemberView) -> f64 {
-    member.link.as_secs_f64() + member.service.as_secs_f64() * (1.0 + expected_waits(member))
+    member.link_cost.as_secs_f64() + member.service.as_secs_f64() * (1.0 + expected_waits(member))
 }
 
 /// Returns the expected wait for a slot, in service times.
--- a/crates/rudder-decisions/src/share.rs
+++ b/crates/rudder-decisions/src/share.rs
@@ -65,10 +65,10 @@
 ///
 /// ```
 /// use rudder_core::ConnectionCount;
-/// use rudder_decisions::{DemandPart, SlotShare};
+/// use rudder_decisions::{DemandPart, HolderShare};
 /// use std::time::{Duration, Instant};
 /// let now = Instant::now();
-/// let mut share = SlotShare::new(ConnectionCount(30), 7, now);
+/// let mut share = HolderShare::new(ConnectionCount(30), 7, now);
 /// assert_eq!(share.current(now), 3);
 /// share.set_holders(9, DemandPart::of(0, 0, 9), now);
 /// assert_eq!(share.current(now), 2);
@@ -77,19 +77,19 @@
 /// assert_eq!(share.current(now + Duration::from_secs(8)), 12);
 /// ```
 #[derive(Clone, Debug)]
-pub struct SlotShare {
+pub struct HolderShare {
     connections: ConnectionCount,
     current: u32,
     next: u32,
     changed: Instant,
 }
 
-impl SlotShare {
+impl HolderShare {
     /// Creates the even share of one of `holders` instances in an endpoint's connections. It
     /// applies at once: a new instance is in the list by which the others shrank their shares,
     /// or itself refuses requests.
     ///
-    /// See the example of [`SlotShare`].
+    /// See the example of [`HolderShare`].
     #[must_use]
     pub fn new(connections: ConnectionCount, holders: u32, now: Instant) -> Self {
         let share = share_of(connections, holders, DemandPart::of(0, 0, holders));
@@ -99,7 +99,7 @@
     /// Sets a changed number of holders or a changed part of their demand. A smaller share applies
     /// at once.
     ///
-    /// See the example of [`SlotShare`].
+    /// See the example of [`HolderShare`].
     pub fn set_holders(&mut self, holders: u32, part: DemandPart, now: Instant) {
         self.current = self.current(now);
         let next = share_of(self.connections, holders, part);
@@ -112,7 +112,7 @@
 
     /// Returns the number of connections that this instance may hold now.
     ///
-    /// See the example of [`SlotShare`].
+    /// See the example of [`HolderShare`].
     #[must_use]
     pub fn current(&self, now: Instant) -> u32 {
         if now.duration_since(self.changed) >= GROW_DELAY { self.next } else { self.current }
--- a/crates/rudder-decisions/src/wait_queue.rs
+++ b/crates/rudder-decisions/src/wait_queue.rs
@@ -74,16 +74,16 @@
     /// ```
     /// use rudder_decisions::WaitQueue;
     /// let mut queue = WaitQueue::default();
-    /// queue.join(2, "read");
-    /// queue.join(0, "order");
-    /// queue.join(0, "second order");
-    /// assert_eq!(queue.next(), Some("order"));
-    /// assert_eq!(queue.next(), Some("second order"));
+    /// queue.push(2, "read");
+    /// queue.push(0, "order");
+    /// queue.push(0, "second order");
+    /// assert_eq!(queue.pop(), Some("order"));
+    /// assert_eq!(queue.pop(), Some("second order"));
     /// ```
-    pub fn join(&mut self, priority: u8, waiter: T) -> u64 {
+    pub fn push(&mut self, priority: u8, waiter: T) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.rejoin(priority, sequence, waiter);
+        self.requeue(priority, sequence, waiter);
         sequence
     }
 
@@ -93,13 +93,13 @@
     /// ```
     /// use rudder_decisions::WaitQueue;
     /// let mut queue = WaitQueue::default();
-    /// let sequence = queue.join(1, "first");
-    /// queue.join(1, "second");
-    /// assert_eq!(queue.next(), Some("first"));
-    /// queue.rejoin(1, sequence, "first again");
-    /// assert_eq!(queue.next(), Some("first again"));
+    /// let sequence = queue.push(1, "first");
+    /// queue.push(1, "second");
+    /// assert_eq!(queue.pop(), Some("first"));
+    /// queue.requeue(1, sequence, "first again");
+    /// assert_eq!(queue.pop(), Some("first again"));
     /// ```
-    pub fn rejoin(&mut self, priority: u8, sequence: u64, waiter: T) {
+    pub fn requeue(&mut self, priority: u8, sequence: u64, waiter: T) {
         let index = self
             .waiters
             .partition_point(|entry| (entry.priority, entry.sequence) <= (priority, sequence));
@@ -110,10 +110,9 @@
     ///
     /// ```
     /// let mut queue: rudder_decisions::WaitQueue<&str> = rudder_decisions::WaitQueue::default();
-    /// assert_eq!(queue.next(), None);
+    /// assert_eq!(queue.pop(), None);
     /// ```
-    #[expect(clippy::should_implement_trait, reason = "the queue goes on after it was empty")]
-    pub fn next(&mut self) -> Option<T> {
+    pub fn pop(&mut self) -> Option<T> {
         (!self.waiters.is_empty()).then(|| self.waiters.remove(0).waiter)
     }
 
@@ -121,12 +120,12 @@
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
-    /// queue.join(1, "read that must leave a connection free");
-    /// queue.join(1, "write");
-    /// assert_eq!(queue.next_where(|waiter| *waiter == "write"), Some("write"));
-    /// assert_eq!(queue.next_where(|waiter| *waiter == "write"), None);
+    /// queue.push(1, "read that must leave a connection free");
+    /// queue.push(1, "write");
+    /// assert_eq!(queue.pop_where(|waiter| *waiter == "write"), Some("write"));
+    /// assert_eq!(queue.pop_where(|waiter| *waiter == "write"), None);
     /// ```
-    pub fn next_where(&mut self, may_be_served: impl Fn(&T) -> bool) -> Option<T> {
+    pub fn pop_where(&mut self, may_be_served: impl Fn(&T) -> bool) -> Option<T> {
         let index = self.waiters.iter().position(|entry| may_be_served(&entry.waiter))?;
         Some(self.waiters.remove(index).waiter)
     }
@@ -135,8 +134,8 @@
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
-    /// queue.join(1, "gave up");
-    /// queue.join(1, "waits");
+    /// queue.push(1, "gave up");
+    /// queue.push(1, "waits");
     /// queue.retain(|waiter| *waiter == "waits");
     /// assert_eq!(queue.len(), 1);
     /// ```
@@ -148,7 +147,7 @@
     ///
     /// ```
     /// let mut queue = rudder_decisions::WaitQueue::default();
-    /// queue.join(1, "read");
+    /// queue.push(1, "read");
     /// assert_eq!((queue.len(), queue.is_empty()), (1, false));
     /// ```
     #[must_use]
--- a/crates/rudder-decisions/tests/limits/fleet.rs
+++ b/crates/rudder-decisions/tests/limits/fleet.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt, SeedableRng};
 use rudder_core::{AccountName, InstanceName};
 use rudder_decisions::{
-    ClaimPlan, ClaimVerdict, FleetContact, LimitBounds, LimitLedger, OperationLimit, OwnerRole,
-    OwnerWatch, RecentNotes, rank_owners,
+    ClaimDecision, ClaimPlan, ExpiringSet, FleetContact, LimitBounds, LimitLedger, OperationLimit,
+    OwnerRole, OwnerWatch, rank_owners,
 };
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     ledger: LimitLedger,
     watch: OwnerWatch,
     /// Owners that did not respond recently.
-    unresponsive: RecentNotes<InstanceName>,
+    unresponsive: ExpiringSet<InstanceName>,
 }
 
 #[derive(Clone, Copy)]
@@ -58,7 +58,7 @@
     },
     ClaimResponse {
         operation: usize,
-        decision: ClaimVerdict,
+        decision: ClaimDecision,
     },
     ProbeResponse {
         grants: bool,
@@ -114,7 +114,7 @@
             started_at: Duration::ZERO,
             ledger: LimitLedger::default(),
             watch: OwnerWatch::default(),
-            unresponsive: RecentNotes::new(SKIP_DURATION),
+            unresponsive: ExpiringSet::new(SKIP_DURATION),
         };
         Self {
             random: SmallRng::seed_from_u64(seed),
@@ -166,7 +166,7 @@
         instance.started_at = self.now;
         instance.ledger = LimitLedger::default();
         instance.watch = OwnerWatch::default();
-        instance.unresponsive = RecentNotes::new(SKIP_DURATION);
+        instance.unresponsive = ExpiringSet::new(SKIP_DURATION);
         for operation in &mut self.operations {
             operation.finished |= operation.instance == index;
         }
@@ -277,7 +277,7 @@
             let owner = owners[place];
             if self.operations[operation].tried_owners.contains(&owner) {
                 let name = self.instances[owner].name.clone();
-                self.instances[instance].unresponsive.note(&name, self.now);
+                self.instances[instance].unresponsive.insert(&name, self.now);
             }
             self.operations[operation].tried_owners.push(owner);
             self.operations[operation].next_attempt_at = self.now + RESPONSE_TIMEOUT;
@@ -291,18 +291,18 @@
     }
 
     /// Applies the decision of an owner to an operation.
-    fn complete_claim(&mut self, operation: usize, owner: usize, decision: ClaimVerdict) {
+    fn complete_claim(&mut self, operation: usize, owner: usize, decision: ClaimDecision) {
         let instance = self.operations[operation].instance;
         let name = self.instances[owner].name.clone();
-        self.instances[instance].unresponsive.forget(&name);
+        self.instances[instance].unresponsive.remove(&name);
         self.operations[operation].tried_owners.retain(|tried| *tried != owner);
         if self.operations[operation].finished {
             return;
         }
         match decision {
-            ClaimVerdict::Granted => self.granted_at.push(self.now),
-            ClaimVerdict::Spent(_) => self.refused += 1,
-            ClaimVerdict::NotOwner => {
+            ClaimDecision::Granted => self.granted_at.push(self.now),
+            ClaimDecision::Spent(_) => self.refused += 1,
+            ClaimDecision::NotOwner => {
                 self.operations[operation].next_attempt_at = self.now + Duration::from_millis(10);
                 return;
             }
@@ -341,7 +341,7 @@
                 self.send(to, from, SimMessage::ClaimResponse { operation, decision });
             }
             SimMessage::Claim { consumes: false, .. } => {
-                let grants = self.decide(to, false) != ClaimVerdict::NotOwner;
+                let grants = self.decide(to, false) != ClaimDecision::NotOwner;
                 self.send(to, from, SimMessage::ProbeResponse { grants });
             }
             SimMessage::ClaimResponse { operation, decision } => {
@@ -350,29 +350,29 @@
             SimMessage::ProbeResponse { grants } => {
                 let owner = self.instances[from].name.clone();
                 let account = self.account.clone();
-                self.instances[to].watch.note_answer(&account, &owner, grants, self.now);
+                self.instances[to].watch.record_response(&account, &owner, grants, self.now);
             }
         }
     }
 
     /// Decides on a claim at the owner `index`, probing the owners ranked before it. For a probe
     /// the decision is only whether the owner grants operations.
-    fn decide(&mut self, index: usize, consumes: bool) -> ClaimVerdict {
+    fn decide(&mut self, index: usize, consumes: bool) -> ClaimDecision {
         let owners = self.owners();
         let place = owners.iter().position(|owner| *owner == index).expect("an owner");
-        let mut standings = Vec::new();
+        let mut states = Vec::new();
         for earlier in &owners[..place] {
             let name = self.instances[*earlier].name.clone();
-            if self.instances[index].watch.probe_is_due(&self.account, &name, self.now) {
+            if self.instances[index].watch.try_begin_probe(&self.account, &name, self.now) {
                 self.send(index, *earlier, SimMessage::Claim { operation: 0, consumes: false });
             }
             let watch = &self.instances[index].watch;
-            standings.push(watch.standing(&self.account, &name, self.now));
+            states.push(watch.state(&self.account, &name, self.now));
         }
-        let role = OwnerRole::of(self.fleet_contact(index), &standings);
+        let role = OwnerRole::of(self.fleet_contact(index), &states);
         if !consumes {
             let grants = self.instances[index].ledger.grants(&self.account, role);
-            return if grants { ClaimVerdict::Granted } else { ClaimVerdict::NotOwner };
+            return if grants { ClaimDecision::Granted } else { ClaimDecision::NotOwner };
         }
         let (limit, now) = (self.limit, self.now);
         self.instances[index].ledger.claim(&self.account, limit, BOUNDS, role, place, now)
@@ -382,12 +382,12 @@
         let now = self.now;
         let instance = &mut self.instances[index];
         let last_contact_at = instance.last_contact_at;
-        if last_contact_at.is_none_or(|at| now >= at + LimitBounds::joined_life()) {
+        if last_contact_at.is_none_or(|at| now >= at + LimitBounds::contact_timeout()) {
             instance.contact_lost_at = Some(now);
             return FleetContact::Lost;
         }
         let settled_at = *instance.contact_lost_at.get_or_insert(now) + BOUNDS.window;
-        if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
+        if now >= settled_at { FleetContact::Settled } else { FleetContact::Connected }
     }
 
     /// Returns the greatest number of operations granted in any window.
--- a/crates/rudder-decisions/tests/load/admission.rs
+++ b/crates/rudder-decisions/tests/load/admission.rs
@@ -2,7 +2,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rudder_decisions::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, RefusalCause,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, RefusalCause,
     TicketOutcome, WorkClass, WorkSize,
 };
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
         caller,
         class: WorkClass::Read,
         size: WorkSize::Short,
-        shed: false,
+        sheddable: false,
         in_flight_max: 1000,
         queue_wait: Duration::from_millis(200),
         deadline: now + Duration::from_secs(10),
@@ -31,9 +31,9 @@
     gate
 }
 
-fn refusal_cause(decision: AdmissionVerdict) -> RefusalCause {
+fn refusal_cause(decision: AdmissionDecision) -> RefusalCause {
     match decision {
-        AdmissionVerdict::Refuse(reason) => reason.word,
+        AdmissionDecision::Refuse(reason) => reason.word,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
@@ -51,8 +51,8 @@
     let before_expiry = gate.expire(expiry - Duration::from_nanos(1), rng);
     let notices = gate.expire(expiry, rng);
 
-    let AdmissionVerdict::Wait(ticket) = waiting else { panic!("{waiting:?}") };
-    assert!(matches!(running, AdmissionVerdict::Run(_)));
+    let AdmissionDecision::Wait(ticket) = waiting else { panic!("{waiting:?}") };
+    assert!(matches!(running, AdmissionDecision::Run(_)));
     assert!(before_expiry.is_empty());
     assert_eq!(expiry, now + Duration::from_millis(200));
     assert_eq!(notices.len(), 1);
@@ -74,8 +74,8 @@
     let newcomer = gate.offer(&request(3, now), now, rng);
     let notices = gate.expire(now, rng);
 
-    let AdmissionVerdict::Wait(ticket) = waiting else { panic!("{waiting:?}") };
-    assert!(matches!(newcomer, AdmissionVerdict::Wait(_)));
+    let AdmissionDecision::Wait(ticket) = waiting else { panic!("{waiting:?}") };
+    assert!(matches!(newcomer, AdmissionDecision::Wait(_)));
     assert_eq!(notices.len(), 1);
     assert_eq!((notices[0].ticket, notices[0].outcome), (ticket, TicketOutcome::Run));
 }
@@ -86,13 +86,13 @@
     let rng = &mut StdRng::seed_from_u64(SEED);
     let request_of = |caller| AdmissionRequest { in_flight_max: 4, ..request(caller, now) };
 
-    let busy: Vec<AdmissionVerdict> =
+    let busy: Vec<AdmissionDecision> =
         (0..4).map(|_| gate.offer(&request_of(1), now, rng)).collect();
     let other = gate.offer(&request_of(2), now, rng);
     let over_limit = gate.offer(&request_of(3), now, rng);
 
     assert_eq!(refusal_cause(busy[3]), RefusalCause::CallerLimit);
-    assert!(matches!(other, AdmissionVerdict::Run(_)));
+    assert!(matches!(other, AdmissionDecision::Run(_)));
     assert_eq!(refusal_cause(over_limit), RefusalCause::KindLimit);
 }
 
@@ -105,7 +105,7 @@
 
     let mut retry_delays: Vec<Duration> = (0..1000)
         .filter_map(|caller| match gate.offer(&request(caller, now), now, rng) {
-            AdmissionVerdict::Refuse(reason) => Some(reason.retry_after),
+            AdmissionDecision::Refuse(reason) => Some(reason.retry_after),
             _ => None,
         })
         .collect();
--- a/crates/rudder-decisions/tests/load/detection.rs
+++ b/crates/rudder-decisions/tests/load/detection.rs
@@ -15,7 +15,7 @@
     for gap_ms in gaps_ms {
         now += Duration::from_millis(*gap_ms);
         alarms += usize::from(detector.is_suspect(now));
-        detector.heard(now);
+        detector.record_response(now);
     }
     alarms
 }
--- a/crates/rudder-decisions/tests/load/dial_gate.rs
+++ b/crates/rudder-decisions/tests/load/dial_gate.rs
@@ -31,10 +31,10 @@
                 continue;
             }
             if elapsed < STALE_CONNECTIONS_DURATION {
-                gate.note_failure(DialFailure::ConnectionLimit, now);
+                gate.record_failure(DialFailure::ConnectionLimit, now);
                 summary.refused += 1;
             } else {
-                gate.note_success();
+                gate.record_success();
                 *connected = true;
                 summary.connected_at.push(elapsed);
             }
--- a/crates/rudder-decisions/tests/load/gate_invariants.rs
+++ b/crates/rudder-decisions/tests/load/gate_invariants.rs
@@ -4,8 +4,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rudder_decisions::{
-    AdmissionGate, AdmissionRequest, AdmissionVerdict, LaneKey, LaneLimits, TicketId, TicketNotice,
-    TicketOutcome, WorkClass, WorkSize,
+    AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, TicketId,
+    TicketNotice, TicketOutcome, WorkClass, WorkSize,
 };
 use std::time::{Duration, Instant};
 
@@ -81,15 +81,15 @@
                     caller,
                     class: if write { WorkClass::Write } else { WorkClass::Read },
                     size: if long { WorkSize::Long } else { WorkSize::Short },
-                    shed,
+                    sheddable: shed,
                     in_flight_max: 15,
                     queue_wait: Duration::from_millis(wait_ms),
                     deadline: self.now + Duration::from_secs(5),
                 };
                 match self.gate.offer(&request, self.now, &mut self.rng) {
-                    AdmissionVerdict::Run(ticket) => self.running.push(ticket),
-                    AdmissionVerdict::Wait(ticket) => self.waiting.push(ticket),
-                    AdmissionVerdict::Refuse(_) => {}
+                    AdmissionDecision::Run(ticket) => self.running.push(ticket),
+                    AdmissionDecision::Wait(ticket) => self.waiting.push(ticket),
+                    AdmissionDecision::Refuse(_) => {}
                 }
             }
             GateStep::Release(index) => {
--- a/crates/rudder-decisions/tests/load/main.rs
+++ b/crates/rudder-decisions/tests/load/main.rs
@@ -30,11 +30,11 @@
 mod endpoints;
 mod gate_invariants;
 mod long_work;
+mod read_rank;
 mod recovery;
 mod routing;
 mod saturation;
 mod shares;
-mod standing;
 mod wait_queue;
 
 use model::{MemberSpec, Outcome, Request};
--- a/crates/rudder-decisions/tests/load/recovery.rs
+++ b/crates/rudder-decisions/tests/load/recovery.rs
@@ -18,11 +18,11 @@
 #[test]
 fn retries_after_a_failure_are_limited() {
     let mut budget = RetryBudget::new();
-    (0..500).for_each(|_| budget.succeed());
+    (0..500).for_each(|_| budget.record_success());
 
     let retries =
         (0..1000).filter(|_| budget.try_spend(WorkClass::Read, OutcomeClass::Unknown)).count();
-    (0..1000).for_each(|_| budget.succeed());
+    (0..1000).for_each(|_| budget.record_success());
 
     assert_eq!(retries, 15);
     assert!(budget.try_spend(WorkClass::Read, OutcomeClass::NotRun), "successes refill the budget");
@@ -46,11 +46,11 @@
     let rng = &mut StdRng::seed_from_u64(SEED);
 
     let first_tries: Vec<Duration> =
-        (0..570).map(|_| ReconnectPacer::new().first_try(570, rng)).collect();
+        (0..570).map(|_| ReconnectPacer::new().initial_delay(570, rng)).collect();
     let retries: Vec<Duration> = (0..570)
         .map(|_| {
             let mut pacer = ReconnectPacer::new();
-            (0..6).map(|_| pacer.after_failure(rng)).sum()
+            (0..6).map(|_| pacer.retry_delay(rng)).sum()
         })
         .collect();
 
--- a/crates/rudder-decisions/tests/load/routing.rs
+++ b/crates/rudder-decisions/tests/load/routing.rs
@@ -21,9 +21,9 @@
         lag: Duration::from_millis(100),
         in_flight: 0,
         slots: 5,
-        sharers: 7,
+        sending_instances: 7,
         service: Duration::from_millis(10),
-        link: Duration::from_millis(2),
+        link_cost: Duration::from_millis(2),
         health: MemberHealth::Ready,
         weight: MemberWeight::FULL,
     }
@@ -37,7 +37,7 @@
     ReadDemand {
         floor: Some(LogStamp::new(1, floor)),
         floor_age: Duration::from_millis(floor_age_ms),
-        bound: Duration::from_secs(1),
+        max_staleness: Duration::from_secs(1),
         domain: "bangor".parse().expect("a valid name"),
         wait_max: Duration::from_millis(50),
     }
--- a/crates/rudder-decisions/tests/load/shares.rs
+++ b/crates/rudder-decisions/tests/load/shares.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rudder_core::{ConnectionCount, InstanceName, ServiceName};
-use rudder_decisions::{DemandPart, SlotShare, holders_of};
+use rudder_decisions::{DemandPart, HolderShare, holders_of};
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: ConnectionCount = ConnectionCount(30);
@@ -22,8 +22,8 @@
     let start = Instant::now();
     let high_demand = DemandPart::of(80, 100, 7);
     let low_demand = DemandPart::of(20, 600, 7);
-    let mut shares: Vec<SlotShare> =
-        (0..7).map(|_| SlotShare::new(CONNECTIONS, 7, start)).collect();
+    let mut shares: Vec<HolderShare> =
+        (0..7).map(|_| HolderShare::new(CONNECTIONS, 7, start)).collect();
     let mut greatest = 0;
 
     for second in 0..60_u64 {
--- a/crates/rudder-decisions/tests/load/wait_queue.rs
+++ b/crates/rudder-decisions/tests/load/wait_queue.rs
@@ -15,14 +15,14 @@
 fn serve_burst(order_priority: u8) -> (Vec<u32>, Vec<u32>) {
     let mut queue = WaitQueue::default();
     for number in 0..READ_COUNT {
-        queue.join(READ, (READ, number));
+        queue.push(READ, (READ, number));
         if number % 20 == 19 {
-            queue.join(order_priority, (ORDER, number));
+            queue.push(order_priority, (ORDER, number));
         }
     }
     let (mut orders, mut reads) = (Vec::new(), Vec::new());
     let mut served = 0;
-    while let Some((kind, number)) = queue.next() {
+    while let Some((kind, number)) = queue.pop() {
         let served_of_kind = if kind == ORDER { &mut orders } else { &mut reads };
         served_of_kind.push((number, served / CONNECTIONS_FREED_PER_MS));
         served += 1;
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -125,12 +125,12 @@
 
     /// Records the applied log position and for how long the primary has been ahead of it.
     pub(crate) fn record_applied(&self, stamp: LogStamp, lag: Duration) {
-        lock(&self.observations).progress.note(stamp, lag, boot_time());
+        lock(&self.observations).progress.record(stamp, lag, boot_time());
     }
 
     /// Records that a read with this floor is being sent to the member.
     pub(crate) fn record_attempt(&self, floor: LogStamp) {
-        lock(&self.observations).progress.note_tried(floor, boot_time());
+        lock(&self.observations).progress.record_attempt(floor, boot_time());
     }
 
     /// Orders the member last for [`FAILED_READ_PENALTY`].
--- a/crates/rudder-engine/src/group/placement.rs
+++ b/crates/rudder-engine/src/group/placement.rs
@@ -4,7 +4,7 @@
 use super::member::GroupMember;
 use super::service::ServiceGroup;
 use rudder_core::LogStamp;
-use rudder_decisions::{NodePlace, ReadStanding};
+use rudder_decisions::{NodePlace, ReadRank};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -26,16 +26,16 @@
 ) -> Vec<Arc<GroupMember>> {
     let mut usable: Vec<_> =
         members.iter().filter(|member| member.serves_reads()).cloned().collect();
-    usable.sort_by_cached_key(|member| (standing(member, context), member.name().clone()));
+    usable.sort_by_cached_key(|member| (read_rank(member, context), member.name().clone()));
     usable
 }
 
-fn standing(member: &GroupMember, context: &PlacementContext) -> ReadStanding {
-    ReadStanding {
+fn read_rank(member: &GroupMember, context: &PlacementContext) -> ReadRank {
+    ReadRank {
         unreachable: member.pool().is_unreachable(),
-        behind: member.lacks(context.floor, context.floor_age),
-        doubtful: member.is_deprioritized(),
-        full: member.pool().spare_connections() == 0,
+        lagging: member.lacks(context.floor, context.floor_age),
+        recently_failed: member.is_deprioritized(),
+        no_free_connection: member.pool().spare_connections() == 0,
         distance: context.own.distance(&member.place()),
     }
 }
@@ -50,7 +50,8 @@
 ) -> Vec<PoolChoice> {
     let primary =
         group.with_leases(|leases| leases.record().and_then(|record| record.primary().cloned()));
-    let expected = members.iter().take_while(|member| standing(member, context).is_sound()).count();
+    let expected =
+        members.iter().take_while(|member| read_rank(member, context).is_eligible()).count();
     let usable = if expected == 0 { members.len() } else { expected };
     let choice = |member: &Arc<GroupMember>| PoolChoice {
         pool: Arc::clone(member.pool()),
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -233,10 +233,10 @@
             let mut state = self.state();
             match request.sequence {
                 Some(sequence) => {
-                    state.waiters.rejoin(rank, sequence, caller);
+                    state.waiters.requeue(rank, sequence, caller);
                     sequence
                 }
-                None => state.waiters.join(rank, caller),
+                None => state.waiters.push(rank, caller),
             }
         };
         self.serve_queue();
@@ -264,7 +264,7 @@
         let may_dial = state.gate.may_begin(now);
         let PoolState { idle, waiters, .. } = &mut *state;
         let position = |user: &LinkUser| idle.iter().rposition(|link| user.accepts(link.account()));
-        let caller = waiters.next_where(|caller| {
+        let caller = waiters.pop_where(|caller| {
             let enough_free = caller.kept_free.min(max_kept_free) < free;
             enough_free && (may_dial || position(&caller.user).is_some())
         })?;
@@ -294,7 +294,7 @@
         match dialed {
             Ok(link) => {
                 slot.keep_counted();
-                self.state().gate.note_success();
+                self.state().gate.record_success();
                 let link = PooledLink::new(Arc::clone(self), link, account.cloned());
                 self.serve_queue();
                 Ok(link)
@@ -317,9 +317,9 @@
             let now = Instant::now();
             let mut state = self.state();
             if failure == DialFailure::ConnectionLimit {
-                state.headroom.note_refusal(now);
+                state.headroom.record_refusal(now);
             }
-            state.gate.note_failure(failure, now)
+            state.gate.record_failure(failure, now)
         };
         self.serve_queue_after(pause);
         metrics::counter!("rudder_dials_failed_total", "reason" => code).increment(1);
@@ -384,7 +384,7 @@
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.take() {
-            pool.state().gate.note_given_up();
+            pool.state().gate.record_cancellation();
             pool.release_slot();
         }
     }
--- a/crates/rudder-engine/src/limits/claim.rs
+++ b/crates/rudder-engine/src/limits/claim.rs
@@ -8,7 +8,7 @@
 use displaydoc::Display;
 use rand::RngExt;
 use rudder_core::{AccountName, InstanceName};
-use rudder_decisions::{ClaimPlan, ClaimVerdict};
+use rudder_decisions::{ClaimDecision, ClaimPlan};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -122,8 +122,8 @@
         let mut state = self.limits().state();
         state.end_claim(request_id);
         match &result {
-            Err(ClaimError::Unanswered { .. }) => state.unanswered.note(account, boot_time()),
-            Ok(()) | Err(ClaimError::Spent { .. }) => state.unanswered.forget(account),
+            Err(ClaimError::Unanswered { .. }) => state.unanswered.insert(account, boot_time()),
+            Ok(()) | Err(ClaimError::Spent { .. }) => state.unanswered.remove(account),
         }
         result
     }
@@ -164,15 +164,15 @@
             let owner_deadline = deadline.min(Instant::now() + OWNER_TIMEOUT);
             let outcome = match owner.address {
                 None => match self.judge_claim(&claim.account, true).await {
-                    ClaimVerdict::Granted => return Ok(()),
-                    ClaimVerdict::Spent(after) => return Err(ClaimError::spent(after)),
-                    ClaimVerdict::NotOwner => Some(ClaimOutcome::NotOwner),
+                    ClaimDecision::Granted => return Ok(()),
+                    ClaimDecision::Spent(after) => return Err(ClaimError::spent(after)),
+                    ClaimDecision::NotOwner => Some(ClaimOutcome::NotOwner),
                 },
                 Some(address) => {
                     let Some(exchange) = self.exchange() else { break };
                     exchange.send(&PeerMessage::Claim(claim.clone()), address).await;
                     if unresponsive.contains(&&owner.instance) {
-                        self.limits().state().silent_owners.note(&owner.instance, boot_time());
+                        self.limits().state().silent_owners.insert(&owner.instance, boot_time());
                     }
                     unresponsive.push(&owner.instance);
                     self.await_response(
@@ -213,7 +213,7 @@
         while let Ok(Some(received)) = tokio::time::timeout_at(deadline, responses.recv()).await {
             let from = owners.iter().find(|owner| owner.address == Some(received.from));
             if let Some(from) = from {
-                self.limits().state().silent_owners.forget(&from.instance);
+                self.limits().state().silent_owners.remove(&from.instance);
                 unresponsive.retain(|instance| **instance != from.instance);
             }
             let outcome = received.response.outcome;
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -8,7 +8,7 @@
     ClaimAnswer, ClaimOutcome, LimitOwner, OperationClaim, PeerExchange, PeerMessage,
 };
 use rudder_core::AccountName;
-use rudder_decisions::{ClaimVerdict, FleetContact, LimitBounds, OperationLimit, OwnerRole};
+use rudder_decisions::{ClaimDecision, FleetContact, LimitBounds, OperationLimit, OwnerRole};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -33,16 +33,16 @@
         let groups = self.groups().into_iter();
         let confirmed_at = groups.map(|group| group.with_leases(|leases| leases.anchor())).max();
         let confirmed_at = confirmed_at.max(self.membership().store_answered_at());
-        let joined_until = confirmed_at.unwrap_or_default() + LimitBounds::joined_life();
+        let connected_until = confirmed_at.unwrap_or_default() + LimitBounds::contact_timeout();
         let now = boot_time();
         let mut state = self.limits().state();
-        if now >= joined_until {
+        if now >= connected_until {
             state.contact_since = Some(now);
             return FleetContact::Lost;
         }
         let settled_at =
             state.contact_since.get_or_insert(now).saturating_add(self.settling_time());
-        if now >= settled_at { FleetContact::Settled } else { FleetContact::Joined }
+        if now >= settled_at { FleetContact::Settled } else { FleetContact::Connected }
     }
 
     /// Returns the time of contact with the fleet after which this instance knows that no other one
@@ -53,15 +53,15 @@
 
     /// Decides a claim that was made here. Without `counts`, it only returns whether this
     /// instance counts for the account.
-    pub(super) async fn judge_claim(&self, account: &AccountName, counts: bool) -> ClaimVerdict {
+    pub(super) async fn judge_claim(&self, account: &AccountName, counts: bool) -> ClaimDecision {
         // The claiming instance knows a limit. If this instance knows none yet, another one counts.
-        let Some(limit) = self.operation_limit(account) else { return ClaimVerdict::NotOwner };
+        let Some(limit) = self.operation_limit(account) else { return ClaimDecision::NotOwner };
         let Some((rank, role)) = self.role_for(account).await else {
-            return ClaimVerdict::NotOwner;
+            return ClaimDecision::NotOwner;
         };
         if !counts {
             let grants = self.limits().state().ledger.grants(account, role);
-            return if grants { ClaimVerdict::Granted } else { ClaimVerdict::NotOwner };
+            return if grants { ClaimDecision::Granted } else { ClaimDecision::NotOwner };
         }
         let bounds = self.identity().limit_bounds;
         let mut state = self.limits().state();
@@ -91,17 +91,17 @@
         }
         let owners = self.limit_owners(account);
         let rank = owners.iter().position(|owner| owner.instance == *own)?;
-        let mut standings = Vec::new();
+        let mut states = Vec::new();
         let mut probes = Vec::new();
         {
             let now = boot_time();
             let mut state = self.limits().state();
             for owner in &owners[..rank] {
-                if state.watch.probe_is_due(account, &owner.instance, now) {
+                if state.watch.try_begin_probe(account, &owner.instance, now) {
                     let request_id = state.begin_probe(account, &owner.instance);
                     probes.extend(owner.address.map(|address| (request_id, address)));
                 }
-                standings.push(state.watch.standing(account, &owner.instance, now));
+                states.push(state.watch.state(account, &owner.instance, now));
             }
         }
         if let Some(exchange) = self.exchange() {
@@ -110,7 +110,7 @@
                 exchange.send(&PeerMessage::Claim(claim), address).await;
             }
         }
-        Some((rank, OwnerRole::of(self.fleet_contact(), &standings)))
+        Some((rank, OwnerRole::of(self.fleet_contact(), &states)))
     }
 
     /// Applies the response to a claim or to a probe of this instance.
@@ -119,7 +119,7 @@
         match state.end_probe(response.request_id) {
             Some((account, owner)) => {
                 let grants = response.outcome != ClaimOutcome::NotOwner;
-                state.watch.note_answer(&account, &owner, grants, boot_time());
+                state.watch.record_response(&account, &owner, grants, boot_time());
             }
             None => state.deliver(ReceivedResponse { from, response }),
         }
@@ -134,9 +134,9 @@
     from: SocketAddr,
 ) {
     let outcome = match engine.judge_claim(&claim.account, claim.counts).await {
-        ClaimVerdict::Granted => ClaimOutcome::Granted,
-        ClaimVerdict::Spent(after) => ClaimOutcome::Spent { after_ms: to_ms_rounded_up(after) },
-        ClaimVerdict::NotOwner => ClaimOutcome::NotOwner,
+        ClaimDecision::Granted => ClaimOutcome::Granted,
+        ClaimDecision::Spent(after) => ClaimOutcome::Spent { after_ms: to_ms_rounded_up(after) },
+        ClaimDecision::NotOwner => ClaimOutcome::NotOwner,
     };
     let response = ClaimAnswer { request_id: claim.request_id, outcome };
     exchange.send(&PeerMessage::ClaimAnswer(response), from).await;
--- a/crates/rudder-engine/src/limits/state.rs
+++ b/crates/rudder-engine/src/limits/state.rs
@@ -3,7 +3,7 @@
 use crate::peers::ClaimAnswer;
 use crate::sync::lock;
 use rudder_core::{AccountName, InstanceName};
-use rudder_decisions::{LimitLedger, OwnerWatch, RecentNotes};
+use rudder_decisions::{ExpiringSet, LimitLedger, OwnerWatch};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
@@ -39,9 +39,9 @@
     pub(super) ledger: LimitLedger,
     pub(super) watch: OwnerWatch,
     /// Owners that recently did not respond.
-    pub(super) silent_owners: RecentNotes<InstanceName>,
+    pub(super) silent_owners: ExpiringSet<InstanceName>,
     /// Accounts for whose claims no owner recently responded.
-    pub(super) unanswered: RecentNotes<AccountName>,
+    pub(super) unanswered: ExpiringSet<AccountName>,
     /// Time since when this instance has been in continuous contact with the fleet.
     pub(super) contact_since: Option<Duration>,
     /// Sorted by request.
@@ -56,8 +56,8 @@
         Self {
             ledger: LimitLedger::default(),
             watch: OwnerWatch::default(),
-            silent_owners: RecentNotes::new(SILENT_OWNER_TIME),
-            unanswered: RecentNotes::new(UNANSWERED_TIME),
+            silent_owners: ExpiringSet::new(SILENT_OWNER_TIME),
+            unanswered: ExpiringSet::new(UNANSWERED_TIME),
             contact_since: None,
             claims: Vec::new(),
             probes: Vec::new(),
--- a/crates/rudder-standins/examples/measure/baseline.rs
+++ b/crates/rudder-standins/examples/measure/baseline.rs
@@ -57,7 +57,7 @@
         rng: &mut dyn Rng,
     ) -> RouteChoice {
         let fresh = |view: &MemberView| {
-            let old = view.age.is_none_or(|age| age > demand.bound);
+            let old = view.age.is_none_or(|age| age > demand.max_staleness);
             view.role == MemberRole::Replica
                 && !old
                 && demand.floor.is_none_or(|floor| view.applied >= floor)
