--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -51,7 +51,7 @@
 /// ```
 /// use rand::SeedableRng;
 /// use rudder_decisions::{
-///     AdmissionGate, AdmissionRequest, AdmissionDecision, LaneKey, LaneLimits, WorkClass, WorkSize,
+///     AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, WorkClass,
 /// };
 /// use std::time::{Duration, Instant};
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -6,8 +6,8 @@
 use crate::group::ServiceGroup;
 use crate::lead::is_quorum;
 use crate::peers::{
-    PeerExchange, PeerMessage, QuestionOffset, RecordCopy, RecordTiming, RecordsAnswer,
-    RecordsDigest, RecordsQuestion, RecordsSubscriber, SampleCopy,
+    PeerExchange, PeerMessage, RecordCopy, RecordTiming, RecordsDigest, RecordsRequest,
+    RecordsResponse, RecordsSubscriber, RequestOffset, SampleCopy,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,15 +34,15 @@
     engine.membership().questions().note_question(request_id, boot_time());
     let instance = engine.identity().name.clone();
     let digest = digest_of(&engine.known_records());
-    let request = RecordsQuestion { instance, question: request_id, digest, subscribes };
-    exchange.send_all(&PeerMessage::Ask(request), receivers).await;
+    let request = RecordsRequest { instance, request_id, digest, subscribes };
+    exchange.send_all(&PeerMessage::FetchRecords(request), receivers).await;
 }
 
 /// Responds to a peer's request, and registers the peer as a subscriber if it asks for that.
 pub(super) async fn handle_request(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
-    request: RecordsQuestion,
+    request: RecordsRequest,
     from: SocketAddr,
 ) {
     if engine.groups().iter().any(|group| group.newest_sample().is_none()) {
@@ -52,7 +52,7 @@
     let subscriber = RecordsSubscriber {
         address: from,
         instance: request.instance,
-        question: request.question,
+        request_id: request.request_id,
         received_at: boot_time(),
         digest: request.digest,
     };
@@ -74,18 +74,18 @@
 
 /// Composes a response from what this instance knows, with all times relative to the receipt of
 /// the subscriber's request.
-fn compose_response(engine: &ProxyEngine, subscriber: &RecordsSubscriber) -> RecordsAnswer {
+fn compose_response(engine: &ProxyEngine, subscriber: &RecordsSubscriber) -> RecordsResponse {
     let received_at = subscriber.received_at;
-    let offset = |moment: Option<Duration>| QuestionOffset::of(moment?, received_at);
+    let offset = |moment: Option<Duration>| RequestOffset::of(moment?, received_at);
     let groups = engine.groups();
     let known: Vec<(RecordCopy, RecordTiming)> =
         groups.iter().filter_map(|group| record_with_timing(group, received_at)).collect();
     let (records, timings): (Vec<_>, _) = known.into_iter().unzip();
     let digest = digest_of(&records);
     let (entries, entries_at) = engine.membership().entries_version();
-    RecordsAnswer {
+    RecordsResponse {
         instance: engine.identity().name.clone(),
-        question: subscriber.question,
+        request_id: subscriber.request_id,
         listed: offset(engine.membership().listed_at(&subscriber.instance)),
         read: offset(engine.records_status().latest_read_at()),
         version: engine.copy_version(),
@@ -111,7 +111,7 @@
 ) -> Option<(RecordCopy, RecordTiming)> {
     let (leases, newest) = group.knowledge();
     let record = leases.record()?.clone();
-    let offset = |moment| QuestionOffset::of(moment, received_at);
+    let offset = |moment| RequestOffset::of(moment, received_at);
     let sample =
         newest.map(|sample| SampleCopy { stamp: sample.stamp, sent: offset(sample.sent_at) });
     let timing = RecordTiming {
@@ -126,7 +126,7 @@
 pub(super) async fn handle_response(
     engine: &Arc<ProxyEngine>,
     exchange: &PeerExchange,
-    response: RecordsAnswer,
+    response: RecordsResponse,
     from: SocketAddr,
 ) {
     if apply_response(engine, response, from) {
@@ -137,12 +137,12 @@
 /// Applies a response. Returns whether it confirms the records for a later time than was known.
 /// Two instances that subscribe to each other stop notifying by this rule, as no response is newer
 /// than the information it was composed from.
-fn apply_response(engine: &Arc<ProxyEngine>, response: RecordsAnswer, from: SocketAddr) -> bool {
-    let request_id = response.question;
+fn apply_response(engine: &Arc<ProxyEngine>, response: RecordsResponse, from: SocketAddr) -> bool {
+    let request_id = response.request_id;
     let Some(requested_at) = engine.membership().questions().asked_at(request_id) else {
         return false;
     };
-    let moment = |offset: QuestionOffset| offset.since(requested_at);
+    let moment = |offset: RequestOffset| offset.to_moment(requested_at);
     let first = engine.membership().questions().note_answer(request_id, &response.instance);
     if let Some(listed) = response.listed {
         engine.renew_registration(moment(listed));
--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -80,11 +80,13 @@
             PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&engine, heartbeat, from),
             PeerMessage::Announce(copy) => handle_announce(&engine, &exchange, copy, from).await,
             PeerMessage::Stopped(notice) => engine.membership().note_stopped(notice),
-            PeerMessage::Ask(request) => handle_request(&engine, &exchange, request, from).await,
+            PeerMessage::FetchRecords(request) => {
+                handle_request(&engine, &exchange, request, from).await
+            }
             PeerMessage::Records(reply) => handle_response(&engine, &exchange, reply, from).await,
             PeerMessage::Claim(claim) => answer_claim(&engine, &exchange, claim, from).await,
-            PeerMessage::ClaimAnswer(response) => engine.take_claim_answer(response, from),
-            PeerMessage::AskCopy(request) => answer_copy(&engine, &exchange, request, from).await,
+            PeerMessage::ClaimResponse(response) => engine.take_claim_answer(response, from),
+            PeerMessage::FetchCopy(request) => answer_copy(&engine, &exchange, request, from).await,
             PeerMessage::Copy(response) => engine.pending_copy().take(response),
         }
     }
--- a/crates/rudder-engine/src/duty/tests/answers.rs
+++ b/crates/rudder-engine/src/duty/tests/answers.rs
@@ -56,7 +56,7 @@
         let next = tokio::time::timeout(limit, self.exchange.receive()).await;
         let Ok((message, from)) = next else { return false };
         match message {
-            PeerMessage::Ask(request) => {
+            PeerMessage::FetchRecords(request) => {
                 handle_request(&self.engine, &self.exchange, request, from).await;
             }
             PeerMessage::Records(response) => {
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -4,7 +4,7 @@
 use super::ProxyEngine;
 use crate::clock::boot_time;
 use crate::group::MemberEntry;
-use crate::peers::{CopyRequest, CopyVersion, EntriesCopy, FleetCopy, MembersCopy, QuestionOffset};
+use crate::peers::{CopyRequest, CopyVersion, EntriesCopy, FleetCopy, MembersCopy, RequestOffset};
 use crate::settings::{AccountTable, FleetSettings};
 use crate::sync::lock;
 use rudder_core::ServiceName;
@@ -89,7 +89,7 @@
             && let Some(entries) = list.resolve(&self.membership.entries().0)
         {
             log::info!(instances = entries.len(); "received the list of instances from a peer");
-            let read_at = read.since(requested_at);
+            let read_at = read.to_moment(requested_at);
             let own = &self.identity.name;
             if !entries.iter().any(|entry| entry.instance == *own)
                 && lock(&self.own_entry).miss(read_at)
@@ -112,7 +112,7 @@
         let newer = self.membership.entries_version().0 != request.entries;
         let entries = newer.then(|| {
             let (list, read_at) = self.membership.copy_entries(request.entries);
-            EntriesCopy { list, read: QuestionOffset::of(read_at, received_at) }
+            EntriesCopy { list, read: RequestOffset::of(read_at, received_at) }
         });
         FleetCopy { settings: settings.map(|settings| settings.as_ref().clone()), members, entries }
     }
--- a/crates/rudder-engine/src/lead/tests/model/subscriber.rs
+++ b/crates/rudder-engine/src/lead/tests/model/subscriber.rs
@@ -3,7 +3,7 @@
 use super::{DisabledCheck, Model};
 use crate::lead::tests::message::Message;
 use crate::lead::tests::ms;
-use crate::peers::QuestionOffset;
+use crate::peers::RequestOffset;
 use rand::rngs::StdRng;
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
         let known_at = leases.confirmed_at();
         for subscriber in self.instances[index].subscribers.clone() {
             let Subscriber { from, process, request_sent_at, received_at } = subscriber;
-            let offset = QuestionOffset::of(known_at, received_at);
+            let offset = RequestOffset::of(known_at, received_at);
             let confirmed_at = match self.disabled_check {
                 // The age is subtracted from the time of arrival, which is at most this much later.
                 DisabledCheck::AgeOfRepeatedResponse => known_at + ms(3000),
-                _ => offset.map_or(Duration::ZERO, |offset| offset.since(request_sent_at)),
+                _ => offset.map_or(Duration::ZERO, |offset| offset.to_moment(request_sent_at)),
             };
             let (record, from_store) = (record.clone(), false);
             let response = Message::Record { to: from, process, record, confirmed_at, from_store };
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -5,7 +5,7 @@
 use crate::engine::ProxyEngine;
 use crate::identity::DrainPhase;
 use crate::peers::{
-    ClaimAnswer, ClaimOutcome, LimitOwner, OperationClaim, PeerExchange, PeerMessage,
+    ClaimOutcome, ClaimResponse, LimitOwner, OperationClaim, PeerExchange, PeerMessage,
 };
 use rudder_core::AccountName;
 use rudder_decisions::{ClaimDecision, FleetContact, LimitBounds, OperationLimit, OwnerRole};
@@ -114,7 +114,7 @@
     }
 
     /// Applies the response to a claim or to a probe of this instance.
-    pub(crate) fn take_claim_answer(&self, response: ClaimAnswer, from: SocketAddr) {
+    pub(crate) fn take_claim_answer(&self, response: ClaimResponse, from: SocketAddr) {
         let mut state = self.limits().state();
         match state.end_probe(response.request_id) {
             Some((account, owner)) => {
@@ -138,8 +138,8 @@
         ClaimDecision::Spent(after) => ClaimOutcome::Spent { after_ms: to_ms_rounded_up(after) },
         ClaimDecision::NotOwner => ClaimOutcome::NotOwner,
     };
-    let response = ClaimAnswer { request_id: claim.request_id, outcome };
-    exchange.send(&PeerMessage::ClaimAnswer(response), from).await;
+    let response = ClaimResponse { request_id: claim.request_id, outcome };
+    exchange.send(&PeerMessage::ClaimResponse(response), from).await;
 }
 
 fn to_ms_rounded_up(time: Duration) -> u32 {
--- a/crates/rudder-engine/src/limits/state.rs
+++ b/crates/rudder-engine/src/limits/state.rs
@@ -1,6 +1,6 @@
 //! State of the accounts' limits in one instance.
 
-use crate::peers::ClaimAnswer;
+use crate::peers::ClaimResponse;
 use crate::sync::lock;
 use rudder_core::{AccountName, InstanceName};
 use rudder_decisions::{ExpiringSet, LimitLedger, OwnerWatch};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) struct ReceivedResponse {
     pub(super) from: SocketAddr,
-    pub(super) response: ClaimAnswer,
+    pub(super) response: ClaimResponse,
 }
 
 /// Claim that waits for its responses.
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -9,7 +9,7 @@
 use super::list_change::{CopiedList, ListDigest};
 use super::membership_state::PeerEntry;
 use super::message::{CopyQuery, CopyResponse, PeerMessage};
-use super::offset::QuestionOffset;
+use super::offset::RequestOffset;
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::group::MemberEntry;
@@ -84,7 +84,7 @@
     pub(crate) struct EntriesCopy {
         pub(crate) list: CopiedList<PeerEntry, InstanceName>,
         /// Time at which the store had the list, relative to the request.
-        pub(crate) read: Option<QuestionOffset>,
+        pub(crate) read: Option<RequestOffset>,
     }
 }
 
@@ -233,7 +233,7 @@
     request: CopyRequest,
 ) -> Option<Vec<u8>> {
     let (request_id, response) = engine.pending_copy().begin();
-    let message = PeerMessage::AskCopy(CopyQuery { request_id, request });
+    let message = PeerMessage::FetchCopy(CopyQuery { request_id, request });
     engine.exchange()?.send(&message, peer).await;
     // Without a response, a connection attempt shows whether the peer is running.
     tokio::time::timeout(DATAGRAM_TIMEOUT, response).await.ok()?.ok()?
--- a/crates/rudder-engine/src/peers/message.rs
+++ b/crates/rudder-engine/src/peers/message.rs
@@ -3,7 +3,7 @@
 use super::digest::RecordsDigest;
 use super::fleet_copy::{CopyRequest, CopyVersion};
 use super::list_change::ListDigest;
-use super::offset::QuestionOffset;
+use super::offset::RequestOffset;
 use crate::lead::{LeadRecord, LeaderEpoch};
 use rudder_core::{AccountName, DomainName, InstanceName, LogStamp, ServiceName, plain_data};
 use serde::{Deserialize, Serialize};
@@ -52,10 +52,10 @@
     #[derive(Copy, Serialize, Deserialize)]
     pub(crate) struct RecordTiming {
         /// Time at which the store had the record.
-        pub(crate) confirmed: Option<QuestionOffset>,
+        pub(crate) confirmed: Option<RequestOffset>,
         /// Time at which the store, or a majority of instances, knew no later version; never
         /// earlier than `confirmed`.
-        pub(crate) anchor: Option<QuestionOffset>,
+        pub(crate) anchor: Option<RequestOffset>,
         pub(crate) sample: Option<SampleCopy>,
     }
 }
@@ -66,7 +66,7 @@
     pub(crate) struct SampleCopy {
         pub(crate) stamp: LogStamp,
         /// Time at which the position was requested.
-        pub(crate) sent: Option<QuestionOffset>,
+        pub(crate) sent: Option<RequestOffset>,
     }
 }
 
@@ -83,11 +83,11 @@
 plain_data! {
     /// Request for all records.
     #[derive(Serialize, Deserialize)]
-    pub(crate) struct RecordsQuestion {
+    pub(crate) struct RecordsRequest {
         /// Requesting instance.
         pub(crate) instance: InstanceName,
         /// Number of the request, which is returned in each response.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         /// Versions that the requester knows.
         pub(crate) digest: RecordsDigest,
         /// Whether the requester wants further responses, for a limited time, whenever newer state
@@ -99,24 +99,24 @@
 plain_data! {
     /// State of all records as known to an instance.
     #[derive(Serialize, Deserialize)]
-    pub(crate) struct RecordsAnswer {
+    pub(crate) struct RecordsResponse {
         /// Responding instance.
         pub(crate) instance: InstanceName,
         /// Number of the request.
-        pub(crate) question: u64,
+        pub(crate) request_id: u64,
         /// Time at which the store had the receiver in the instance list; `None` if it did not, or
         /// if the entry is about to be removed.
-        pub(crate) listed: Option<QuestionOffset>,
+        pub(crate) listed: Option<RequestOffset>,
         /// Time at which the store was last polled for all records.
-        pub(crate) read: Option<QuestionOffset>,
+        pub(crate) read: Option<RequestOffset>,
         /// Versions of the settings and members that the sender knows.
         pub(crate) version: CopyVersion,
         /// Time at which these were last known to be current.
-        pub(crate) current: Option<QuestionOffset>,
+        pub(crate) current: Option<RequestOffset>,
         /// Digest of the instance list that the sender knows.
         pub(crate) entries: ListDigest,
         /// Time at which the store had that list.
-        pub(crate) entries_read: Option<QuestionOffset>,
+        pub(crate) entries_read: Option<RequestOffset>,
         /// Whether the sender itself confirms that it knows no later versions of the records.
         pub(crate) confirms: bool,
         /// Versions of the records that the timings belong to.
@@ -180,7 +180,7 @@
 plain_data! {
     /// Response to a claim.
     #[derive(Copy, Serialize, Deserialize)]
-    pub(crate) struct ClaimAnswer {
+    pub(crate) struct ClaimResponse {
         /// Number of the claim.
         pub(crate) request_id: u64,
         pub(crate) outcome: ClaimOutcome,
@@ -197,15 +197,15 @@
     /// Response to an announced version.
     Stopped(StopNotice),
     /// Request for all records.
-    Ask(RecordsQuestion),
+    FetchRecords(RecordsRequest),
     /// Response to a request for all records.
-    Records(RecordsAnswer),
+    Records(RecordsResponse),
     /// Claim of an operation of an account.
     Claim(OperationClaim),
     /// Response to a claim.
-    ClaimAnswer(ClaimAnswer),
+    ClaimResponse(ClaimResponse),
     /// Request for the store's state as known to the receiver.
-    AskCopy(CopyQuery),
+    FetchCopy(CopyQuery),
     /// Response to a request for a copy.
     Copy(CopyResponse),
 }
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -28,10 +28,10 @@
 pub(crate) use membership::MembershipView;
 pub(crate) use membership_state::{LimitOwner, PeerEntry};
 pub(crate) use message::{
-    ClaimAnswer, ClaimOutcome, OperationClaim, PeerHeartbeat, PeerMessage, PrimaryDoubt,
-    RecordCopy, RecordTiming, RecordsAnswer, RecordsQuestion, SampleCopy, StopNotice,
+    ClaimOutcome, ClaimResponse, OperationClaim, PeerHeartbeat, PeerMessage, PrimaryDoubt,
+    RecordCopy, RecordTiming, RecordsRequest, RecordsResponse, SampleCopy, StopNotice,
 };
-pub(crate) use offset::QuestionOffset;
+pub(crate) use offset::RequestOffset;
 pub(crate) use subscribers::RecordsSubscriber;
 
 #[cfg(test)]
--- a/crates/rudder-engine/src/peers/offset.rs
+++ b/crates/rudder-engine/src/peers/offset.rs
@@ -11,9 +11,9 @@
 /// therefore never later than the actual time, however long request and response were in transit,
 /// and one request can get several responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(crate) struct QuestionOffset(i64);
+pub(crate) struct RequestOffset(i64);
 
-impl QuestionOffset {
+impl RequestOffset {
     /// Returns the offset of `moment`, rounded down; `None` for zero, which stands for a time that
     /// never occurred.
     pub(crate) fn of(moment: Duration, received_at: Duration) -> Option<Self> {
@@ -26,10 +26,10 @@
     }
 
     /// Returns the point in time, or an earlier one, by the clock of the instance that sent the
-    /// request at `asked_at`.
-    pub(crate) fn since(self, asked_at: Duration) -> Duration {
+    /// request at `sent_at`.
+    pub(crate) fn to_moment(self, sent_at: Duration) -> Duration {
         let offset = Duration::from_millis(self.0.unsigned_abs());
-        if self.0 < 0 { asked_at.saturating_sub(offset) } else { asked_at.saturating_add(offset) }
+        if self.0 < 0 { sent_at.saturating_sub(offset) } else { sent_at.saturating_add(offset) }
     }
 }
 
--- a/crates/rudder-engine/src/peers/subscribers.rs
+++ b/crates/rudder-engine/src/peers/subscribers.rs
@@ -22,7 +22,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) instance: InstanceName,
     /// Number of the request that subscribed.
-    pub(crate) question: u64,
+    pub(crate) request_id: u64,
     /// Time at which the request was received.
     pub(crate) received_at: Duration,
     /// Versions that the subscriber knew at that time.
--- a/crates/rudder-engine/src/peers/tests/message.rs
+++ b/crates/rudder-engine/src/peers/tests/message.rs
@@ -2,8 +2,8 @@
 
 use crate::peers::list_change::ListDigest;
 use crate::peers::{
-    CopyVersion, PeerHeartbeat, PeerMessage, QuestionOffset, RecordTiming, RecordsAnswer,
-    RecordsDigest, SampleCopy,
+    CopyVersion, PeerHeartbeat, PeerMessage, RecordTiming, RecordsDigest, RecordsResponse,
+    RequestOffset, SampleCopy,
 };
 use rudder_core::LogStamp;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 /// Maximum size of a datagram.
 const DATAGRAM_MAX: usize = 16_384;
 
-fn offset(ms: u64) -> Option<QuestionOffset> {
-    QuestionOffset::of(Duration::from_millis(100_000 + ms), Duration::from_millis(100_000))
+fn offset(ms: u64) -> Option<RequestOffset> {
+    RequestOffset::of(Duration::from_millis(100_000 + ms), Duration::from_millis(100_000))
 }
 
 /// Returns a response to an instance that knows the records of `services` services.
 fn response(services: usize) -> PeerMessage {
     let sample = SampleCopy { stamp: LogStamp::new(3, 120_000), sent: offset(400) };
     let timing = RecordTiming { confirmed: offset(450), anchor: offset(450), sample: Some(sample) };
-    PeerMessage::Records(RecordsAnswer {
+    PeerMessage::Records(RecordsResponse {
         instance: "frontend-johannesburg-a-17".parse().expect("a name"),
-        question: u64::MAX,
+        request_id: u64::MAX,
         listed: offset(0),
         read: offset(450),
         version: CopyVersion::default(),
--- a/crates/rudder-engine/src/peers/tests/offset.rs
+++ b/crates/rudder-engine/src/peers/tests/offset.rs
@@ -1,13 +1,13 @@
 //! Points in time that instances exchange.
 
-use crate::peers::QuestionOffset;
+use crate::peers::RequestOffset;
 use std::time::Duration;
 
 const RECEIVED_AT: Duration = Duration::from_millis(1_000);
 const REQUEST_SENT_AT: Duration = Duration::from_millis(500_000);
 
 fn received(moment: Duration) -> Option<Duration> {
-    QuestionOffset::of(moment, RECEIVED_AT).map(|offset| offset.since(REQUEST_SENT_AT))
+    RequestOffset::of(moment, RECEIVED_AT).map(|offset| offset.to_moment(REQUEST_SENT_AT))
 }
 
 #[test]
@@ -22,11 +22,11 @@
 #[test]
 fn fractions_of_a_millisecond_round_to_an_earlier_moment() {
     let moment = received(Duration::from_micros(700_900));
-    let late = QuestionOffset::of(Duration::from_millis(700), Duration::from_micros(1_000_100));
+    let late = RequestOffset::of(Duration::from_millis(700), Duration::from_micros(1_000_100));
 
     assert_eq!(moment, Some(Duration::from_millis(499_700)));
     assert_eq!(
-        late.map(|offset| offset.since(REQUEST_SENT_AT)),
+        late.map(|offset| offset.to_moment(REQUEST_SENT_AT)),
         Some(Duration::from_millis(499_699))
     );
 }
--- a/crates/rudder-engine/src/peers/tests/subscribers.rs
+++ b/crates/rudder-engine/src/peers/tests/subscribers.rs
@@ -4,18 +4,18 @@
 use crate::peers::{RecordsDigest, RecordsSubscriber};
 use std::time::Duration;
 
-fn subscriber(host: u8, question: u64, received_at: Duration) -> RecordsSubscriber {
+fn subscriber(host: u8, request_id: u64, received_at: Duration) -> RecordsSubscriber {
     RecordsSubscriber {
         address: ([10, 0, 0, host], 7440).into(),
         instance: format!("entry-{host}").parse().expect("a name"),
-        question,
+        request_id,
         received_at,
         digest: RecordsDigest::default(),
     }
 }
 
 fn request_ids(list: &mut SubscriberList, now: Duration) -> Vec<u64> {
-    list.live(now).into_iter().map(|subscriber| subscriber.question).collect()
+    list.live(now).into_iter().map(|subscriber| subscriber.request_id).collect()
 }
 
 #[test]
