--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -31,7 +31,7 @@
     request_id: u64,
     subscribes: bool,
 ) {
-    engine.membership().questions().note_question(request_id, boot_time());
+    engine.membership().requests().record_request(request_id, boot_time());
     let instance = engine.identity().name.clone();
     let digest = digest_of(&engine.known_records());
     let request = RecordsRequest { instance, request_id, digest, subscribes };
@@ -139,11 +139,11 @@
 /// than the information it was composed from.
 fn apply_response(engine: &Arc<ProxyEngine>, response: RecordsResponse, from: SocketAddr) -> bool {
     let request_id = response.request_id;
-    let Some(requested_at) = engine.membership().questions().asked_at(request_id) else {
+    let Some(requested_at) = engine.membership().requests().sent_at(request_id) else {
         return false;
     };
     let moment = |offset: RequestOffset| offset.to_moment(requested_at);
-    let first = engine.membership().questions().note_answer(request_id, &response.instance);
+    let first = engine.membership().requests().record_response(request_id, &response.instance);
     if let Some(listed) = response.listed {
         engine.renew_registration(moment(listed));
     }
@@ -181,9 +181,9 @@
             renewed |= engine.confirm_by_majority(&copy.service, epoch, moment(anchor));
         }
         if counts {
-            let mut questions = engine.membership().questions();
-            let count = questions.count_confirmation(request_id, &copy.service, epoch);
-            drop(questions);
+            let mut requests = engine.membership().requests();
+            let count = requests.count_confirmation(request_id, &copy.service, epoch);
+            drop(requests);
             if is_quorum(count, instances) {
                 renewed |= engine.confirm_by_majority(&copy.service, epoch, requested_at);
             }
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -215,7 +215,7 @@
             .await;
             tokio::time::sleep(POLL_INTERVAL).await;
             if is_quorum(
-                membership.questions().answer_count(request_id) + 1,
+                membership.requests().response_count(request_id) + 1,
                 membership.known_count(),
             ) {
                 return true;
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the log of this instance's own requests.
-    pub(crate) fn questions(&self) -> MutexGuard<'_, RequestLog> {
+    pub(crate) fn requests(&self) -> MutexGuard<'_, RequestLog> {
         lock(&self.requests)
     }
 
--- a/crates/rudder-engine/src/peers/requests.rs
+++ b/crates/rudder-engine/src/peers/requests.rs
@@ -36,7 +36,7 @@
 impl RequestLog {
     /// Records that a request is sent at `now`. A request that is sent again counts from the first
     /// time.
-    pub(crate) fn note_question(&mut self, request_id: u64, now: Duration) {
+    pub(crate) fn record_request(&mut self, request_id: u64, now: Duration) {
         if self.find(request_id).is_some() {
             return;
         }
@@ -48,13 +48,13 @@
     }
 
     /// Returns when a request was sent. Several peers may respond to the same one.
-    pub(crate) fn asked_at(&self, request_id: u64) -> Option<Duration> {
+    pub(crate) fn sent_at(&self, request_id: u64) -> Option<Duration> {
         let request = self.requests.iter().find(|known| known.request_id == request_id);
         request.map(|known| known.sent_at)
     }
 
     /// Records that an instance responded to a request. Returns whether it is its first response.
-    pub(crate) fn note_answer(&mut self, request_id: u64, instance: &InstanceName) -> bool {
+    pub(crate) fn record_response(&mut self, request_id: u64, instance: &InstanceName) -> bool {
         let Some(request) = self.find(request_id) else { return false };
         match request.responders.binary_search(instance) {
             Ok(_) => false,
@@ -66,7 +66,7 @@
     }
 
     /// Returns the number of instances that responded to a request.
-    pub(crate) fn answer_count(&self, request_id: u64) -> usize {
+    pub(crate) fn response_count(&self, request_id: u64) -> usize {
         let request = self.requests.iter().find(|known| known.request_id == request_id);
         request.map_or(0, |known| known.responders.len())
     }
