--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -9,8 +9,8 @@
 use crate::lead::{LeadPhase, LeaderEpoch};
 use crate::limits::answer_claim;
 use crate::peers::{
-    CopyVersion, PeerExchange, PeerHeartbeat, PeerMessage, PrimaryDoubt, RecordCopy, StopNotice,
-    answer_copy, fetch_copy,
+    CopyVersion, PeerExchange, PeerHeartbeat, PeerMessage, PrimarySuspicion, RecordCopy,
+    StopNotice, answer_copy, fetch_copy,
 };
 use rudder_core::ServiceName;
 use std::net::SocketAddr;
@@ -54,10 +54,10 @@
 }
 
 fn compose_heartbeat(engine: &ProxyEngine) -> PeerHeartbeat {
-    // Only readers watch the primaries, so only their doubts count.
+    // Only readers watch the primaries, so only their suspicions count.
     let reads = engine.membership().is_reader();
-    let doubted = |group: &Arc<ServiceGroup>| reads && group.silent_since().is_some();
-    let doubts = engine.groups().into_iter().filter(doubted).map(|group| PrimaryDoubt {
+    let suspected = |group: &Arc<ServiceGroup>| reads && group.silent_since().is_some();
+    let suspicions = engine.groups().into_iter().filter(suspected).map(|group| PrimarySuspicion {
         service: group.service().clone(),
         epoch: group.with_leases(|leases| leases.epoch()),
     });
@@ -66,9 +66,9 @@
         process: engine.process(),
         domain: engine.identity().domain.clone(),
         version: engine.copy_version(),
-        turned_away: engine.membership().is_turned_away(),
+        store_unreachable: engine.membership().is_store_unreachable(),
         leaving: engine.drain_phase() != DrainPhase::Serving,
-        doubts: doubts.collect(),
+        suspicions: suspicions.collect(),
     }
 }
 
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -229,7 +229,7 @@
     }
 
     /// Returns whether the store recently did not respond to this instance.
-    pub(crate) fn is_turned_away(&self) -> bool {
+    pub(crate) fn is_store_unreachable(&self) -> bool {
         self.state().is_store_unreachable(boot_time())
     }
 
@@ -309,8 +309,10 @@
             let found =
                 state.received.iter().find(|received| received.heartbeat.instance == *instance);
             found.is_some_and(|received| {
-                let doubts = &received.heartbeat.doubts;
-                doubts.iter().any(|doubt| doubt.service == *service && doubt.epoch == epoch)
+                let suspicions = &received.heartbeat.suspicions;
+                suspicions
+                    .iter()
+                    .any(|suspicion| suspicion.service == *service && suspicion.epoch == epoch)
             })
         };
         let vote = |reader: ReaderCandidate| PeerVote {
--- a/crates/rudder-engine/src/peers/membership_state.rs
+++ b/crates/rudder-engine/src/peers/membership_state.rs
@@ -97,7 +97,7 @@
                 instance: received.heartbeat.instance.clone(),
                 domain: received.heartbeat.domain.clone(),
                 address: Some(received.from),
-                store_unreachable: received.heartbeat.turned_away,
+                store_unreachable: received.heartbeat.store_unreachable,
             })
             .collect();
         all.push(ReaderCandidate {
--- a/crates/rudder-engine/src/peers/message.rs
+++ b/crates/rudder-engine/src/peers/message.rs
@@ -11,7 +11,7 @@
 plain_data! {
     /// Report of an instance that it cannot reach the primary of a service.
     #[derive(Serialize, Deserialize)]
-    pub(crate) struct PrimaryDoubt {
+    pub(crate) struct PrimarySuspicion {
         pub(crate) service: ServiceName,
         /// Version of the record that names the primary.
         pub(crate) epoch: LeaderEpoch,
@@ -29,11 +29,11 @@
         /// Versions of the settings and members that the sender knows.
         pub(crate) version: CopyVersion,
         /// Whether the store does not respond to the sender.
-        pub(crate) turned_away: bool,
+        pub(crate) store_unreachable: bool,
         /// Whether it is about to stop.
         pub(crate) leaving: bool,
         /// Services whose primary the sender cannot reach.
-        pub(crate) doubts: Vec<PrimaryDoubt>,
+        pub(crate) suspicions: Vec<PrimarySuspicion>,
     }
 }
 
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use membership::MembershipView;
 pub(crate) use membership_state::{LimitOwner, PeerEntry};
 pub(crate) use message::{
-    ClaimOutcome, ClaimResponse, OperationClaim, PeerHeartbeat, PeerMessage, PrimaryDoubt,
+    ClaimOutcome, ClaimResponse, OperationClaim, PeerHeartbeat, PeerMessage, PrimarySuspicion,
     RecordCopy, RecordTiming, RecordsRequest, RecordsResponse, SampleCopy, StopNotice,
 };
 pub(crate) use offset::RequestOffset;
--- a/crates/rudder-engine/src/peers/tests/message.rs
+++ b/crates/rudder-engine/src/peers/tests/message.rs
@@ -62,9 +62,9 @@
         process: u64::MAX,
         domain: "johannesburg-a".parse().expect("a name"),
         version: CopyVersion::default(),
-        turned_away: false,
+        store_unreachable: false,
         leaving: false,
-        doubts: Vec::new(),
+        suspicions: Vec::new(),
     };
 
     let bytes = size(&PeerMessage::Heartbeat(heartbeat));
