--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -3,7 +3,7 @@
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::identity::DrainPhase;
-use crate::peers::{EntryLedger, EntryVerdict, PeerEntry};
+use crate::peers::{EntryDecision, EntryLedger, PeerEntry};
 use rudder_core::{DomainName, InstanceName};
 use rudder_store::{ObjectKind, ObjectVersion, StoreError, StoredObject};
 use serde::{Deserialize, Serialize};
@@ -210,10 +210,10 @@
     for (entry, version) in entries.iter().filter(|(entry, _)| near(entry)) {
         let heard_at = engine.membership().heard_at(&entry.instance);
         let now = boot_time();
-        match ledger.judge(&entry.instance, &version.0, entry.marked, heard_at, now) {
-            EntryVerdict::Keep => {}
-            EntryVerdict::Mark => mark_entry(engine, entry, version).await?,
-            EntryVerdict::Remove => remove_entry(engine, &entry.instance, version).await?,
+        match ledger.decide(&entry.instance, &version.0, entry.marked, heard_at, now) {
+            EntryDecision::Keep => {}
+            EntryDecision::Mark => mark_entry(engine, entry, version).await?,
+            EntryDecision::Remove => remove_entry(engine, &entry.instance, version).await?,
         }
     }
     Ok(())
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -53,7 +53,7 @@
     /// Applies the members of all services, as the store had them at `revision`.
     pub fn apply_members(&self, entries: &[MemberEntry], revision: u64) {
         self.confirm_members();
-        let changed = lock(&self.store_snapshot).take_members(entries, revision);
+        let changed = lock(&self.store_snapshot).apply_members(entries, revision);
         if changed {
             self.update_groups(entries, "store");
         }
@@ -63,7 +63,7 @@
     /// revision 0, so that any list that a peer received from the store replaces it.
     pub fn apply_cached_members(&self, entries: &[MemberEntry]) {
         let mut snapshot = lock(&self.store_snapshot);
-        let changed = snapshot.is_blank() && snapshot.take_members(entries, 0);
+        let changed = snapshot.is_blank() && snapshot.apply_members(entries, 0);
         drop(snapshot);
         if changed {
             self.update_groups(entries, "cache");
@@ -79,7 +79,7 @@
         if let Some(copy) = copy.members {
             let mut snapshot = lock(&self.store_snapshot);
             let members = copy.list.resolve(snapshot.members().0);
-            let members = members.filter(|members| snapshot.take_copy(members, copy.version));
+            let members = members.filter(|members| snapshot.apply_copy(members, copy.version));
             drop(snapshot);
             if let Some(members) = members {
                 self.update_groups(&members, "peer");
@@ -92,7 +92,7 @@
             let read_at = read.to_moment(requested_at);
             let own = &self.identity.name;
             if !entries.iter().any(|entry| entry.instance == *own)
-                && lock(&self.own_entry).miss(read_at)
+                && lock(&self.own_entry).observe_missing(read_at)
             {
                 log::warn!(instance:% = own; "this instance is missing from the list of instances");
             }
@@ -180,9 +180,9 @@
     pub(crate) fn record_peer_confirmation(&self, version: CopyVersion, moment: Option<Duration>) {
         let current = !self.copy_version().lacks(version);
         let mut snapshot = lock(&self.store_snapshot);
-        snapshot.note_heard(boot_time());
+        snapshot.record_peer_response(boot_time());
         if let Some(moment) = moment.filter(|_| current) {
-            snapshot.note_told(moment);
+            snapshot.confirm_by_peer(moment);
         }
     }
 
@@ -195,6 +195,6 @@
             true => (READER_CONFIRMATION_MAX_AGE, READER_CONFIRMATION_MAX_AGE),
             false => (FOLLOWER_CONFIRMATION_MAX_AGE, FOLLOWER_FALLBACK_MAX_AGE),
         };
-        lock(&self.store_snapshot).is_told(max_age, longer_max_age, boot_time())
+        lock(&self.store_snapshot).is_confirmed_by_peers(max_age, longer_max_age, boot_time())
     }
 }
--- a/crates/rudder-engine/src/engine/leadership.rs
+++ b/crates/rudder-engine/src/engine/leadership.rs
@@ -18,9 +18,9 @@
     /// lacked it.
     pub(crate) fn set_listed(&self, listed_at: Option<Duration>) {
         let entered = match listed_at {
-            Some(listed_at) => lock(&self.own_entry).show(listed_at, boot_time()),
+            Some(listed_at) => lock(&self.own_entry).observe_listed(listed_at, boot_time()),
             None => {
-                lock(&self.own_entry).hide();
+                lock(&self.own_entry).clear();
                 false
             }
         };
--- a/crates/rudder-engine/src/lead/tests/model.rs
+++ b/crates/rudder-engine/src/lead/tests/model.rs
@@ -103,7 +103,7 @@
 impl Model {
     pub(super) fn new(disabled_check: DisabledCheck, list_changes: ListChanges) -> Self {
         let mut entry = OwnEntry::default();
-        entry.show(Duration::ZERO, Duration::ZERO);
+        entry.observe_listed(Duration::ZERO, Duration::ZERO);
         let instance = || Instance {
             leases: LeaseTable::default(),
             frozen_until: Duration::ZERO,
@@ -221,7 +221,7 @@
                 }
             }
             Message::Registered { to, written_at, .. } => {
-                self.instances[to].entry.show(written_at, now);
+                self.instances[to].entry.observe_listed(written_at, now);
             }
             Message::Confirm { to, from, request_sent_at, request_id, epoch, .. } => {
                 self.handle_confirmation(to, from, request_sent_at, request_id, epoch);
--- a/crates/rudder-engine/src/own_entry.rs
+++ b/crates/rudder-engine/src/own_entry.rs
@@ -3,7 +3,7 @@
 //! A change of primary waits for the instances in the list. A lease is therefore valid only if the
 //! instance's entry was in the list before the record that grants it was read, and still is.
 
-use crate::peers::LISTED_LIFE;
+use crate::peers::LISTING_VALIDITY;
 use std::time::Duration;
 
 /// State of the own entry as known to this instance.
@@ -20,7 +20,7 @@
 impl OwnEntry {
     /// Records that the list showed the entry at `listed_at`, which is known at `now`. Returns
     /// whether the entry was not known to be in the list before.
-    pub(crate) fn show(&mut self, listed_at: Duration, now: Duration) -> bool {
+    pub(crate) fn observe_listed(&mut self, listed_at: Duration, now: Duration) -> bool {
         if self.has_left {
             return false;
         }
@@ -33,7 +33,7 @@
     }
 
     /// Records that the list lacks the entry.
-    pub(crate) fn hide(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.listed_at = None;
     }
 
@@ -42,7 +42,7 @@
     /// A read of the list that was sent before and completes afterwards still shows the entry. By
     /// it, this instance would lead while changes of primary no longer wait for it.
     pub(crate) fn leave(&mut self) {
-        self.hide();
+        self.clear();
         self.has_left = true;
     }
 
@@ -56,10 +56,10 @@
     ///
     /// An instance must not lead by an entry that was removed while no peer sends it a list that
     /// shows the entry.
-    pub(crate) fn miss(&mut self, read_at: Duration) -> bool {
+    pub(crate) fn observe_missing(&mut self, read_at: Duration) -> bool {
         let removed = self.listed_at.is_some() && read_at > self.registered_by;
         if removed {
-            self.hide();
+            self.clear();
         }
         removed
     }
@@ -76,7 +76,7 @@
     /// begin and read the list, and only then the entry may be written. That change does not wait
     /// for this instance, so confirmations from before the registration do not count.
     pub(crate) fn may_lead_by(&self, confirmed_at: Duration, now: Duration) -> bool {
-        let stands = self.listed_at.is_some_and(|at| now < at + LISTED_LIFE);
+        let stands = self.listed_at.is_some_and(|at| now < at + LISTING_VALIDITY);
         stands && confirmed_at >= self.registered_by
     }
 }
--- a/crates/rudder-engine/src/own_entry/tests.rs
+++ b/crates/rudder-engine/src/own_entry/tests.rs
@@ -1,5 +1,5 @@
 use super::OwnEntry;
-use crate::peers::LISTED_LIFE;
+use crate::peers::LISTING_VALIDITY;
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -13,7 +13,7 @@
     // permit acknowledgments for the replaced primary.
     let mut entry = OwnEntry::default();
 
-    let registered = entry.show(ms(100), ms(140));
+    let registered = entry.observe_listed(ms(100), ms(140));
 
     assert!(registered);
     assert!(!entry.may_lead_by(ms(139), ms(150)));
@@ -23,9 +23,9 @@
 #[test]
 fn an_entry_read_again_counts_from_its_registration() {
     let mut entry = OwnEntry::default();
-    entry.show(ms(100), ms(140));
+    entry.observe_listed(ms(100), ms(140));
 
-    let registered = entry.show(ms(4000), ms(4040));
+    let registered = entry.observe_listed(ms(4000), ms(4040));
 
     assert!(!registered);
     assert!(entry.may_lead_by(ms(3900), ms(4050)));
@@ -34,11 +34,11 @@
 #[test]
 fn an_entry_that_was_missing_counts_from_its_reappearance() {
     let mut entry = OwnEntry::default();
-    entry.show(ms(100), ms(140));
-    entry.hide();
+    entry.observe_listed(ms(100), ms(140));
+    entry.clear();
     let hidden = entry.may_lead_by(ms(5000), ms(5000));
 
-    let registered = entry.show(ms(6000), ms(6040));
+    let registered = entry.observe_listed(ms(6000), ms(6040));
 
     assert!(!hidden && registered);
     assert!(!entry.may_lead_by(ms(6010), ms(6050)));
@@ -47,8 +47,8 @@
 #[test]
 fn an_entry_without_a_recent_read_gives_no_lease() {
     let mut entry = OwnEntry::default();
-    entry.show(ms(100), ms(140));
-    let late = ms(100) + LISTED_LIFE;
+    entry.observe_listed(ms(100), ms(140));
+    let late = ms(100) + LISTING_VALIDITY;
 
     let before = entry.may_lead_by(late, late);
     entry.renew(ms(2000));
@@ -63,10 +63,10 @@
     // response to its last read of the list, which still shows the entry, must not permit
     // acknowledgments for the replaced primary.
     let mut entry = OwnEntry::default();
-    entry.show(ms(100), ms(140));
+    entry.observe_listed(ms(100), ms(140));
     entry.leave();
 
-    let registered = entry.show(ms(4990), ms(5030));
+    let registered = entry.observe_listed(ms(4990), ms(5030));
 
     assert!(!registered);
     assert!(!entry.may_lead_by(ms(5040), ms(5050)));
@@ -77,11 +77,11 @@
 fn an_entry_that_a_later_list_lacks_gives_no_lease() {
     let second = Duration::from_secs;
     let mut entry = OwnEntry::default();
-    entry.show(second(10), second(11));
+    entry.observe_listed(second(10), second(11));
 
-    let older = entry.miss(second(11));
+    let older = entry.observe_missing(second(11));
     let may_lead = entry.may_lead_by(second(12), second(13));
-    let later = entry.miss(second(14));
+    let later = entry.observe_missing(second(14));
 
     assert!(!older && may_lead, "a list from before the registration is ignored");
     assert!(later && !entry.may_lead_by(second(15), second(15)));
--- a/crates/rudder-engine/src/peers/entries.rs
+++ b/crates/rudder-engine/src/peers/entries.rs
@@ -6,7 +6,7 @@
 //! the listed instances had failed, no majority could be reached.
 //!
 //! A removed instance holds no lease, because it loses the lease first: it leads only while a read
-//! of its own has shown its entry without a mark less than [`LISTED_LIFE`] ago, and a marked entry
+//! of its own has shown its entry without a mark less than [`LISTING_VALIDITY`] ago, and a marked entry
 //! is removed only after the mark has been in place for longer, [`MARK_TIMEOUT`]. A running
 //! instance sees the mark with its next read and clears it.
 
@@ -23,11 +23,11 @@
 /// Time for which a read of its entry permits an instance to lead. Longer than the pause between
 /// two reads of the list (30 s) and several failed reads; shorter than [`MARK_TIMEOUT`] by far more
 /// than the clocks of two machines drift apart in that time.
-pub(crate) const LISTED_LIFE: Duration = Duration::from_secs(45);
+pub(crate) const LISTING_VALIDITY: Duration = Duration::from_secs(45);
 
 /// Decision on an entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EntryVerdict {
+pub(crate) enum EntryDecision {
     /// The entry stays unchanged.
     Keep,
     /// The entry is marked.
@@ -55,14 +55,14 @@
 impl EntryLedger {
     /// Decides on one entry as it was read at `now`. `heard_at` is when the last heartbeat of its
     /// instance was received.
-    pub(crate) fn judge(
+    pub(crate) fn decide(
         &mut self,
         instance: &InstanceName,
         version: &str,
         marked: bool,
         heard_at: Option<Duration>,
         now: Duration,
-    ) -> EntryVerdict {
+    ) -> EntryDecision {
         let index = self.watches.binary_search_by(|watch| watch.instance.cmp(instance));
         let new_watch = EntryWatch {
             instance: instance.clone(),
@@ -85,11 +85,11 @@
         let since = self.watches[index].since;
         if marked {
             let expired = now >= since + MARK_TIMEOUT;
-            return if expired { EntryVerdict::Remove } else { EntryVerdict::Keep };
+            return if expired { EntryDecision::Remove } else { EntryDecision::Keep };
         }
         let silent_since = heard_at.map_or(since, |heard_at| heard_at.max(since));
         let expired = now >= silent_since + SILENCE_TIMEOUT;
-        if expired { EntryVerdict::Mark } else { EntryVerdict::Keep }
+        if expired { EntryDecision::Mark } else { EntryDecision::Keep }
     }
 
     /// Removes the entries that are no longer in the list.
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -18,7 +18,7 @@
 mod subscribers;
 
 pub(crate) use digest::RecordsDigest;
-pub(crate) use entries::{EntryLedger, EntryVerdict, LISTED_LIFE};
+pub(crate) use entries::{EntryDecision, EntryLedger, LISTING_VALIDITY};
 pub(crate) use exchange::PeerExchange;
 pub(crate) use fleet_copy::{
     CopyRequest, CopyVersion, EntriesCopy, FleetCopy, MembersCopy, PendingCopy, answer_copy,
--- a/crates/rudder-engine/src/peers/tests/entries.rs
+++ b/crates/rudder-engine/src/peers/tests/entries.rs
@@ -1,6 +1,6 @@
 //! Removal of failed instances from the list.
 
-use crate::peers::entries::{EntryLedger, EntryVerdict, LISTED_LIFE};
+use crate::peers::entries::{EntryDecision, EntryLedger, LISTING_VALIDITY};
 use rudder_core::InstanceName;
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
     let failed_instance = failed_instance();
 
     let decisions = [
-        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(100)),
-        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(159)),
-        ledger.judge(&failed_instance, "7", false, Some(at(100)), at(160)),
-        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(164)),
-        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(223)),
-        ledger.judge(&failed_instance, "8", true, Some(at(100)), at(224)),
+        ledger.decide(&failed_instance, "7", false, Some(at(100)), at(100)),
+        ledger.decide(&failed_instance, "7", false, Some(at(100)), at(159)),
+        ledger.decide(&failed_instance, "7", false, Some(at(100)), at(160)),
+        ledger.decide(&failed_instance, "8", true, Some(at(100)), at(164)),
+        ledger.decide(&failed_instance, "8", true, Some(at(100)), at(223)),
+        ledger.decide(&failed_instance, "8", true, Some(at(100)), at(224)),
     ];
 
-    use EntryVerdict::{Keep, Mark, Remove};
+    use EntryDecision::{Keep, Mark, Remove};
     assert_eq!(decisions, [Keep, Keep, Mark, Keep, Keep, Remove]);
 }
 
@@ -38,13 +38,13 @@
     // reads the store, sees the mark and rewrites its entry; the old mark must not cause a removal.
     let mut ledger = EntryLedger::default();
     let failed_instance = failed_instance();
-    ledger.judge(&failed_instance, "7", false, None, at(100));
-    ledger.judge(&failed_instance, "8", true, None, at(165));
+    ledger.decide(&failed_instance, "7", false, None, at(100));
+    ledger.decide(&failed_instance, "8", true, None, at(165));
 
-    let rewritten = ledger.judge(&failed_instance, "9", false, None, at(190));
-    let later = ledger.judge(&failed_instance, "9", false, None, at(249));
+    let rewritten = ledger.decide(&failed_instance, "9", false, None, at(190));
+    let later = ledger.decide(&failed_instance, "9", false, None, at(249));
 
-    assert_eq!((rewritten, later), (EntryVerdict::Keep, EntryVerdict::Keep));
+    assert_eq!((rewritten, later), (EntryDecision::Keep, EntryDecision::Keep));
 }
 
 #[test]
@@ -54,14 +54,14 @@
     // served.
     let mut ledger = EntryLedger::default();
     let failed_instance = failed_instance();
-    ledger.judge(&failed_instance, "7", false, None, at(100));
+    ledger.decide(&failed_instance, "7", false, None, at(100));
     let last_unmarked_read = at(160);
-    let marked = ledger.judge(&failed_instance, "7", false, None, last_unmarked_read);
-    ledger.judge(&failed_instance, "8", true, None, last_unmarked_read);
+    let marked = ledger.decide(&failed_instance, "7", false, None, last_unmarked_read);
+    ledger.decide(&failed_instance, "8", true, None, last_unmarked_read);
 
-    let lease_ends = last_unmarked_read + LISTED_LIFE;
-    let decision = ledger.judge(&failed_instance, "8", true, None, lease_ends + at(10));
+    let lease_ends = last_unmarked_read + LISTING_VALIDITY;
+    let decision = ledger.decide(&failed_instance, "8", true, None, lease_ends + at(10));
 
-    assert_eq!(marked, EntryVerdict::Mark);
-    assert_eq!(decision, EntryVerdict::Keep);
+    assert_eq!(marked, EntryDecision::Mark);
+    assert_eq!(decision, EntryDecision::Keep);
 }
--- a/crates/rudder-engine/src/store_snapshot.rs
+++ b/crates/rudder-engine/src/store_snapshot.rs
@@ -39,7 +39,7 @@
 
 impl StoreSnapshot {
     /// Applies the members that the store has at `revision`. Returns whether they differ.
-    pub(crate) fn take_members(&mut self, members: &[MemberEntry], revision: u64) -> bool {
+    pub(crate) fn apply_members(&mut self, members: &[MemberEntry], revision: u64) -> bool {
         if self.members == members {
             return false;
         }
@@ -62,7 +62,7 @@
     ///
     /// A peer that the store does not respond to has an old list, which must not restore removed
     /// members.
-    pub(crate) fn take_copy(&mut self, members: &[MemberEntry], version: MembersVersion) -> bool {
+    pub(crate) fn apply_copy(&mut self, members: &[MemberEntry], version: MembersVersion) -> bool {
         if version <= self.version {
             return false;
         }
@@ -100,20 +100,20 @@
 
     /// Records that both were current at `confirmed_at` according to a peer, in the versions known
     /// here.
-    pub(crate) fn note_told(&mut self, confirmed_at: Duration) {
+    pub(crate) fn confirm_by_peer(&mut self, confirmed_at: Duration) {
         self.confirm_members(confirmed_at);
         self.confirm_settings(confirmed_at);
         self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(Some(confirmed_at));
     }
 
     /// Records that a peer responded, whatever state it has.
-    pub(crate) fn note_heard(&mut self, now: Duration) {
+    pub(crate) fn record_peer_response(&mut self, now: Duration) {
         self.peer_responded_at = Some(now);
     }
 
     /// Returns whether peers confirmed both as current less than `timeout` ago, or less than
     /// `extended_timeout` ago if they still respond.
-    pub(crate) fn is_told(
+    pub(crate) fn is_confirmed_by_peers(
         &self,
         timeout: Duration,
         extended_timeout: Duration,
--- a/crates/rudder-engine/src/store_snapshot/tests.rs
+++ b/crates/rudder-engine/src/store_snapshot/tests.rs
@@ -10,12 +10,12 @@
     // that the store does not respond to still has the old list and sends it to an instance that
     // knows of the removal.
     let mut stale = StoreSnapshot::default();
-    stale.take_members(&[member_entry("a"), member_entry("b")], 7);
+    stale.apply_members(&[member_entry("a"), member_entry("b")], 7);
     let mut snapshot = StoreSnapshot::default();
-    snapshot.take_members(&[member_entry("a")], 9);
+    snapshot.apply_members(&[member_entry("a")], 9);
 
     let (members, version) = stale.members();
-    let changed = snapshot.take_copy(members, version);
+    let changed = snapshot.apply_copy(members, version);
 
     assert!(!changed);
     assert_eq!(snapshot.members().0, [member_entry("a")]);
@@ -27,12 +27,12 @@
     // changes without a new revision of the store, and instances that fetch it must recognize the
     // change.
     let mut reader = StoreSnapshot::default();
-    reader.take_members(&[member_entry("a"), member_entry("b")], 7);
+    reader.apply_members(&[member_entry("a"), member_entry("b")], 7);
     let mut follower = reader.clone();
 
-    reader.take_members(&[member_entry("a")], 7);
+    reader.apply_members(&[member_entry("a")], 7);
     let (members, version) = reader.members();
-    let changed = follower.take_copy(members, version);
+    let changed = follower.apply_copy(members, version);
 
     assert!(changed);
     assert_eq!(follower.members().0, [member_entry("a")]);
@@ -41,9 +41,9 @@
 #[test]
 fn the_stores_own_list_overrides_that_of_a_peer() {
     let mut snapshot = StoreSnapshot::default();
-    snapshot.take_members(&[member_entry("a"), member_entry("b")], 8);
+    snapshot.apply_members(&[member_entry("a"), member_entry("b")], 8);
 
-    let changed = snapshot.take_members(&[member_entry("a")], 7);
+    let changed = snapshot.apply_members(&[member_entry("a")], 7);
 
     assert!(changed);
     assert_eq!(snapshot.members().0, [member_entry("a")]);
@@ -67,15 +67,15 @@
     let at = Duration::from_millis;
     let (timeout, extended_timeout) = (at(2700), at(5000));
     let mut silent = StoreSnapshot::default();
-    silent.note_told(at(10_000));
+    silent.confirm_by_peer(at(10_000));
     let mut responding = silent.clone();
-    responding.note_heard(at(13_900));
+    responding.record_peer_response(at(13_900));
 
-    assert!(silent.is_told(timeout, extended_timeout, at(12_600)));
-    assert!(!silent.is_told(timeout, extended_timeout, at(14_000)));
-    assert!(responding.is_told(timeout, extended_timeout, at(14_000)));
+    assert!(silent.is_confirmed_by_peers(timeout, extended_timeout, at(12_600)));
+    assert!(!silent.is_confirmed_by_peers(timeout, extended_timeout, at(14_000)));
+    assert!(responding.is_confirmed_by_peers(timeout, extended_timeout, at(14_000)));
     assert!(
-        !responding.is_told(timeout, extended_timeout, at(15_000)),
+        !responding.is_confirmed_by_peers(timeout, extended_timeout, at(15_000)),
         "the extended timeout ends"
     );
 }
@@ -84,10 +84,13 @@
 #[test]
 fn an_instance_without_a_confirmation_by_peers_polls_the_store() {
     let mut snapshot = StoreSnapshot::default();
-    snapshot.note_heard(Duration::from_secs(10));
+    snapshot.record_peer_response(Duration::from_secs(10));
 
-    let confirmed =
-        snapshot.is_told(Duration::from_secs(3), Duration::from_secs(5), Duration::from_secs(10));
+    let confirmed = snapshot.is_confirmed_by_peers(
+        Duration::from_secs(3),
+        Duration::from_secs(5),
+        Duration::from_secs(10),
+    );
 
     assert!(!confirmed);
 }
@@ -97,12 +100,12 @@
 fn an_initial_list_is_replaced_by_any_list_of_the_store() {
     let mut snapshot = StoreSnapshot::default();
     let before = snapshot.is_blank();
-    snapshot.take_members(&[member_entry("old")], 0);
+    snapshot.apply_members(&[member_entry("old")], 0);
     let mut peer = StoreSnapshot::default();
-    peer.take_members(&[member_entry("new")], 1);
+    peer.apply_members(&[member_entry("new")], 1);
 
     let (members, version) = peer.members();
-    let changed = snapshot.take_copy(members, version);
+    let changed = snapshot.apply_copy(members, version);
 
     assert!(before && changed);
     assert_eq!(snapshot.members().0, [member_entry("new")]);
