--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -47,7 +47,7 @@
 ) {
     if engine.groups().iter().any(|group| group.newest_sample().is_none()) {
         // The requesting instance's callers also wait for log positions of the primaries.
-        engine.want_position();
+        engine.request_position();
     }
     let subscriber = RecordsSubscriber {
         address: from,
@@ -109,14 +109,14 @@
     group: &ServiceGroup,
     received_at: Duration,
 ) -> Option<(RecordCopy, RecordTiming)> {
-    let (leases, newest) = group.knowledge();
+    let (leases, newest) = group.leases_and_newest_sample();
     let record = leases.record()?.clone();
     let offset = |moment| RequestOffset::of(moment, received_at);
     let sample =
         newest.map(|sample| SampleCopy { stamp: sample.stamp, sent: offset(sample.sent_at) });
     let timing = RecordTiming {
         confirmed: offset(leases.confirmed_at()),
-        anchor: offset(leases.anchor()),
+        valid_from: offset(leases.valid_from()),
         sample,
     };
     Some((RecordCopy { service: group.service().clone(), record }, timing))
@@ -175,10 +175,10 @@
     let instances = if counts { engine.membership().known_count() } else { 0 };
     for (copy, timing) in records.iter().zip(&response.timings) {
         let confirmed_at = timing.confirmed.map_or(Duration::ZERO, moment);
-        renewed |= engine.observe(&copy.service, &copy.record, confirmed_at);
+        renewed |= engine.observe_record(&copy.service, &copy.record, confirmed_at);
         let epoch = copy.record.epoch;
-        if let Some(anchor) = timing.anchor {
-            renewed |= engine.confirm_by_majority(&copy.service, epoch, moment(anchor));
+        if let Some(valid_from) = timing.valid_from {
+            renewed |= engine.confirm_by_majority(&copy.service, epoch, moment(valid_from));
         }
         if counts {
             let mut requests = engine.membership().requests();
@@ -189,7 +189,7 @@
             }
         }
         if let Some(SampleCopy { stamp, sent: Some(sent) }) = timing.sample {
-            engine.group(&copy.service).note_peer_sample(epoch, moment(sent), stamp);
+            engine.group(&copy.service).record_peer_sample(epoch, moment(sent), stamp);
         }
     }
     renewed
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -146,7 +146,7 @@
         return Err(ChangeError::NoQuorum);
     }
     log::info!(
-        service:% = group.service(), epoch:% = before.epoch, cause = cause.word();
+        service:% = group.service(), epoch:% = before.epoch, cause = cause.label();
         "a change of primary begins"
     );
     let holder = engine.identity().name.clone();
@@ -192,7 +192,7 @@
         let get = store.get(ObjectKind::PrimaryRecord, self.group.service().as_str());
         let object = with_timeout(CALL_TIMEOUT, get).await?.ok_or(ChangeError::Overtaken)?;
         let (_, record) = read_record(&object).ok_or(ChangeError::Overtaken)?;
-        self.engine.observe(self.group.service(), &record, sent_at);
+        self.engine.observe_record(self.group.service(), &record, sent_at);
         if record.epoch != decided_epoch {
             return Err(ChangeError::Overtaken);
         }
@@ -237,7 +237,7 @@
             .map_err(|error| ChangeError::Store(StoreError::Refused(error.to_string())))?;
         let sent_at = boot_time();
         let version = self.write_until_known(&record, &spec, expected).await?;
-        self.engine.observe(self.group.service(), &record, sent_at);
+        self.engine.observe_record(self.group.service(), &record, sent_at);
         notify_subscribers(self.engine, self.exchange).await;
         Ok(WrittenRecord { record, version, acknowledged_at: boot_time() })
     }
@@ -306,21 +306,21 @@
             log::info!(reason:% = error; "the list of instances was not read");
         }
         let listed = listed.is_ok();
-        let mut most_since = None;
+        let mut quorum_since = None;
         loop {
             let all = self.engine.membership().listed_count() + 1;
             let remaining = self.engine.membership().not_stopped(service, intent.record.epoch);
             let now = boot_time();
             if listed && is_quorum(all - remaining.len(), all) {
-                most_since.get_or_insert(now);
+                quorum_since.get_or_insert(now);
             }
             let changing_since = self.group.with_leases(|leases| leases.changing_since());
             let progress = StopProgress {
                 written_by: intent.acknowledged_at,
                 changing_since: changing_since.unwrap_or(intent.acknowledged_at),
                 listed,
-                unheard: remaining.len(),
-                most_since,
+                unconfirmed: remaining.len(),
+                quorum_since,
             };
             if progress.is_over(now) {
                 log::info!(
--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -7,10 +7,10 @@
 use crate::group::ServiceGroup;
 use crate::identity::DrainPhase;
 use crate::lead::{LeadPhase, LeaderEpoch};
-use crate::limits::answer_claim;
+use crate::limits::respond_to_claim;
 use crate::peers::{
     CopyVersion, PeerExchange, PeerHeartbeat, PeerMessage, PrimarySuspicion, RecordCopy,
-    StopNotice, answer_copy, fetch_copy,
+    StopNotice, fetch_copy, respond_with_copy,
 };
 use rudder_core::ServiceName;
 use std::net::SocketAddr;
@@ -43,8 +43,8 @@
         let heartbeat = compose_heartbeat(&engine);
         let has_changed = last_sent.as_ref() != Some(&heartbeat);
         let now = Instant::now();
-        let near = engine.membership().near_receivers();
-        let far = engine.membership().far_receivers();
+        let near = engine.membership().domain_receivers();
+        let far = engine.membership().remote_receivers();
         let mut receivers = near_schedule.due(near, has_changed, HEARTBEAT_INTERVAL, now);
         receivers.extend(far_schedule.due(far, has_changed, HEARTBEAT_INTERVAL, now));
         exchange.send_all(&PeerMessage::Heartbeat(heartbeat.clone()), &receivers).await;
@@ -56,7 +56,7 @@
 fn compose_heartbeat(engine: &ProxyEngine) -> PeerHeartbeat {
     // Only readers watch the primaries, so only their suspicions count.
     let reads = engine.membership().is_reader();
-    let suspected = |group: &Arc<ServiceGroup>| reads && group.silent_since().is_some();
+    let suspected = |group: &Arc<ServiceGroup>| reads && group.watch_failing_since().is_some();
     let suspicions = engine.groups().into_iter().filter(suspected).map(|group| PrimarySuspicion {
         service: group.service().clone(),
         epoch: group.with_leases(|leases| leases.epoch()),
@@ -79,22 +79,24 @@
         match message {
             PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&engine, heartbeat, from),
             PeerMessage::Announce(copy) => handle_announce(&engine, &exchange, copy, from).await,
-            PeerMessage::Stopped(notice) => engine.membership().note_stopped(notice),
+            PeerMessage::Stopped(notice) => engine.membership().record_stop(notice),
             PeerMessage::FetchRecords(request) => {
                 handle_request(&engine, &exchange, request, from).await
             }
             PeerMessage::Records(reply) => handle_response(&engine, &exchange, reply, from).await,
-            PeerMessage::Claim(claim) => answer_claim(&engine, &exchange, claim, from).await,
-            PeerMessage::ClaimResponse(response) => engine.take_claim_answer(response, from),
-            PeerMessage::FetchCopy(request) => answer_copy(&engine, &exchange, request, from).await,
-            PeerMessage::Copy(response) => engine.pending_copy().take(response),
+            PeerMessage::Claim(claim) => respond_to_claim(&engine, &exchange, claim, from).await,
+            PeerMessage::ClaimResponse(response) => engine.handle_claim_response(response, from),
+            PeerMessage::FetchCopy(request) => {
+                respond_with_copy(&engine, &exchange, request, from).await
+            }
+            PeerMessage::Copy(response) => engine.pending_copy().complete(response),
         }
     }
 }
 
 fn handle_heartbeat(engine: &Arc<ProxyEngine>, heartbeat: PeerHeartbeat, from: SocketAddr) {
     let version = heartbeat.version;
-    engine.membership().note_heartbeat(heartbeat, from);
+    engine.membership().record_heartbeat(heartbeat, from);
     fetch_copy_if_behind(engine, version, None);
 }
 
@@ -113,7 +115,7 @@
 
 /// Fetches and applies what a peer knows beyond this instance.
 async fn fetch_newer_copy(engine: Arc<ProxyEngine>, list_source: Option<SocketAddr>) {
-    if !engine.is_fed() && list_source.is_none() {
+    if !engine.has_current_peer_copy() && list_source.is_none() {
         tokio::time::sleep(OWN_READ_DELAY).await;
     }
     let peer = engine.membership().newer_copy(engine.copy_version()).or(list_source);
@@ -135,7 +137,7 @@
     from: SocketAddr,
 ) {
     let service = copy.service;
-    engine.observe(&service, &copy.record, Duration::ZERO);
+    engine.observe_record(&service, &copy.record, Duration::ZERO);
     if let LeadPhase::Changing { .. } = copy.record.phase {
         let engine = Arc::clone(engine);
         let exchange = exchange.clone();
--- a/crates/rudder-engine/src/duty/keeper.rs
+++ b/crates/rudder-engine/src/duty/keeper.rs
@@ -5,7 +5,7 @@
 use crate::engine::ProxyEngine;
 use crate::group::{GroupMember, MemberState, ServiceGroup};
 use crate::identity::DrainPhase;
-use crate::lead::{GroupSigns, LeadPhase, LeaseTable, QUORUM_REACH, judge_change};
+use crate::lead::{LeadPhase, LeaseTable, PrimaryHealth, QUORUM_REACH, decide_change};
 use crate::peers::PeerExchange;
 use crate::sync::lock;
 use rudder_core::{MemberName, MemberRole, ServiceName};
@@ -53,7 +53,7 @@
         let serves = engine.drain_phase() == DrainPhase::Serving;
         let may_act = serves && engine.membership().is_reader();
         for group in engine.groups() {
-            group.drop_unlisted();
+            group.remove_unlisted_primary();
             let monitor = monitor_of(&mut monitors, group.service());
             if may_act {
                 evaluate(&engine, &exchange, &group, monitor, &running);
@@ -97,13 +97,14 @@
     }
     let leases = group.with_leases(|leases| leases.clone());
     let epoch = leases.epoch();
-    let signs = read_signs(engine, group, &leases, &mut monitor.signs, now);
-    let votes = engine.membership().votes(group.service(), epoch, signs.silent_since.is_some());
-    let cause = judge_change(&leases, &signs, &engine.identity().name, &votes, now);
-    // Only the first reader writes a first record, and only if the store's records lacked one:
+    let health = read_health(engine, group, &leases, &mut monitor.signs, now);
+    let votes =
+        engine.membership().votes(group.service(), epoch, health.unreachable_since.is_some());
+    let cause = decide_change(&leases, &health, &engine.identity().name, &votes, now);
+    // Only the fleet reader writes a first record, and only if the store's records lacked one:
     // another instance may have written it after they were read.
     let lacks_record = leases.record().is_none() && engine.lacks_record(group.service());
-    let may_record = engine.membership().is_first_reader() && !group.members().is_empty();
+    let may_record = engine.membership().is_fleet_reader() && !group.members().is_empty();
     let writes_first_record = lacks_record && may_record;
     if cause.is_none() && !writes_first_record {
         return;
@@ -116,14 +117,15 @@
         running.push(group.service().clone());
     }
     monitor.next_change_at = now + CHANGE_START_INTERVAL;
-    let onsets = [signs.silent_since, signs.absent_since, signs.usurped_since];
+    let onsets = [health.unreachable_since, health.absent_since, health.conflict_since];
     let since = onsets.into_iter().flatten().min().unwrap_or(now);
     // Instances that know of the shutdown no longer send statements to a primary that has left, so
     // no quorum is needed to stop them.
     let primary = leases.record().and_then(|record| record.primary());
     let primary = primary.and_then(|primary| group.member(primary));
-    let has_left = primary.is_some_and(|member| member.has_left(engine.leaving_use_limit()));
-    let skips_quorum = has_left || now >= since + QUORUM_REACH;
+    let has_drained =
+        primary.is_some_and(|member| member.has_drained_for(engine.leaving_use_limit()));
+    let skips_quorum = has_drained || now >= since + QUORUM_REACH;
     let decision = cause.map(|cause| ChangeDecision { cause, epoch, skips_quorum });
     spawn_change(engine, exchange, group, decision, running);
 }
@@ -140,7 +142,7 @@
     let group = Arc::clone(group);
     let running = Arc::clone(running);
     tokio::spawn(async move {
-        let label = decision.map_or("first", |decision| decision.cause.word());
+        let label = decision.map_or("first", |decision| decision.cause.label());
         let outcome = match decision {
             Some(decision) => change::change_primary(&engine, &exchange, &group, decision).await,
             None => change::write_first_record(&engine, &exchange, &group).await,
@@ -160,13 +162,13 @@
     });
 }
 
-fn read_signs(
+fn read_health(
     engine: &ProxyEngine,
     group: &ServiceGroup,
     leases: &LeaseTable,
     onsets: &mut SignOnsets,
     now: Duration,
-) -> GroupSigns {
+) -> PrimaryHealth {
     let members = group.members();
     let primary = leases.record().and_then(|record| record.primary().cloned());
     let present = primary.as_ref().and_then(|primary| group.member(primary));
@@ -177,10 +179,10 @@
     let superseded = present.as_deref().is_some_and(|primary| is_superseded(primary, &members));
     onsets.absent_since = onset_of(onsets.absent_since, absent, now);
     onsets.superseded_since = onset_of(onsets.superseded_since, superseded, now);
-    GroupSigns {
-        silent_since: group.silent_since(),
+    PrimaryHealth {
+        unreachable_since: group.watch_failing_since(),
         absent_since: onsets.absent_since,
-        usurped_since: onsets.superseded_since,
+        conflict_since: onsets.superseded_since,
         draining: present.is_some_and(|primary| !primary.serves_reads()),
         holder_ended: has_ended(engine, leases),
         replaceable: members.iter().any(|member| can_succeed(member, primary.as_ref())),
@@ -221,7 +223,7 @@
     for group in engine.groups() {
         let rules = &settings.services;
         if let Ok(index) = rules.binary_search_by(|rule| rule.service.cmp(group.service())) {
-            group.set_shares(rules[index].connections_max, own, &all);
+            group.assign_connection_shares(rules[index].connections_max, own, &all);
         }
     }
 }
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -20,7 +20,7 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Age of the records above which a reader sends another request, and then reads the store itself:
-/// the first reader's interval, its read and the transfer.
+/// the fleet reader's interval, its read and the transfer.
 const READER_RECORDS_MAX_AGE: Duration = Duration::from_millis(650);
 
 /// Age of the records above which the other instances do the same. By then their reader has read
@@ -74,7 +74,7 @@
     }
 }
 
-/// Keeps the records current: the first reader reads the store and notifies the other readers,
+/// Keeps the records current: the fleet reader reads the store and notifies the other readers,
 /// which notify their failure domains. An instance that is not notified in time reads the store
 /// itself.
 pub(crate) async fn follow(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
@@ -84,17 +84,17 @@
     let mut reachable = true;
     loop {
         metrics::gauge!("rudder_records_age_seconds").set(records_age(&engine).as_secs_f64());
-        let follows = engine.has_read_records() && !engine.membership().is_first_reader();
+        let follows = engine.has_read_records() && !engine.membership().is_fleet_reader();
         if follows && follow_peers(&engine, &exchange, &mut selector).await {
             continue;
         }
         let sent_at = boot_time();
         let result = read_records(&engine).await;
-        engine.membership().note_store_answer(result.is_ok(), boot_time());
+        engine.membership().record_store_response(result.is_ok(), boot_time());
         match &result {
             Ok(records) => apply_records(&engine, records, sent_at),
             // Responses of a majority of instances renew leases without the store.
-            Err(_) if engine.membership().is_first_reader() => poll_all(&engine, &exchange).await,
+            Err(_) if engine.membership().is_fleet_reader() => poll_all(&engine, &exchange).await,
             Err(_) => {}
         }
         notify_subscribers(&engine, &exchange).await;
@@ -167,9 +167,9 @@
 
 fn apply_records(engine: &ProxyEngine, records: &[(ServiceName, LeadRecord)], sent_at: Duration) {
     let services: Vec<_> = records.iter().map(|(service, _)| service.clone()).collect();
-    engine.note_records_read(&services, sent_at);
+    engine.record_store_read(&services, sent_at);
     for (service, record) in records {
-        engine.observe(service, record, sent_at);
+        engine.observe_record(service, record, sent_at);
     }
 }
 
@@ -203,14 +203,14 @@
 /// Returns the age of the oldest confirmation of a record. For a service without a record, that is
 /// the age of the last read that showed none.
 pub(super) fn records_age(engine: &ProxyEngine) -> Duration {
-    oldest_age(engine, LeaseTable::anchor)
+    oldest_age(engine, LeaseTable::valid_from)
 }
 
 /// Returns the time since the least recent update of a record. Unlike [`records_age`], it counts an
 /// announced version from its arrival: the instance that wrote it sends the confirmation to the
 /// readers, which pass it on.
 pub(super) fn time_since_update(engine: &ProxyEngine) -> Duration {
-    oldest_age(engine, |leases| leases.anchor().max(leases.seen_at()))
+    oldest_age(engine, |leases| leases.valid_from().max(leases.seen_at()))
 }
 
 fn oldest_age(engine: &ProxyEngine, moment: impl Fn(&LeaseTable) -> Duration) -> Duration {
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval between reads of the list by the first reader, which passes it on to the others.
+/// Interval between reads of the list by the fleet reader, which passes it on to the others.
 const LIST_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Interval between reads while the list changes, for example when a fleet starts.
@@ -80,7 +80,7 @@
 
 /// Registers this instance, finds other instances and keeps the list correct.
 ///
-/// The first reader reads the list; the others receive it from their peers.
+/// The fleet reader reads the list; the others receive it from their peers.
 pub(crate) async fn keep_registered(engine: Arc<ProxyEngine>) {
     let (_, found) = tokio::join!(register_until_accepted(&engine), find_contacts(&engine));
     if !found {
@@ -150,7 +150,7 @@
     let now = boot_time();
     let is_over = |at: Option<Duration>, gap| at.is_none_or(|at| now >= at + gap);
     let gap = if state.changing { CHANGING_LIST_READ_INTERVAL } else { LIST_READ_INTERVAL };
-    let reads = engine.membership().is_first_reader() && is_over(state.read_at, gap);
+    let reads = engine.membership().is_fleet_reader() && is_over(state.read_at, gap);
     let unconfirmed = engine.is_unregistered_for(UNCONFIRMED_ENTRY_TIMEOUT)
         && is_over(state.read_at, CHANGING_LIST_READ_INTERVAL);
     if reads || unconfirmed {
@@ -263,7 +263,7 @@
     let sent_at = boot_time();
     let version = write_entry(engine).await?;
     engine.record_entry_version(version);
-    engine.set_listed(Some(sent_at));
+    engine.set_registered(Some(sent_at));
     Ok(())
 }
 
@@ -299,11 +299,11 @@
     let entries: Vec<PeerEntry> = objects.iter().filter_map(read_entry).collect();
     let own = entries.iter().find(|entry| is_own(engine, entry));
     match own {
-        Some(own) if !own.marked => engine.set_listed(Some(sent_at)),
+        Some(own) if !own.marked => engine.set_registered(Some(sent_at)),
         // The registration that an earlier read showed stays valid until the mark is cleared or the
         // registration expires.
         Some(_) => {}
-        None => engine.set_listed(None),
+        None => engine.set_registered(None),
     }
     engine.membership().set_entries(entries.clone(), sent_at);
     Ok(entries)
--- a/crates/rudder-engine/src/duty/tests/answers.rs
+++ b/crates/rudder-engine/src/duty/tests/answers.rs
@@ -27,15 +27,15 @@
     /// Returns a peer that is registered and has read the record from the store.
     async fn registered(name: &str) -> Self {
         let peer = Self::new(name).await;
-        peer.engine.set_listed(Some(boot_time()));
+        peer.engine.set_registered(Some(boot_time()));
         peer.read_store();
         peer
     }
 
     fn read_store(&self) {
         let now = boot_time();
-        self.engine.note_records_read(&[service()], now);
-        self.engine.observe(&service(), &first_record(), now);
+        self.engine.record_store_read(&[service()], now);
+        self.engine.observe_record(&service(), &first_record(), now);
     }
 
     fn confirmed_at(&self) -> Duration {
@@ -144,7 +144,7 @@
     let follower = Peer::registered("follower").await;
     let mut next = first_record();
     next.epoch = next.epoch.next();
-    reader.engine.observe(&service(), &next, Duration::ZERO);
+    reader.engine.observe_record(&service(), &next, Duration::ZERO);
 
     request_records(&follower.engine, &follower.exchange, &[reader.address()], true).await;
     reader.handle_next().await;
--- a/crates/rudder-engine/src/duty/tests/change.rs
+++ b/crates/rudder-engine/src/duty/tests/change.rs
@@ -37,7 +37,7 @@
     let engine = engine(&store, None);
     let exchange = exchange().await;
     let group = engine.group(&service());
-    engine.observe(&service(), &newer, Duration::ZERO);
+    engine.observe_record(&service(), &newer, Duration::ZERO);
 
     let outcome = change_primary(&engine, &exchange, &group, unfinished(2)).await;
 
@@ -61,7 +61,7 @@
     let record = store.record();
     let engine = engine(store, Some(Arc::clone(&members)));
     engine.apply_members(&members.entries(), 1);
-    engine.observe(&service(), &record, Duration::ZERO);
+    engine.observe_record(&service(), &record, Duration::ZERO);
     let group = engine.group(&service());
     let decision = unfinished(record.epoch.0);
     let outcome = change_primary(&engine, &exchange().await, &group, decision).await;
@@ -137,11 +137,11 @@
     let store = RecordStore::new(&record, &[WriteOutcome::Done]);
     let members = FakeMembers::new(&[("a", 100), ("b", 100)]);
     let engine = engine_with_drain(&store, Some(Arc::clone(&members)), member_drain);
-    engine.set_listed(Some(boot_time()));
-    engine.note_records_read(&[service()], boot_time());
+    engine.set_registered(Some(boot_time()));
+    engine.record_store_read(&[service()], boot_time());
     engine.apply_members(&members.entries(), 1);
-    engine.observe(&service(), &record, boot_time());
-    engine.leader(&engine.group(&service())).is_some()
+    engine.observe_record(&service(), &record, boot_time());
+    engine.serving_primary(&engine.group(&service())).is_some()
 }
 
 #[test]
--- a/crates/rudder-engine/src/duty/tests/records.rs
+++ b/crates/rudder-engine/src/duty/tests/records.rs
@@ -27,7 +27,7 @@
 async fn unconfirmed_record_stays_old_after_a_recent_read() {
     let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
     let service = "records".parse().expect("a name");
-    engine.observe(&service, &first_record(), Duration::ZERO);
+    engine.observe_record(&service, &first_record(), Duration::ZERO);
 
     assert!(engine.record_peer_records_read(boot_time()));
 
@@ -40,7 +40,7 @@
     let engine = engine(&RecordStore::new(&first_record(), &[WriteOutcome::Refused]), None);
     let service = "records".parse().expect("a name");
 
-    engine.observe(&service, &first_record(), Duration::ZERO);
+    engine.observe_record(&service, &first_record(), Duration::ZERO);
 
     assert!(time_since_update(&engine) < TEST_DURATION_MAX);
 }
--- a/crates/rudder-engine/src/duty/watch.rs
+++ b/crates/rudder-engine/src/duty/watch.rs
@@ -82,9 +82,9 @@
                 failing_since = None;
                 let lease = group.with_leases(|leases| leases.lease(boot_time()));
                 if let Some(lease) = lease.filter(|lease| lease.epoch == epoch) {
-                    group.note_position(&lease, now, stamp);
+                    group.record_position(&lease, now, stamp);
                 }
-                group.note_alive();
+                group.clear_watch_failure();
             }
             Ok(None) => failing_since = None,
             Err(error) => {
@@ -96,7 +96,7 @@
                     );
                 }
                 let since = *failing_since.get_or_insert(now);
-                group.note_silence(epoch, since);
+                group.record_watch_failure(epoch, since);
             }
         }
     }
--- a/crates/rudder-engine/src/engine.rs
+++ b/crates/rudder-engine/src/engine.rs
@@ -109,8 +109,8 @@
 
     /// Returns whether this instance polls the store on behalf of the whole fleet.
     #[must_use]
-    pub fn is_first_reader(&self) -> bool {
-        self.membership.is_first_reader()
+    pub fn is_fleet_reader(&self) -> bool {
+        self.membership.is_fleet_reader()
     }
 
     /// Returns the name of this instance.
@@ -220,8 +220,11 @@
     /// Returns the primary of a group and the lease on it, unless it has been leaving for too long.
     /// Without a quorum that could replace a leaving primary, nothing else takes it out of use, and
     /// statements in flight are lost when it stops.
-    pub(crate) fn leader(&self, group: &ServiceGroup) -> Option<(Arc<GroupMember>, LeaderLease)> {
-        group.leader().filter(|(member, _)| !member.has_left(self.leaving_use_limit()))
+    pub(crate) fn serving_primary(
+        &self,
+        group: &ServiceGroup,
+    ) -> Option<(Arc<GroupMember>, LeaderLease)> {
+        group.leader().filter(|(member, _)| !member.has_drained_for(self.leaving_use_limit()))
     }
 
     /// Returns the time for which a member that announced its shutdown is sent statements.
@@ -247,7 +250,7 @@
     }
 
     /// Requests a sample of each primary's log position now.
-    pub(crate) fn want_position(&self) {
+    pub(crate) fn request_position(&self) {
         self.wait_position_request.notify_waiters();
     }
 
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 /// Age of the latest confirmation of settings and members from peers above which a reader polls the
-/// store itself. The first reader's watch of the store returns every 1.2 s and its result is passed
-/// on every 0.5 s; settings must be in force within 3 s, even right after the first reader failed.
+/// store itself. The fleet reader's watch of the store returns every 1.2 s and its result is passed
+/// on every 0.5 s; settings must be in force within 3 s, even right after the fleet reader failed.
 const READER_CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(2200);
 
 /// Age above which other instances poll the store themselves. By then their domain's reader has
@@ -189,9 +189,9 @@
     /// Returns whether peers confirm settings and members often enough that this instance need not
     /// poll the store.
     #[must_use]
-    pub fn is_fed(&self) -> bool {
+    pub fn has_current_peer_copy(&self) -> bool {
         let (max_age, longer_max_age) = match self.membership.is_reader() {
-            true if self.membership.is_first_reader() => return false,
+            true if self.membership.is_fleet_reader() => return false,
             true => (READER_CONFIRMATION_MAX_AGE, READER_CONFIRMATION_MAX_AGE),
             false => (FOLLOWER_CONFIRMATION_MAX_AGE, FOLLOWER_FALLBACK_MAX_AGE),
         };
--- a/crates/rudder-engine/src/engine/leadership.rs
+++ b/crates/rudder-engine/src/engine/leadership.rs
@@ -16,7 +16,7 @@
 impl ProxyEngine {
     /// Records that the list of instances contained this instance at `listed_at`; none if the list
     /// lacked it.
-    pub(crate) fn set_listed(&self, listed_at: Option<Duration>) {
+    pub(crate) fn set_registered(&self, listed_at: Option<Duration>) {
         let entered = match listed_at {
             Some(listed_at) => lock(&self.own_entry).observe_listed(listed_at, boot_time()),
             None => {
@@ -62,7 +62,7 @@
     }
 
     /// Records which services have a record, as read by this process at `requested_at`.
-    pub(crate) fn note_records_read(&self, recorded: &[ServiceName], requested_at: Duration) {
+    pub(crate) fn record_store_read(&self, recorded: &[ServiceName], requested_at: Duration) {
         let services = self.groups().into_iter().map(|group| group.service().clone());
         let without = services.filter(|service| !recorded.contains(service)).collect();
         lock(&self.records_status).record_own_read(without, requested_at);
@@ -94,7 +94,7 @@
     }
 
     /// Requests current records of the primaries now.
-    pub(crate) fn want_records(&self) {
+    pub(crate) fn request_records(&self) {
         self.wait_records_request.notify_one();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Applies a record that was in place in the store at `confirmed_at` or later.
-    pub(crate) fn observe(
+    pub(crate) fn observe_record(
         &self,
         service: &ServiceName,
         record: &LeadRecord,
@@ -138,6 +138,6 @@
     ) -> bool {
         let counts = self.may_lead_by(confirmed_at);
         let confirmed_at = if counts { confirmed_at } else { Duration::ZERO };
-        self.group(service).observe(record, confirmed_at)
+        self.group(service).observe_record(record, confirmed_at)
     }
 }
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether the member has been draining for at least `limit`.
-    pub(crate) fn has_left(&self, limit: Duration) -> bool {
+    pub(crate) fn has_drained_for(&self, limit: Duration) -> bool {
         let since = lock(&self.observations).draining_since;
         since.is_some_and(|since| boot_time() >= since + limit)
     }
--- a/crates/rudder-engine/src/group/service.rs
+++ b/crates/rudder-engine/src/group/service.rs
@@ -25,7 +25,7 @@
     leases: LeaseTable,
     history: PositionHistory,
     /// Time of the first failure in the current run of failed watches of the primary.
-    silent_since: Option<Duration>,
+    watch_failing_since: Option<Duration>,
 }
 
 impl GroupState {
@@ -74,7 +74,7 @@
     }
 
     /// Returns the lease table and the newest position sample, both of the same record version.
-    pub(crate) fn knowledge(&self) -> (LeaseTable, Option<FreshSample>) {
+    pub(crate) fn leases_and_newest_sample(&self) -> (LeaseTable, Option<FreshSample>) {
         let state = self.state();
         (state.leases.clone(), state.history.newest())
     }
@@ -95,7 +95,7 @@
 
     /// Removes a primary that is missing from the membership and has exceeded its grace time or has
     /// been replaced.
-    pub(crate) fn drop_unlisted(&self) {
+    pub(crate) fn remove_unlisted_primary(&self) {
         let mut state = self.state();
         if state.members.iter().all(|member| member.is_listed()) {
             return;
@@ -111,7 +111,7 @@
     }
 
     /// Records a version of the primary's record; returns whether it is new.
-    pub(crate) fn observe(&self, record: &LeadRecord, confirmed_at: Duration) -> bool {
+    pub(crate) fn observe_record(&self, record: &LeadRecord, confirmed_at: Duration) -> bool {
         let now = boot_time();
         let mut state = self.state();
         let new = state.leases.observe(record, confirmed_at, now);
@@ -119,7 +119,7 @@
             if record.primary().is_some() {
                 state.history.clear();
             }
-            state.silent_since = None;
+            state.watch_failing_since = None;
             log::info!(
                 service:% = self.service, epoch:% = record.epoch, phase:? = record.phase,
                 age_ms = (now.saturating_sub(confirmed_at)).as_millis();
@@ -161,28 +161,33 @@
 
     /// Records the primary's position from its response to a request sent at `sent_at`. Ignored
     /// unless the lease is of the current version and covered that time.
-    pub(crate) fn note_position(&self, lease: &LeaderLease, sent_at: Duration, stamp: LogStamp) {
+    pub(crate) fn record_position(&self, lease: &LeaderLease, sent_at: Duration, stamp: LogStamp) {
         let mut state = self.state();
         let current = state.leases.epoch() == lease.epoch;
         if current && state.leases.holds(lease, sent_at) {
-            state.history.note(FreshSample { sent_at, stamp });
-            state.silent_since = None;
+            state.history.record(FreshSample { sent_at, stamp });
+            state.watch_failing_since = None;
         }
     }
 
     /// Records that the watch of the primary of this version has failed since `since`.
-    pub(crate) fn note_silence(&self, epoch: LeaderEpoch, since: Duration) {
+    pub(crate) fn record_watch_failure(&self, epoch: LeaderEpoch, since: Duration) {
         let mut state = self.state();
         if state.leases.epoch() == epoch {
-            state.silent_since.get_or_insert(since);
+            state.watch_failing_since.get_or_insert(since);
         }
     }
 
     /// Records a peer's position sample of the primary of this version.
-    pub(crate) fn note_peer_sample(&self, epoch: LeaderEpoch, sent_at: Duration, stamp: LogStamp) {
+    pub(crate) fn record_peer_sample(
+        &self,
+        epoch: LeaderEpoch,
+        sent_at: Duration,
+        stamp: LogStamp,
+    ) {
         let lease = self.state().leases.lease(boot_time());
         if let Some(lease) = lease.filter(|lease| lease.epoch == epoch) {
-            self.note_position(&lease, sent_at, stamp);
+            self.record_position(&lease, sent_at, stamp);
             self.changed.notify_waiters();
         }
     }
@@ -193,13 +198,13 @@
     }
 
     /// Records that the primary responded to the watch.
-    pub(crate) fn note_alive(&self) {
-        self.state().silent_since = None;
+    pub(crate) fn clear_watch_failure(&self) {
+        self.state().watch_failing_since = None;
     }
 
     /// Time since which the watch of the primary has failed; `None` if it succeeds.
-    pub(crate) fn silent_since(&self) -> Option<Duration> {
-        self.state().silent_since
+    pub(crate) fn watch_failing_since(&self) -> Option<Duration> {
+        self.state().watch_failing_since
     }
 
     /// Position that a member must have applied for a read with this staleness bound; `None` if
@@ -226,13 +231,13 @@
 
     /// Lowers a session floor to the promotion's base position if the change of primary cut the log
     /// off below it, as no member would ever reach it.
-    pub(crate) fn reachable(&self, floor: LogStamp) -> LogStamp {
+    pub(crate) fn clamp_floor(&self, floor: LogStamp) -> LogStamp {
         let state = self.state();
-        state.leases.record().map_or(floor, |record| record.reachable(floor))
+        state.leases.record().map_or(floor, |record| record.clamp_floor(floor))
     }
 
     /// Distributes the connections of each member among `all` instances and applies the own share.
-    pub(crate) fn set_shares(
+    pub(crate) fn assign_connection_shares(
         &self,
         connections_max: u32,
         own: &InstanceName,
--- a/crates/rudder-engine/src/group/tests/service.rs
+++ b/crates/rudder-engine/src/group/tests/service.rs
@@ -20,7 +20,7 @@
 fn group(primary: &str) -> (Arc<ServiceGroup>, Arc<dyn MemberDialer>) {
     let group = ServiceGroup::new("records".parse().expect("a name"));
     let dialer: Arc<dyn MemberDialer> = Arc::new(NobodyDialer);
-    group.observe(&settled(1, primary), Duration::ZERO);
+    group.observe_record(&settled(1, primary), Duration::ZERO);
     group.set_members(&[member_entry("a"), member_entry("b")], &dialer);
     (group, dialer)
 }
@@ -33,8 +33,8 @@
 
     group.set_members(&[member_entry("b")], &dialer);
     let kept = group.member(&name("a"));
-    group.observe(&settled(2, "b"), Duration::ZERO);
-    group.drop_unlisted();
+    group.observe_record(&settled(2, "b"), Duration::ZERO);
+    group.remove_unlisted_primary();
 
     assert!(kept.is_some_and(|member| !member.is_listed()));
     assert!(group.member(&name("a")).is_none());
--- a/crates/rudder-engine/src/lead/expiry.rs
+++ b/crates/rudder-engine/src/lead/expiry.rs
@@ -31,17 +31,17 @@
     /// change may not wait for every instance.
     pub(crate) listed: bool,
     /// Number of listed instances that have not confirmed their stop.
-    pub(crate) unheard: usize,
+    pub(crate) unconfirmed: usize,
     /// Time since when a majority of instances has stopped, so that they renew no lease.
-    pub(crate) most_since: Option<Duration>,
+    pub(crate) quorum_since: Option<Duration>,
 }
 
 impl StopProgress {
     /// Returns the time at which the last lease for the old primary has expired.
     pub(crate) fn expires_at(&self) -> Duration {
         let without_quorum = self.changing_since + QUORUM_REACH;
-        let renewed_until = match self.most_since {
-            Some(most_since) => without_quorum.min(most_since.max(self.written_by)),
+        let renewed_until = match self.quorum_since {
+            Some(quorum_since) => without_quorum.min(quorum_since.max(self.written_by)),
             None => without_quorum,
         };
         renewed_until.max(self.changing_since) + LEASE_TIME + EXPIRY_MARGIN
@@ -49,6 +49,6 @@
 
     /// Returns whether no instance responds for the old primary any more.
     pub(crate) fn is_over(&self, now: Duration) -> bool {
-        (self.listed && self.unheard == 0) || now >= self.expires_at()
+        (self.listed && self.unconfirmed == 0) || now >= self.expires_at()
     }
 }
--- a/crates/rudder-engine/src/lead/history.rs
+++ b/crates/rudder-engine/src/lead/history.rs
@@ -19,7 +19,7 @@
 impl PositionHistory {
     /// Records a position that the primary had applied when it responded to a request sent at
     /// `sample.sent_at`. The lease must have been valid at that time.
-    pub(crate) fn note(&mut self, sample: FreshSample) {
+    pub(crate) fn record(&mut self, sample: FreshSample) {
         let Some(newest) = self.samples.back() else {
             self.samples.push_back(sample);
             return;
--- a/crates/rudder-engine/src/lead/lease_table.rs
+++ b/crates/rudder-engine/src/lead/lease_table.rs
@@ -80,9 +80,10 @@
             self.confirmed_at = self.confirmed_at.max(confirmed_at);
             return false;
         }
-        self.closing = self
-            .lease(now)
-            .map(|lease| ClosingLease { epoch: lease.epoch, until: self.anchor() + LEASE_TIME });
+        self.closing = self.lease(now).map(|lease| ClosingLease {
+            epoch: lease.epoch,
+            until: self.valid_from() + LEASE_TIME,
+        });
         // Consecutive changes count as one only if no primary was in place between them.
         let follows = record.epoch == known.next();
         let since = self.changing_since.filter(|_| follows);
@@ -104,13 +105,13 @@
         if epoch != self.epoch() {
             return false;
         }
-        let before = self.anchor();
+        let before = self.valid_from();
         self.majority_at = self.majority_at.max(majority_at);
-        self.anchor() > before
+        self.valid_from() > before
     }
 
     /// Returns the time from which the lease duration counts.
-    pub(crate) fn anchor(&self) -> Duration {
+    pub(crate) fn valid_from(&self) -> Duration {
         let majority_at = self.majority_at.min(self.confirmed_at + QUORUM_REACH);
         self.confirmed_at.max(majority_at)
     }
@@ -144,7 +145,7 @@
     pub(crate) fn lease(&self, now: Duration) -> Option<LeaderLease> {
         let record = self.record.as_ref()?;
         let primary = record.primary()?;
-        let fresh = now < self.anchor() + LEASE_TIME;
+        let fresh = now < self.valid_from() + LEASE_TIME;
         fresh.then(|| LeaderLease { epoch: record.epoch, primary: primary.clone() })
     }
 
@@ -161,12 +162,12 @@
     }
 
     /// Counts the start of a statement that a lease covers.
-    pub(crate) fn enter(&mut self) {
+    pub(crate) fn begin_statement(&mut self) {
         self.in_flight += 1;
     }
 
     /// Counts the end of a statement that a lease covers.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn end_statement(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
--- a/crates/rudder-engine/src/lead/mod.rs
+++ b/crates/rudder-engine/src/lead/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use history::PositionHistory;
 pub(crate) use lease_table::{LeaderLease, LeaseTable, QUORUM_REACH};
 pub use record::{LeadPhase, LeadRecord, LeaderEpoch};
-pub(crate) use suspicion::{ChangeCause, GroupSigns, PeerVote, judge_change, order_candidates};
+pub(crate) use suspicion::{ChangeCause, PeerVote, PrimaryHealth, decide_change, order_candidates};
 
 #[cfg(test)]
 mod tests;
--- a/crates/rudder-engine/src/lead/record.rs
+++ b/crates/rudder-engine/src/lead/record.rs
@@ -79,7 +79,7 @@
     ///
     /// With an unlimited floor, a session could wait forever: if its commit was lost because a
     /// member without it was promoted, no log reaches that position again.
-    pub(crate) fn reachable(&self, floor: LogStamp) -> LogStamp {
+    pub(crate) fn clamp_floor(&self, floor: LogStamp) -> LogStamp {
         match &self.phase {
             LeadPhase::Settled { term, base: Some(base), .. }
                 if floor.term < *term && floor.position > base.position =>
--- a/crates/rudder-engine/src/lead/suspicion.rs
+++ b/crates/rudder-engine/src/lead/suspicion.rs
@@ -38,13 +38,13 @@
 
 plain_data! {
     /// Observations of a group's primary.
-    pub(crate) struct GroupSigns {
+    pub(crate) struct PrimaryHealth {
         /// Time since when this instance's own probes of the primary have failed.
-        pub(crate) silent_since: Option<Duration>,
+        pub(crate) unreachable_since: Option<Duration>,
         /// Time since when the primary has been missing from a list that is known to be current.
         pub(crate) absent_since: Option<Duration>,
         /// Time since when another member has reported that it is the primary.
-        pub(crate) usurped_since: Option<Duration>,
+        pub(crate) conflict_since: Option<Duration>,
         /// Whether the primary is draining.
         pub(crate) draining: bool,
         /// Whether another member could take over.
@@ -71,7 +71,7 @@
 
 impl ChangeCause {
     /// Returns the label used in logs.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
             Self::Unreachable => "unreachable",
@@ -83,49 +83,49 @@
 }
 
 /// Returns the reason for which `instance` should change the primary now, if there is one.
-pub(crate) fn judge_change(
+pub(crate) fn decide_change(
     leases: &LeaseTable,
-    signs: &GroupSigns,
+    health: &PrimaryHealth,
     instance: &InstanceName,
     votes: &[PeerVote],
     now: Duration,
 ) -> Option<ChangeCause> {
-    let (cause, due_at) = change_due(leases, signs, votes, now)?;
+    let (cause, due_at) = change_due(leases, health, votes, now)?;
     let rank = rank_of(instance, leases.epoch(), votes, cause);
     (now >= due_at + RANK_DELAY * rank).then_some(cause)
 }
 
 fn change_due(
     leases: &LeaseTable,
-    signs: &GroupSigns,
+    health: &PrimaryHealth,
     votes: &[PeerVote],
     now: Duration,
 ) -> Option<(ChangeCause, Duration)> {
     let record = leases.record()?;
     if let LeadPhase::Changing { .. } = record.phase {
         // A process that has ended cannot order a promotion any more.
-        let timeout = if signs.holder_ended { Duration::ZERO } else { CHANGE_TIMEOUT };
+        let timeout = if health.holder_ended { Duration::ZERO } else { CHANGE_TIMEOUT };
         let due_at = leases.seen_at() + timeout;
         return (now >= due_at).then_some((ChangeCause::Unfinished, due_at));
     }
-    if !signs.replaceable {
+    if !health.replaceable {
         return None;
     }
-    if signs.draining {
+    if health.draining {
         return Some((ChangeCause::Leaving, leases.seen_at()));
     }
     let due_after = |since: Option<Duration>, timeout: Duration| {
         since.map(|since| since + timeout).filter(|due_at| now >= *due_at)
     };
-    if let Some(due_at) = due_after(signs.silent_since, UNREACHABLE_TIMEOUT)
+    if let Some(due_at) = due_after(health.unreachable_since, UNREACHABLE_TIMEOUT)
         && suspected_by_most(votes)
     {
         return Some((ChangeCause::Unreachable, due_at));
     }
-    if let Some(due_at) = due_after(signs.usurped_since, ROLE_CONFLICT_TIMEOUT) {
+    if let Some(due_at) = due_after(health.conflict_since, ROLE_CONFLICT_TIMEOUT) {
         return Some((ChangeCause::RoleConflict, due_at));
     }
-    due_after(signs.absent_since, ABSENT_TIMEOUT).map(|due_at| (ChangeCause::Absent, due_at))
+    due_after(health.absent_since, ABSENT_TIMEOUT).map(|due_at| (ChangeCause::Absent, due_at))
 }
 
 /// Returns whether more than half of the live instances cannot reach the primary, from two failure
--- a/crates/rudder-engine/src/lead/tests/history.rs
+++ b/crates/rudder-engine/src/lead/tests/history.rs
@@ -7,7 +7,7 @@
 fn history(samples: &[(u64, u64)]) -> PositionHistory {
     let mut history = PositionHistory::default();
     for (at, position) in samples {
-        history.note(FreshSample { sent_at: ms(*at), stamp: LogStamp::new(1, *position) });
+        history.record(FreshSample { sent_at: ms(*at), stamp: LogStamp::new(1, *position) });
     }
     history
 }
--- a/crates/rudder-engine/src/lead/tests/lease_table.rs
+++ b/crates/rudder-engine/src/lead/tests/lease_table.rs
@@ -37,14 +37,14 @@
     let mut leases = LeaseTable::default();
     leases.observe(&settled(1, "a", 1, None), ms(0), ms(0));
     let lease = leases.lease(ms(10)).expect("a lease");
-    leases.enter();
+    leases.begin_statement();
 
     leases.observe(&changing(2, "x", "a"), ms(20), ms(25));
 
     assert!(leases.lease(ms(30)).is_none());
     assert!(leases.holds(&lease, ms(30)));
     assert!(!leases.stop(false), "a statement is running");
-    leases.leave();
+    leases.end_statement();
     assert!(leases.stop(false));
     assert!(!leases.holds(&lease, ms(31)));
 }
@@ -54,7 +54,7 @@
     let mut leases = LeaseTable::default();
     leases.observe(&settled(1, "a", 1, None), ms(0), ms(0));
     let lease = leases.lease(ms(10)).expect("a lease");
-    leases.enter();
+    leases.begin_statement();
     leases.observe(&changing(2, "x", "a"), ms(20), ms(25));
 
     assert!(!leases.holds(&lease, ms(1500)));
@@ -66,7 +66,7 @@
     // reaches 1:90 again, so a session that waits for it would never read again.
     let record = settled(3, "b", 2, Some(LogStamp::new(1, 80)));
 
-    assert_eq!(record.reachable(LogStamp::new(1, 90)), LogStamp::new(1, 80));
-    assert_eq!(record.reachable(LogStamp::new(1, 70)), LogStamp::new(1, 70));
-    assert_eq!(record.reachable(LogStamp::new(2, 95)), LogStamp::new(2, 95));
+    assert_eq!(record.clamp_floor(LogStamp::new(1, 90)), LogStamp::new(1, 80));
+    assert_eq!(record.clamp_floor(LogStamp::new(1, 70)), LogStamp::new(1, 70));
+    assert_eq!(record.clamp_floor(LogStamp::new(2, 95)), LogStamp::new(2, 95));
 }
--- a/crates/rudder-engine/src/lead/tests/model.rs
+++ b/crates/rudder-engine/src/lead/tests/model.rs
@@ -382,7 +382,7 @@
     fn begin_statement(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         if let Some(lease) = instance.leases.lease(self.now) {
-            instance.leases.enter();
+            instance.leases.begin_statement();
             instance.used_leases.push(lease);
         }
     }
@@ -395,7 +395,7 @@
             return Ok(());
         }
         let lease = instance.used_leases.remove(0);
-        instance.leases.leave();
+        instance.leases.end_statement();
         if self.disabled_check != DisabledCheck::LeaseAtResponse
             && !instance.leases.holds(&lease, now)
         {
--- a/crates/rudder-engine/src/lead/tests/model/change.rs
+++ b/crates/rudder-engine/src/lead/tests/model/change.rs
@@ -21,7 +21,7 @@
     /// Instances that the change waits for, including its own.
     entries: Vec<usize>,
     pub(super) stopped: Vec<usize>,
-    most_since: Option<Duration>,
+    quorum_since: Option<Duration>,
 }
 
 impl Model {
@@ -43,8 +43,9 @@
         instance.leases.observe(&self.record, now, now);
         instance.leases.stop(true);
         let stopped = vec![index];
-        let most_since = None;
-        instance.change = Some(Change { epoch, written_by, listed, entries, stopped, most_since });
+        let quorum_since = None;
+        instance.change =
+            Some(Change { epoch, written_by, listed, entries, stopped, quorum_since });
     }
 
     pub(super) fn advance_change(&mut self, index: usize, rng: &mut StdRng) -> Result<(), String> {
@@ -55,25 +56,26 @@
         }
         let Some(change) = self.instances[index].change.as_mut() else { return Ok(()) };
         let has_not_stopped = |other: &&usize| !change.stopped.contains(*other);
-        let unheard: Vec<usize> = change.entries.iter().filter(has_not_stopped).copied().collect();
-        let has_quorum = is_quorum(change.entries.len() - unheard.len(), change.entries.len());
+        let unconfirmed: Vec<usize> =
+            change.entries.iter().filter(has_not_stopped).copied().collect();
+        let has_quorum = is_quorum(change.entries.len() - unconfirmed.len(), change.entries.len());
         if has_quorum && change.listed {
-            change.most_since.get_or_insert(now);
+            change.quorum_since.get_or_insert(now);
         }
         let change = change.clone();
         let progress = StopProgress {
             written_by: change.written_by,
             changing_since: changing_since.unwrap_or(now),
             listed: change.listed,
-            unheard: unheard.len(),
-            most_since: change.most_since,
+            unconfirmed: unconfirmed.len(),
+            quorum_since: change.quorum_since,
         };
         let over =
             progress.is_over(self.now) || self.disabled_check == DisabledCheck::WaitForExpiry;
         if !over || self.now < change.written_by {
             let record = self.record.clone();
             if record.epoch.0 == change.epoch {
-                for to in unheard {
+                for to in unconfirmed {
                     let record = record.clone();
                     self.send(index, Message::Announce { to, from: index, record }, rng);
                 }
--- a/crates/rudder-engine/src/lead/tests/suspicion.rs
+++ b/crates/rudder-engine/src/lead/tests/suspicion.rs
@@ -1,7 +1,7 @@
 //! Conditions for a change of primary.
 
 use super::{changing, ms, settled};
-use crate::lead::{ChangeCause, GroupSigns, LeaseTable, PeerVote, judge_change};
+use crate::lead::{ChangeCause, LeaseTable, PeerVote, PrimaryHealth, decide_change};
 use rudder_core::InstanceName;
 
 fn name(text: &str) -> InstanceName {
@@ -18,11 +18,11 @@
     text.chars().enumerate().map(vote).collect()
 }
 
-fn healthy() -> GroupSigns {
-    GroupSigns {
-        silent_since: None,
+fn healthy() -> PrimaryHealth {
+    PrimaryHealth {
+        unreachable_since: None,
         absent_since: None,
-        usurped_since: None,
+        conflict_since: None,
         draining: false,
         replaceable: true,
         holder_ended: false,
@@ -36,54 +36,58 @@
 }
 
 /// Decision of the instance that is ranked first, long after the observations began.
-fn decision(leases: &LeaseTable, signs: &GroupSigns, votes: &[PeerVote]) -> Option<ChangeCause> {
-    let judge = |vote: &PeerVote| judge_change(leases, signs, &vote.instance, votes, ms(9000));
-    votes.iter().find_map(judge)
+fn decision(
+    leases: &LeaseTable,
+    health: &PrimaryHealth,
+    votes: &[PeerVote],
+) -> Option<ChangeCause> {
+    let decide = |vote: &PeerVote| decide_change(leases, health, &vote.instance, votes, ms(9000));
+    votes.iter().find_map(decide)
 }
 
 #[test]
 fn one_instance_with_a_cut_link_replaces_no_primary() {
     // Only one instance's link to the primary is cut; all others can use it. A change would stop
     // every write for a second, and lose what the successor has not received.
-    let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("Abc")), None);
+    assert_eq!(decision(&led_by_a(), &health, &votes("Abc")), None);
 }
 
 #[test]
 fn an_isolated_domain_replaces_no_primary() {
-    let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("AAAbc")), None);
+    assert_eq!(decision(&led_by_a(), &health, &votes("AAAbc")), None);
 }
 
 #[test]
 fn an_isolated_instance_replaces_no_primary() {
-    let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("A")), None);
+    assert_eq!(decision(&led_by_a(), &health, &votes("A")), None);
 }
 
 #[test]
 fn a_primary_that_a_majority_cannot_reach_is_replaced() {
-    let signs = GroupSigns { silent_since: Some(ms(100)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(100)), ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("ABc")), Some(ChangeCause::Unreachable));
+    assert_eq!(decision(&led_by_a(), &health, &votes("ABc")), Some(ChangeCause::Unreachable));
 }
 
 #[test]
 fn a_short_interruption_replaces_no_primary() {
     // A dropped packet is retransmitted after 0.2 s.
-    let signs = GroupSigns { silent_since: Some(ms(8800)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(8800)), ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("ABC")), None);
+    assert_eq!(decision(&led_by_a(), &health, &votes("ABC")), None);
 }
 
 #[test]
 fn a_primary_without_a_candidate_is_not_replaced() {
-    let signs = GroupSigns { draining: true, replaceable: false, ..healthy() };
+    let health = PrimaryHealth { draining: true, replaceable: false, ..healthy() };
 
-    assert_eq!(decision(&led_by_a(), &signs, &votes("abc")), None);
+    assert_eq!(decision(&led_by_a(), &health, &votes("abc")), None);
 }
 
 #[test]
@@ -91,7 +95,7 @@
     // The holder may only be slow. Two concurrent changes would promote two members in turn.
     let mut leases = led_by_a();
     leases.observe(&changing(2, "x", "a"), ms(6000), ms(6000));
-    let ended = GroupSigns { holder_ended: true, ..healthy() };
+    let ended = PrimaryHealth { holder_ended: true, ..healthy() };
 
     assert_eq!(decision(&leases, &healthy(), &votes("abc")), None);
     assert_eq!(decision(&leases, &ended, &votes("abc")), Some(ChangeCause::Unfinished));
@@ -102,11 +106,11 @@
     // All instances observe the same at the same time; only the one that is ranked first acts at
     // once.
     let leases = led_by_a();
-    let signs = GroupSigns { silent_since: Some(ms(0)), ..healthy() };
+    let health = PrimaryHealth { unreachable_since: Some(ms(0)), ..healthy() };
     let votes = votes("ABC");
     let acting = |now: u64| {
         let acts = |vote: &&PeerVote| {
-            judge_change(&leases, &signs, &vote.instance, &votes, ms(now)).is_some()
+            decide_change(&leases, &health, &vote.instance, &votes, ms(now)).is_some()
         };
         votes.iter().filter(acts).count()
     };
--- a/crates/rudder-engine/src/limits/mod.rs
+++ b/crates/rudder-engine/src/limits/mod.rs
@@ -6,7 +6,7 @@
 mod state;
 
 pub(crate) use claim::ClaimError;
-pub(crate) use owner::answer_claim;
+pub(crate) use owner::respond_to_claim;
 pub(crate) use state::AccountLimits;
 
 #[cfg(test)]
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -31,7 +31,8 @@
     /// peers, and for how long.
     fn fleet_contact(&self) -> FleetContact {
         let groups = self.groups().into_iter();
-        let confirmed_at = groups.map(|group| group.with_leases(|leases| leases.anchor())).max();
+        let confirmed_at =
+            groups.map(|group| group.with_leases(|leases| leases.valid_from())).max();
         let confirmed_at = confirmed_at.max(self.membership().store_answered_at());
         let connected_until = confirmed_at.unwrap_or_default() + LimitBounds::contact_timeout();
         let now = boot_time();
@@ -114,7 +115,7 @@
     }
 
     /// Applies the response to a claim or to a probe of this instance.
-    pub(crate) fn take_claim_answer(&self, response: ClaimResponse, from: SocketAddr) {
+    pub(crate) fn handle_claim_response(&self, response: ClaimResponse, from: SocketAddr) {
         let mut state = self.limits().state();
         match state.end_probe(response.request_id) {
             Some((account, owner)) => {
@@ -127,7 +128,7 @@
 }
 
 /// Responds to another instance's claim.
-pub(crate) async fn answer_claim(
+pub(crate) async fn respond_to_claim(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
     claim: OperationClaim,
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -48,13 +48,13 @@
     identity.limit_bounds.tolerance = 18;
     let engine = ProxyEngine::new(identity, borders);
     engine.apply_members(&[member_entry("a")], 1);
-    engine.set_listed(Some(boot_time()));
+    engine.set_registered(Some(boot_time()));
     let service = "records".parse().expect("a name");
-    engine.note_records_read(std::slice::from_ref(&service), boot_time());
+    engine.record_store_read(std::slice::from_ref(&service), boot_time());
     let primary = "a".parse().expect("a name");
     let phase = LeadPhase::Settled { primary, term: LogTerm(1), base: None };
     let record = LeadRecord { epoch: LeaderEpoch(1), mark: "m1".to_owned(), phase };
-    engine.observe(&service, &record, boot_time());
+    engine.observe_record(&service, &record, boot_time());
     engine.apply_settings(settings(1, 3));
     engine
 }
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -182,7 +182,7 @@
     }
 
     /// Completes the awaited copy, if the response belongs to it.
-    pub(crate) fn take(&self, response: CopyResponse) {
+    pub(crate) fn complete(&self, response: CopyResponse) {
         let mut state = lock(&self.state);
         if response.request_id == state.request_id
             && let Some(sender) = state.sender.take()
@@ -194,7 +194,7 @@
 }
 
 /// Responds to a request for a copy.
-pub(crate) async fn answer_copy(
+pub(crate) async fn respond_with_copy(
     engine: &ProxyEngine,
     exchange: &PeerExchange,
     query: CopyQuery,
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -4,7 +4,7 @@
 use super::list_change::{CopiedList, ListDigest};
 use super::membership_state::{LimitOwner, MembershipState, PeerEntry, ReceivedHeartbeat};
 use super::message::{PeerHeartbeat, StopNotice};
-use super::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, first_reader};
+use super::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, fleet_reader};
 use super::requests::RequestLog;
 use super::subscribers::SubscriberList;
 use crate::clock::boot_time;
@@ -129,7 +129,7 @@
     /// if it is a hub, otherwise the hubs. The reader is one of the hubs.
     ///
     /// The datagrams of a domain therefore grow linearly with its size, not with the square of it.
-    pub(crate) fn near_receivers(&self) -> Vec<SocketAddr> {
+    pub(crate) fn domain_receivers(&self) -> Vec<SocketAddr> {
         let now = boot_time();
         let state = self.state();
         let live: Vec<ReaderCandidate> = state.candidates(&self.own, &self.own_domain, now);
@@ -149,7 +149,7 @@
     /// or all instances of a domain where no reader is known.
     ///
     /// The datagrams of a fleet therefore grow linearly with its size, not with the square of it.
-    pub(crate) fn far_receivers(&self) -> Vec<SocketAddr> {
+    pub(crate) fn remote_receivers(&self) -> Vec<SocketAddr> {
         let mut readers = self.readers();
         if !readers.iter().any(|reader| reader.instance == self.own) {
             return Vec::new();
@@ -194,15 +194,15 @@
     }
 
     /// Returns the instances to request records from, in order of preference: a reader asks the
-    /// first reader, as that one polls the store, and the others ask the readers of their domain.
+    /// fleet reader, as that one polls the store, and the others ask the readers of their domain.
     pub(crate) fn sources(&self) -> Vec<SocketAddr> {
         let mut readers = self.readers();
-        let first = first_reader(&readers).map(|first| first.instance.clone());
+        let fleet = fleet_reader(&readers).map(|reader| reader.instance.clone());
         let is_reader = readers.iter().any(|reader| reader.instance == self.own);
         readers.sort_by_key(|reader| {
-            let is_first = Some(&reader.instance) == first.as_ref();
+            let is_fleet_reader = Some(&reader.instance) == fleet.as_ref();
             let near = reader.domain == self.own_domain;
-            if is_reader { !is_first } else { !near }
+            if is_reader { !is_fleet_reader } else { !near }
         });
         readers.into_iter().filter_map(|reader| reader.address).collect()
     }
@@ -214,13 +214,13 @@
     }
 
     /// Returns whether this instance is the reader that polls the store for the whole fleet.
-    pub(crate) fn is_first_reader(&self) -> bool {
+    pub(crate) fn is_fleet_reader(&self) -> bool {
         let readers = self.readers();
-        first_reader(&readers).is_some_and(|first| first.instance == self.own)
+        fleet_reader(&readers).is_some_and(|reader| reader.instance == self.own)
     }
 
     /// Records whether the store responded to this instance.
-    pub(crate) fn note_store_answer(&self, answered: bool, now: Duration) {
+    pub(crate) fn record_store_response(&self, answered: bool, now: Duration) {
         let mut state = self.state();
         state.store_failed_at = (!answered).then_some(now);
         if answered {
@@ -247,7 +247,7 @@
     }
 
     /// Records the heartbeat of another instance; the instance's own one is ignored.
-    pub(crate) fn note_heartbeat(&self, heartbeat: PeerHeartbeat, from: SocketAddr) {
+    pub(crate) fn record_heartbeat(&self, heartbeat: PeerHeartbeat, from: SocketAddr) {
         if heartbeat.instance == self.own {
             return;
         }
@@ -263,7 +263,7 @@
     }
 
     /// Records a stop notice, in place of older ones of the same instance and service.
-    pub(crate) fn note_stopped(&self, notice: StopNotice) {
+    pub(crate) fn record_stop(&self, notice: StopNotice) {
         let mut state = self.state();
         state.stopped.retain(|known| {
             (&known.instance, &known.service) != (&notice.instance, &notice.service)
--- a/crates/rudder-engine/src/peers/message.rs
+++ b/crates/rudder-engine/src/peers/message.rs
@@ -55,7 +55,7 @@
         pub(crate) confirmed: Option<RequestOffset>,
         /// Time at which the store, or a majority of instances, knew no later version; never
         /// earlier than `confirmed`.
-        pub(crate) anchor: Option<RequestOffset>,
+        pub(crate) valid_from: Option<RequestOffset>,
         pub(crate) sample: Option<SampleCopy>,
     }
 }
--- a/crates/rudder-engine/src/peers/mod.rs
+++ b/crates/rudder-engine/src/peers/mod.rs
@@ -21,8 +21,8 @@
 pub(crate) use entries::{EntryDecision, EntryLedger, LISTING_VALIDITY};
 pub(crate) use exchange::PeerExchange;
 pub(crate) use fleet_copy::{
-    CopyRequest, CopyVersion, EntriesCopy, FleetCopy, MembersCopy, PendingCopy, answer_copy,
-    fetch_copy, serve_copies,
+    CopyRequest, CopyVersion, EntriesCopy, FleetCopy, MembersCopy, PendingCopy, fetch_copy,
+    respond_with_copy, serve_copies,
 };
 pub(crate) use list_change::{CopiedList, ListDigest, ListHistory};
 pub(crate) use membership::MembershipView;
--- a/crates/rudder-engine/src/peers/readers.rs
+++ b/crates/rudder-engine/src/peers/readers.rs
@@ -34,7 +34,7 @@
 
 /// Returns the reader that polls the store for the whole fleet: the first by a hash among those
 /// that the store responds to, or among all if it responds to none.
-pub(crate) fn first_reader(readers: &[ReaderCandidate]) -> Option<&ReaderCandidate> {
+pub(crate) fn fleet_reader(readers: &[ReaderCandidate]) -> Option<&ReaderCandidate> {
     readers.iter().min_by_key(|reader| (reader.store_unreachable, rank(reader)))
 }
 
--- a/crates/rudder-engine/src/peers/tests/message.rs
+++ b/crates/rudder-engine/src/peers/tests/message.rs
@@ -18,7 +18,8 @@
 /// Returns a response to an instance that knows the records of `services` services.
 fn response(services: usize) -> PeerMessage {
     let sample = SampleCopy { stamp: LogStamp::new(3, 120_000), sent: offset(400) };
-    let timing = RecordTiming { confirmed: offset(450), anchor: offset(450), sample: Some(sample) };
+    let timing =
+        RecordTiming { confirmed: offset(450), valid_from: offset(450), sample: Some(sample) };
     PeerMessage::Records(RecordsResponse {
         instance: "frontend-johannesburg-a-17".parse().expect("a name"),
         request_id: u64::MAX,
--- a/crates/rudder-engine/src/peers/tests/readers.rs
+++ b/crates/rudder-engine/src/peers/tests/readers.rs
@@ -1,6 +1,6 @@
 //! Choice of the readers.
 
-use crate::peers::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, first_reader};
+use crate::peers::readers::{ReaderCandidate, choose_domain_hubs, choose_readers, fleet_reader};
 
 /// Instances named `DOMAIN-NUMBER`.
 fn entries(names: &[&str]) -> Vec<ReaderCandidate> {
@@ -55,38 +55,38 @@
 }
 
 #[test]
-fn all_instances_choose_the_same_first_reader() {
+fn all_instances_choose_the_same_fleet_reader() {
     let readers = choose_readers(entries(&FLEET), 3);
-    let first = first_reader(&readers).expect("a reader");
+    let first = fleet_reader(&readers).expect("a reader");
 
     let mut reversed = readers.clone();
     reversed.reverse();
 
-    assert_eq!(first_reader(&reversed), Some(first));
+    assert_eq!(fleet_reader(&reversed), Some(first));
     assert!(readers.contains(first));
 }
 
 /// The fleet must receive the store's state although the store does not respond to one instance.
 #[test]
-fn a_reader_without_the_store_is_not_the_first_reader() {
+fn a_reader_without_the_store_is_not_the_fleet_reader() {
     let mut readers = choose_readers(entries(&FLEET), 3);
-    let first = first_reader(&readers).expect("a reader").instance.clone();
+    let first = fleet_reader(&readers).expect("a reader").instance.clone();
     for reader in readers.iter_mut().filter(|reader| reader.instance == first) {
         reader.store_unreachable = true;
     }
 
-    let next = first_reader(&readers).expect("a reader");
+    let next = fleet_reader(&readers).expect("a reader");
 
     assert_ne!(next.instance, first);
 }
 
 /// During a store outage, one instance must keep polling to detect its end.
 #[test]
-fn a_first_reader_exists_while_the_store_responds_to_none() {
+fn a_fleet_reader_exists_while_the_store_responds_to_none() {
     let mut readers = choose_readers(entries(&FLEET), 3);
     readers.iter_mut().for_each(|reader| reader.store_unreachable = true);
 
-    assert!(first_reader(&readers).is_some());
+    assert!(fleet_reader(&readers).is_some());
 }
 
 /// Heartbeats must not fill the links of a large failure domain.
--- a/crates/rudder-engine/src/session/caller.rs
+++ b/crates/rudder-engine/src/session/caller.rs
@@ -374,7 +374,7 @@
     let outcome = match &reply.outcome {
         StatementOutcome::Done(proof) if proof.is_empty() => "local",
         StatementOutcome::Done(_) => "served",
-        StatementOutcome::Error { error, .. } => error.word(),
+        StatementOutcome::Error { error, .. } => error.label(),
     };
     metrics::counter!("rudder_statements_total", "outcome" => outcome).increment(1);
     if outcome == "local" {
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -125,7 +125,7 @@
         let mut reason = "no member could be reached";
         loop {
             let Some(floor) = self.read_floor(&group, route, job, session_floor).await else {
-                if self.leader(&group).is_some() {
+                if self.serving_primary(&group).is_some() {
                     return Err(ReadFailure::UnknownPosition);
                 }
                 return Err(refused(&group, "the primary's position is not known"));
@@ -192,16 +192,17 @@
         let position_deadline = Instant::now() + POSITION_RETRY_DELAY;
         loop {
             if let Some(floor) = group.bounded_floor(bound) {
-                let own = session_floor.map(|floor| group.reachable(floor));
+                let own = session_floor.map(|floor| group.clamp_floor(floor));
                 return Some(own.map_or(floor, |own| own.max(floor)));
             }
             let remaining = job.wait_remaining();
-            let readable = Instant::now() >= position_deadline && self.leader(group).is_some();
+            let readable =
+                Instant::now() >= position_deadline && self.serving_primary(group).is_some();
             if remaining.is_zero() || readable {
                 return None;
             }
-            self.want_position();
-            self.want_records();
+            self.request_position();
+            self.request_records();
             group.wait_changed(remaining.min(POSITION_RETRY_DELAY)).await;
         }
     }
@@ -228,7 +229,7 @@
             Err(error) => {
                 log_attempt(member, job, &error);
                 // Triggers the watch of the primary, which detects a failed primary.
-                self.want_position();
+                self.request_position();
                 member.deprioritize();
                 Err(AttemptFailure::TryNext)
             }
--- a/crates/rudder-engine/src/session/strict.rs
+++ b/crates/rudder-engine/src/session/strict.rs
@@ -29,14 +29,14 @@
 
 impl InFlightGuard {
     pub(super) fn new(group: &Arc<ServiceGroup>) -> Self {
-        group.with_leases(crate::lead::LeaseTable::enter);
+        group.with_leases(crate::lead::LeaseTable::begin_statement);
         Self { group: Arc::clone(group) }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.group.with_leases(crate::lead::LeaseTable::leave);
+        self.group.with_leases(crate::lead::LeaseTable::end_statement);
     }
 }
 
@@ -100,7 +100,7 @@
             Err(error) => {
                 // Triggers the watch of the primary, which distinguishes a failed connection from a
                 // failed primary.
-                self.want_position();
+                self.request_position();
                 classify_failure(group, job, &member, &lease, &error)
             }
         };
@@ -118,11 +118,11 @@
     ) -> Result<PrimaryConnection, &'static str> {
         loop {
             let remaining = job.wait_remaining();
-            let Some((member, _)) = self.leader(group) else {
+            let Some((member, _)) = self.serving_primary(group) else {
                 if remaining.is_zero() {
                     return Err("no primary is confirmed");
                 }
-                self.want_records();
+                self.request_records();
                 group.wait_changed(remaining).await;
                 continue;
             };
@@ -138,7 +138,7 @@
                 }
             };
             // The primary may have changed while this request waited for the connection.
-            match self.leader(group) {
+            match self.serving_primary(group) {
                 Some((now_member, lease)) if Arc::ptr_eq(&now_member, &member) => {
                     let guard = InFlightGuard::new(group);
                     return Ok(PrimaryConnection { link, member, lease, guard });
@@ -199,7 +199,7 @@
         };
     }
     if let Some(position) = reply.position {
-        group.note_position(lease, sent_at, position);
+        group.record_position(lease, sent_at, position);
     }
     StrictOutcome::Reply(reply)
 }
--- a/crates/rudder-engine/src/session/tests/failing_member.rs
+++ b/crates/rudder-engine/src/session/tests/failing_member.rs
@@ -105,13 +105,13 @@
     let engine = ProxyEngine::new(identity("own"), borders);
     let entries: Vec<MemberEntry> = ["a", "b", "c"].map(member_entry).into();
     engine.apply_members(&entries, 1);
-    engine.set_listed(Some(boot_time()));
+    engine.set_registered(Some(boot_time()));
     let now = boot_time();
-    engine.note_records_read(&[service()], now);
+    engine.record_store_read(&[service()], now);
     let phase = LeadPhase::Settled { primary: member("a"), term: LogTerm(1), base: None };
     let record = LeadRecord { epoch: LeaderEpoch(1), mark: "m1".to_owned(), phase };
-    engine.observe(&service(), &record, now);
-    engine.group(&service()).note_peer_sample(LeaderEpoch(1), now, position());
+    engine.observe_record(&service(), &record, now);
+    engine.group(&service()).record_peer_sample(LeaderEpoch(1), now, position());
     engine
 }
 
--- a/crates/rudder-engine/src/session/transaction.rs
+++ b/crates/rudder-engine/src/session/transaction.rs
@@ -212,7 +212,7 @@
         let reason = match begin_result {
             Ok(reply) if reply.error().is_none() => {
                 if let Some(position) = reply.position {
-                    group.note_position(&connection.lease, sent_at, position);
+                    group.record_position(&connection.lease, sent_at, position);
                 }
                 return Ok(PinnedLink {
                     link: connection.link,
@@ -294,7 +294,7 @@
         return in_doubt("the primary was changed during the commit");
     }
     if let (Some(lease), Some(position)) = (&pinned.lease, reply.position) {
-        pinned.group.note_position(lease, sent_at, position);
+        pinned.group.record_position(lease, sent_at, position);
     }
     reply
 }
--- a/crates/rudder-engine/src/statement.rs
+++ b/crates/rudder-engine/src/statement.rs
@@ -197,8 +197,8 @@
 }
 
 impl StatementError {
-    /// Returns the fixed code of the error in logs and metrics.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Returns the label of the error in logs and metrics.
+    pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Busy => "busy",
             Self::Aborted => "rolled_back",
