--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -56,7 +56,7 @@
 #[ignore_extra_doc_attributes]
 pub(super) enum ChangeError {
     /// another instance changed the record first
-    Overtaken,
+    Superseded,
     /// no member can take over
     NoCandidate,
     /// no quorum of instances responds, and the others may serve with the present primary
@@ -70,7 +70,7 @@
 impl From<StoreError> for ChangeError {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::Conflict => Self::Overtaken,
+            StoreError::Conflict => Self::Superseded,
             error => Self::Store(error),
         }
     }
@@ -187,14 +187,14 @@
         &self,
         decided_epoch: LeaderEpoch,
     ) -> Result<(LeadRecord, ObjectVersion), ChangeError> {
-        let store = &self.engine.borders().store;
+        let store = &self.engine.dependencies().store;
         let sent_at = boot_time();
         let get = store.get(ObjectKind::PrimaryRecord, self.group.service().as_str());
-        let object = with_timeout(CALL_TIMEOUT, get).await?.ok_or(ChangeError::Overtaken)?;
-        let (_, record) = read_record(&object).ok_or(ChangeError::Overtaken)?;
+        let object = with_timeout(CALL_TIMEOUT, get).await?.ok_or(ChangeError::Superseded)?;
+        let (_, record) = read_record(&object).ok_or(ChangeError::Superseded)?;
         self.engine.observe_record(self.group.service(), &record, sent_at);
         if record.epoch != decided_epoch {
-            return Err(ChangeError::Overtaken);
+            return Err(ChangeError::Superseded);
         }
         Ok((record, object.version))
     }
@@ -253,7 +253,7 @@
         spec: &serde_json::Value,
         expected: Option<&ObjectVersion>,
     ) -> Result<ObjectVersion, ChangeError> {
-        let store = &self.engine.borders().store;
+        let store = &self.engine.dependencies().store;
         let name = self.group.service().as_str();
         for _ in 0..WRITE_ATTEMPTS {
             let put = store.put(ObjectKind::PrimaryRecord, name, expected, spec.clone());
@@ -280,7 +280,7 @@
         record: &LeadRecord,
         expected: Option<&ObjectVersion>,
     ) -> Result<Option<ObjectVersion>, ChangeError> {
-        let store = &self.engine.borders().store;
+        let store = &self.engine.dependencies().store;
         let get = store.get(ObjectKind::PrimaryRecord, self.group.service().as_str());
         let found = with_timeout(CALL_TIMEOUT, get).await?;
         let own = |object: &StoredObject| {
@@ -289,7 +289,7 @@
         match found {
             Some(object) if own(&object) => Ok(Some(object.version)),
             found if found.as_ref().map(|object| &object.version) == expected => Ok(None),
-            _ => Err(ChangeError::Overtaken),
+            _ => Err(ChangeError::Superseded),
         }
     }
 
--- a/crates/rudder-engine/src/duty/control.rs
+++ b/crates/rudder-engine/src/duty/control.rs
@@ -1,8 +1,8 @@
 //! Status requests and control commands to members, on dedicated connections.
 
-use crate::border::{LinkError, MemberLink};
 use crate::engine::ProxyEngine;
 use crate::group::{AcquireError, GroupMember, LinkRequest, LinkUser};
+use crate::interfaces::{LinkError, MemberLink};
 use crate::statement::{MemberCommand, StatementError, StatementReply};
 use rudder_core::{LogTerm, MemberName, MemberStatus, plain_data};
 use std::time::Duration;
@@ -37,7 +37,7 @@
     member: &GroupMember,
     reply: &StatementReply,
 ) -> Result<MemberReport, LinkError> {
-    match engine.borders().dialer.read_status(reply) {
+    match engine.dependencies().dialer.read_status(reply) {
         Some(status) => Ok(MemberReport { member: member.name().clone(), status }),
         None => Err(LinkError::Protocol(format!("invalid status reply: {:?}", reply.outcome))),
     }
@@ -74,7 +74,7 @@
     engine: &ProxyEngine,
     member: &GroupMember,
 ) -> Result<Box<dyn MemberLink>, LinkError> {
-    let dial = engine.borders().dialer.dial(member.pool().target(), None);
+    let dial = engine.dependencies().dialer.dial(member.pool().target(), None);
     tokio::time::timeout(STATUS_TIMEOUT, dial).await.unwrap_or(Err(LinkError::Silent))
 }
 
@@ -101,7 +101,7 @@
         let acquired = member.pool().acquire(&request, STATUS_TIMEOUT).await;
         let mut link = acquired.map_err(|error| match error {
             AcquireError::WaitOver => LinkError::Silent,
-            AcquireError::Down(reason) => reason,
+            AcquireError::Unreachable(reason) => reason,
         })?;
         let result = link.exchange(&[command], STATUS_TIMEOUT).await;
         let mut replies = result.map_err(|error| error.reason)?;
--- a/crates/rudder-engine/src/duty/promote.rs
+++ b/crates/rudder-engine/src/duty/promote.rs
@@ -2,9 +2,9 @@
 
 use super::change::{ChangeError, ChangeRun, INTENT_VALIDITY, POLL_INTERVAL, WrittenRecord};
 use super::control::{MemberReport, fetch_status};
-use crate::border::{PromotionError, PromotionOrder};
 use crate::clock::boot_time;
 use crate::group::{GroupMember, MemberState};
+use crate::interfaces::{PromotionError, PromotionOrder};
 use crate::lead::order_candidates;
 use rudder_core::{LogTerm, MemberName, MemberRole};
 use std::time::Duration;
@@ -67,7 +67,7 @@
                 return Err(ChangeError::TooLate);
             }
             if self.group.with_leases(|leases| leases.epoch()) != intent.record.epoch {
-                return Err(ChangeError::Overtaken);
+                return Err(ChangeError::Superseded);
             }
             let Some((candidate, _)) = candidates.first() else {
                 rejected.clear();
@@ -103,7 +103,7 @@
             holder: self.engine.identity().name.to_string(),
             token: intent.record.epoch.0,
         };
-        let call = self.engine.borders().promotion.promote(&order);
+        let call = self.engine.dependencies().promotion.promote(&order);
         let outcome = tokio::time::timeout(PROMOTION_CALL_TIMEOUT, call).await;
         let outcome = outcome.unwrap_or(Err(PromotionError::Unanswered));
         log::info!(
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -174,7 +174,7 @@
 }
 
 async fn read_records(engine: &ProxyEngine) -> Result<Vec<(ServiceName, LeadRecord)>, StoreError> {
-    let list = engine.borders().store.list(ObjectKind::PrimaryRecord);
+    let list = engine.dependencies().store.list(ObjectKind::PrimaryRecord);
     let objects = match tokio::time::timeout(READ_TIMEOUT, list).await {
         Ok(objects) => objects?,
         Err(_) => return Err(StoreError::Unavailable),
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -119,7 +119,7 @@
 /// Load pattern: a whole fleet loses power and restarts. Most entries are then as they were before,
 /// and a read that may be served from a cache is cheap.
 async fn find_contacts(engine: &ProxyEngine) -> bool {
-    let list = engine.borders().store.list_cached(ObjectKind::InstanceRecord);
+    let list = engine.dependencies().store.list_cached(ObjectKind::InstanceRecord);
     match with_timeout(CALL_TIMEOUT, list).await {
         Ok(objects) => {
             let contacts: Vec<PeerEntry> = objects.iter().filter_map(read_entry).collect();
@@ -195,7 +195,7 @@
     engine: &ProxyEngine,
     ledger: &mut EntryLedger,
 ) -> Result<(), StoreError> {
-    let list = engine.borders().store.list_cached(ObjectKind::InstanceRecord);
+    let list = engine.dependencies().store.list_cached(ObjectKind::InstanceRecord);
     let objects = with_timeout(CALL_TIMEOUT, list).await?;
     let entries: Vec<(PeerEntry, ObjectVersion)> = objects
         .iter()
@@ -239,7 +239,7 @@
         process: 0,
     };
     let spec = record.to_spec()?;
-    let store = &engine.borders().store;
+    let store = &engine.dependencies().store;
     let kind = ObjectKind::InstanceRecord;
     let put = store.put(kind, entry.instance.as_str(), Some(version), spec);
     log::info!(
@@ -254,7 +254,7 @@
     version: &ObjectVersion,
 ) -> Result<(), StoreError> {
     log::info!(instance:% = instance; "an instance that is gone is taken out of the list");
-    let store = &engine.borders().store;
+    let store = &engine.dependencies().store;
     let kind = ObjectKind::InstanceRecord;
     with_timeout(CALL_TIMEOUT, store.delete(kind, instance.as_str(), version)).await
 }
@@ -279,7 +279,7 @@
         process: engine.process(),
     };
     let spec = entry.to_spec()?;
-    let store = &engine.borders().store;
+    let store = &engine.dependencies().store;
     let name = identity.name.as_str();
     let kind = ObjectKind::InstanceRecord;
     let known = with_timeout(CALL_TIMEOUT, store.create_or_get(kind, name, spec.clone())).await?;
@@ -294,7 +294,7 @@
 /// Reads the list of instances from the store.
 pub(super) async fn read_entries(engine: &ProxyEngine) -> Result<Vec<PeerEntry>, StoreError> {
     let sent_at = boot_time();
-    let list = engine.borders().store.list(ObjectKind::InstanceRecord);
+    let list = engine.dependencies().store.list(ObjectKind::InstanceRecord);
     let objects = with_timeout(CALL_TIMEOUT, list).await?;
     let entries: Vec<PeerEntry> = objects.iter().filter_map(read_entry).collect();
     let own = entries.iter().find(|entry| is_own(engine, entry));
@@ -332,7 +332,7 @@
 }
 
 async fn remove_own_entry(engine: &ProxyEngine, version: &ObjectVersion) -> Result<(), StoreError> {
-    let store = &engine.borders().store;
+    let store = &engine.dependencies().store;
     let name = engine.identity().name.as_str();
     let kind = ObjectKind::InstanceRecord;
     let removed = with_timeout(CALL_TIMEOUT, store.delete(kind, name, version)).await;
--- a/crates/rudder-engine/src/duty/start.rs
+++ b/crates/rudder-engine/src/duty/start.rs
@@ -2,7 +2,7 @@
 
 use super::{heartbeat, keeper, records, registry, watch};
 use crate::engine::ProxyEngine;
-use crate::identity::{EngineBorders, InstanceIdentity};
+use crate::identity::{EngineDependencies, InstanceIdentity};
 use crate::peers::{PeerExchange, serve_copies};
 use rudder_core::plain_data;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
 /// Returns an error if the address for peers cannot be bound.
 pub async fn start_engine(
     identity: InstanceIdentity,
-    borders: EngineBorders,
+    dependencies: EngineDependencies,
 ) -> std::io::Result<Arc<ProxyEngine>> {
     let address = identity.peer_address;
-    let engine = ProxyEngine::new(identity, borders);
+    let engine = ProxyEngine::new(identity, dependencies);
     let exchange = PeerExchange::bind(address).await?;
     let listener = TcpListener::bind(address).await?;
     engine.set_exchange(exchange.clone());
--- a/crates/rudder-engine/src/duty/status.rs
+++ b/crates/rudder-engine/src/duty/status.rs
@@ -1,9 +1,9 @@
 //! Status requests to members during a change of primary.
 
 use super::control::{MemberReport, STATUS_TIMEOUT, dial, exchange, parse_report, send_on_pooled};
-use crate::border::{LinkError, MemberLink};
 use crate::engine::ProxyEngine;
 use crate::group::GroupMember;
+use crate::interfaces::{LinkError, MemberLink};
 use crate::statement::{MemberCommand, StatementError};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/rudder-engine/src/duty/tests/change.rs
+++ b/crates/rudder-engine/src/duty/tests/change.rs
@@ -41,7 +41,7 @@
 
     let outcome = change_primary(&engine, &exchange, &group, unfinished(2)).await;
 
-    assert_eq!(outcome, Err(ChangeError::Overtaken));
+    assert_eq!(outcome, Err(ChangeError::Superseded));
     assert_eq!(store.write_count(), 0);
 }
 
--- a/crates/rudder-engine/src/duty/tests/fixture.rs
+++ b/crates/rudder-engine/src/duty/tests/fixture.rs
@@ -1,13 +1,13 @@
 //! Store with one record, and members that reply without a network.
 
-use crate::border::{
-    LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
-    PromotionOrder,
-};
 use crate::engine::ProxyEngine;
 use crate::fixtures::{identity, member_entry};
 use crate::group::{MemberEntry, MemberState};
-use crate::identity::{EngineBorders, InstanceIdentity};
+use crate::identity::{EngineDependencies, InstanceIdentity};
+use crate::interfaces::{
+    LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
+    PromotionOrder,
+};
 use crate::lead::{LeadPhase, LeadRecord, LeaderEpoch};
 use crate::statement::{MemberCommand, StatementReply, TransactionState};
 use async_trait::async_trait;
@@ -216,15 +216,15 @@
             std::future::pending::<()>().await;
         }
         let rows = vec![status_row(&self.group.next_status(&self.member))];
-        Ok(StatementReply { rows, ..StatementReply::local(TransactionState::Idle) })
+        Ok(StatementReply { rows, ..StatementReply::without_member(TransactionState::Idle) })
     }
 }
 
 /// Dialer and promotion call for the members of a group, or for none.
-pub(super) struct FakeBorders(pub(super) Option<Arc<FakeMembers>>);
+pub(super) struct FakeDependencies(pub(super) Option<Arc<FakeMembers>>);
 
 #[async_trait]
-impl MemberDialer for FakeBorders {
+impl MemberDialer for FakeDependencies {
     async fn dial(
         &self,
         target: &MemberTarget,
@@ -241,7 +241,7 @@
 }
 
 #[async_trait]
-impl PromotionCall for FakeBorders {
+impl PromotionCall for FakeDependencies {
     async fn promote(&self, order: &PromotionOrder) -> Result<(), PromotionError> {
         let group = self.0.as_ref().ok_or(PromotionError::Rejected)?;
         let mut members = group.members.lock().expect("no holder panics");
@@ -299,11 +299,11 @@
     members: Option<Arc<FakeMembers>>,
     identity: InstanceIdentity,
 ) -> Arc<ProxyEngine> {
-    let borders = Arc::new(FakeBorders(members));
-    let borders = EngineBorders {
-        dialer: Arc::clone(&borders) as _,
-        promotion: borders,
+    let dependencies = Arc::new(FakeDependencies(members));
+    let dependencies = EngineDependencies {
+        dialer: Arc::clone(&dependencies) as _,
+        promotion: dependencies,
         store: Arc::clone(store) as _,
     };
-    ProxyEngine::new(identity, borders)
+    ProxyEngine::new(identity, dependencies)
 }
--- a/crates/rudder-engine/src/duty/watch.rs
+++ b/crates/rudder-engine/src/duty/watch.rs
@@ -2,10 +2,10 @@
 //!
 //! Only readers do so, since each watch occupies one of a primary's few connections.
 
-use crate::border::{LinkError, MemberLink};
 use crate::clock::boot_time;
 use crate::engine::ProxyEngine;
 use crate::group::{GroupMember, ServiceGroup};
+use crate::interfaces::{LinkError, MemberLink};
 use crate::statement::MemberCommand;
 use rudder_core::{LogStamp, MemberName, ServiceName};
 use std::sync::Arc;
@@ -109,7 +109,7 @@
 ) -> Result<Option<LogStamp>, LinkError> {
     let call = async {
         if link.is_none() {
-            let dialed = engine.borders().dialer.dial(member.pool().target(), None).await?;
+            let dialed = engine.dependencies().dialer.dial(member.pool().target(), None).await?;
             *link = Some(WatchLink { member: member.name().clone(), link: dialed });
         }
         let Some(open) = link.as_mut() else { return Ok(None) };
--- a/crates/rudder-engine/src/engine.rs
+++ b/crates/rudder-engine/src/engine.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::boot_time;
 use crate::group::{GroupMember, ServiceGroup};
-use crate::identity::{DrainPhase, EngineBorders, InstanceIdentity};
+use crate::identity::{DrainPhase, EngineDependencies, InstanceIdentity};
 use crate::lead::LeaderLease;
 use crate::limits::AccountLimits;
 use crate::own_entry::OwnEntry;
@@ -51,7 +51,7 @@
     /// Random identifier that distinguishes this process from earlier and later processes of the
     /// same instance.
     process: u64,
-    borders: EngineBorders,
+    dependencies: EngineDependencies,
     settings: watch::Sender<Option<Arc<FleetSettings>>>,
     /// Sorted by service.
     groups: Mutex<Vec<Arc<ServiceGroup>>>,
@@ -76,12 +76,12 @@
 }
 
 impl ProxyEngine {
-    pub(crate) fn new(identity: InstanceIdentity, borders: EngineBorders) -> Arc<Self> {
+    pub(crate) fn new(identity: InstanceIdentity, dependencies: EngineDependencies) -> Arc<Self> {
         Arc::new(Self {
             membership: MembershipView::new(&identity),
             identity,
             process: rand::random(),
-            borders,
+            dependencies,
             settings: watch::Sender::new(None),
             groups: Mutex::default(),
             store_snapshot: Mutex::default(),
@@ -119,8 +119,8 @@
         &self.identity.name
     }
 
-    pub(crate) fn borders(&self) -> &EngineBorders {
-        &self.borders
+    pub(crate) fn dependencies(&self) -> &EngineDependencies {
+        &self.dependencies
     }
 
     /// Sets the exchange through which datagrams are sent to other instances.
@@ -192,7 +192,7 @@
         let route = settings.route(database).ok_or(StatementError::NoDatabase)?;
         let account = match &settings.accounts {
             Some(accounts) if !route.is_public => {
-                self.check_key_trust()?;
+                self.check_key_validity()?;
                 let rule = accounts.holder(key).ok_or(StatementError::Unauthorized)?;
                 Some(rule.name.clone())
             }
@@ -203,10 +203,10 @@
 
     /// Rejects callers with keys if the settings have been unconfirmed for longer than the
     /// deployment allows, as a key may have been revoked meanwhile.
-    fn check_key_trust(&self) -> Result<(), StatementError> {
-        let Some(trust) = self.identity.key_trust else { return Ok(()) };
+    fn check_key_validity(&self) -> Result<(), StatementError> {
+        let Some(validity) = self.identity.key_validity else { return Ok(()) };
         let settings_at = lock(&self.store_snapshot).settings_at();
-        let trusted = settings_at.is_some_and(|at| boot_time() < at + trust);
+        let trusted = settings_at.is_some_and(|at| boot_time() < at + validity);
         if trusted { Ok(()) } else { Err(StatementError::Busy) }
     }
 
--- a/crates/rudder-engine/src/engine/fleet.rs
+++ b/crates/rudder-engine/src/engine/fleet.rs
@@ -151,7 +151,7 @@
         for group in self.groups() {
             let of_group = |entry: &&MemberEntry| entry.target.service == *group.service();
             let own: Vec<MemberEntry> = entries.iter().filter(of_group).cloned().collect();
-            group.set_members(&own, &self.borders.dialer);
+            group.set_members(&own, &self.dependencies.dialer);
         }
     }
 
--- a/crates/rudder-engine/src/fixtures.rs
+++ b/crates/rudder-engine/src/fixtures.rs
@@ -1,11 +1,11 @@
 //! Fixtures shared by the tests of several modules.
 
-use crate::border::{
+use crate::group::{MemberEntry, MemberState};
+use crate::identity::InstanceIdentity;
+use crate::interfaces::{
     LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
     PromotionOrder,
 };
-use crate::group::{MemberEntry, MemberState};
-use crate::identity::InstanceIdentity;
 use crate::statement::StatementReply;
 use async_trait::async_trait;
 use rudder_core::{AccountName, MemberRole, MemberStatus};
@@ -28,16 +28,16 @@
         regions: Vec::new(),
         peer_address: ([127, 0, 0, 1], 0).into(),
         member_drain: MEMBER_DRAIN,
-        key_trust: None,
+        key_validity: None,
         limit_bounds: LimitBounds::default(),
     }
 }
 
 /// Store whose calls all fail with [`StoreError::Unavailable`].
-pub(crate) struct SilentStore;
+pub(crate) struct UnavailableStore;
 
 #[async_trait]
-impl PlatformStore for SilentStore {
+impl PlatformStore for UnavailableStore {
     async fn get(
         &self,
         _kind: ObjectKind,
@@ -86,15 +86,15 @@
         region: "north".to_owned(),
         state: MemberState::Ready,
         role: MemberRole::Replica,
-        born: 1,
+        started_at_ms: 1,
     }
 }
 
 /// Dialer that reaches no member.
-pub(crate) struct NobodyDialer;
+pub(crate) struct UnreachableDialer;
 
 #[async_trait]
-impl MemberDialer for NobodyDialer {
+impl MemberDialer for UnreachableDialer {
     async fn dial(
         &self,
         _target: &MemberTarget,
@@ -109,10 +109,10 @@
 }
 
 /// Promotion call that rejects every order.
-pub(crate) struct NoPromotion;
+pub(crate) struct RejectingPromotion;
 
 #[async_trait]
-impl PromotionCall for NoPromotion {
+impl PromotionCall for RejectingPromotion {
     async fn promote(&self, _order: &PromotionOrder) -> Result<(), PromotionError> {
         Err(PromotionError::Rejected)
     }
--- a/crates/rudder-engine/src/group/acquire.rs
+++ b/crates/rudder-engine/src/group/acquire.rs
@@ -9,7 +9,7 @@
 use super::pool::{
     ConnectionGrant, ConnectionSlot, LinkRequest, MemberPool, QueueEntry, QueueRequest,
 };
-use crate::border::LinkError;
+use crate::interfaces::LinkError;
 use crate::statement::StatementError;
 use displaydoc::Display;
 use std::future::poll_fn;
@@ -24,7 +24,7 @@
     /// all connections stayed in use
     WaitOver,
     /// the member cannot be reached: {0}
-    Down(LinkError),
+    Unreachable(LinkError),
 }
 
 /// The pool of a member that may serve the request.
@@ -124,7 +124,7 @@
             }
         }
     }
-    Err(AcquireError::Down(reason))
+    Err(AcquireError::Unreachable(reason))
 }
 
 /// Opens a connection. Meanwhile the entries in the other queues are dropped, as connections
--- a/crates/rudder-engine/src/group/link.rs
+++ b/crates/rudder-engine/src/group/link.rs
@@ -2,7 +2,7 @@
 
 use super::link_session::LinkSession;
 use super::pool::MemberPool;
-use crate::border::{LinkError, MemberLink};
+use crate::interfaces::{LinkError, MemberLink};
 use crate::statement::{MemberCommand, StatementReply, TransactionState};
 use rudder_core::AccountName;
 use std::sync::Arc;
--- a/crates/rudder-engine/src/group/link_session.rs
+++ b/crates/rudder-engine/src/group/link_session.rs
@@ -1,43 +1,44 @@
 //! Session state on a pooled connection, and the commands that prepare it for the next session.
 
-use crate::statement::{MemberCommand, SessionValue, StatementShape};
+use crate::statement::{MemberCommand, PreparedStatement, SessionValue};
 
-/// Maximum number of prepared shapes on a connection. Beyond it the connection is reset, so that
-/// callers that keep preparing new statements cannot exhaust a member's memory.
-const SHAPES_MAX: usize = 64;
+/// Maximum number of prepared statements on a connection. Beyond it the connection is reset, so
+/// that callers that keep preparing new statements cannot exhaust a member's memory.
+const PREPARED_MAX: usize = 64;
 
-/// Session values and prepared shapes on one connection, both sorted.
+/// Session values and prepared statements on one connection, both sorted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LinkSession {
     values: Vec<SessionValue>,
-    shapes: Vec<StatementShape>,
+    prepared: Vec<PreparedStatement>,
 }
 
 impl LinkSession {
-    /// Returns the commands that give the connection exactly these values and prepare the shape.
+    /// Returns the commands that give the connection exactly these values and prepare the
+    /// statement.
     ///
     /// A value that another session left behind can only be cleared together with all others, so
     /// the connection is reset first. Otherwise the statement would run with that session's values.
     pub(crate) fn commands_for(
         &self,
         values: &[SessionValue],
-        shape: Option<&StatementShape>,
+        prepared: Option<&PreparedStatement>,
     ) -> Vec<MemberCommand> {
         let is_named = |name: &str| values.iter().any(|value| value.name == name);
         let has_foreign = self.values.iter().any(|value| !is_named(&value.name));
-        let unprepared = shape.filter(|shape| self.shapes.binary_search(shape).is_err());
-        let is_full = unprepared.is_some() && self.shapes.len() >= SHAPES_MAX;
+        let unprepared = prepared.filter(|prepared| self.prepared.binary_search(prepared).is_err());
+        let is_full = unprepared.is_some() && self.prepared.len() >= PREPARED_MAX;
         if has_foreign || is_full {
             let mut commands = vec![MemberCommand::Reset];
-            commands.extend(Self::default().commands_for(values, shape));
+            commands.extend(Self::default().commands_for(values, prepared));
             return commands;
         }
         let missing = values.iter().filter(|value| self.values.binary_search(value).is_err());
         let mut commands: Vec<_> = missing.cloned().map(MemberCommand::SetValue).collect();
-        commands.extend(
-            unprepared
-                .map(|shape| MemberCommand::Prepare { alias: shape.alias(), shape: shape.clone() }),
-        );
+        commands.extend(unprepared.map(|prepared| MemberCommand::Prepare {
+            alias: prepared.alias(),
+            prepared: prepared.clone(),
+        }));
         commands
     }
 
@@ -46,9 +47,9 @@
         match command {
             MemberCommand::Reset => *self = Self::default(),
             MemberCommand::SetValue(value) => self.set_value(value),
-            MemberCommand::Prepare { shape, .. } => {
-                if let Err(index) = self.shapes.binary_search(shape) {
-                    self.shapes.insert(index, shape.clone());
+            MemberCommand::Prepare { prepared, .. } => {
+                if let Err(index) = self.prepared.binary_search(prepared) {
+                    self.prepared.insert(index, prepared.clone());
                 }
             }
             _ => {}
--- a/crates/rudder-engine/src/group/member.rs
+++ b/crates/rudder-engine/src/group/member.rs
@@ -1,8 +1,8 @@
 //! One member of a service with its connection pool and this instance's observations of it.
 
 use super::pool::MemberPool;
-use crate::border::{MemberDialer, MemberTarget};
 use crate::clock::boot_time;
+use crate::interfaces::{MemberDialer, MemberTarget};
 use crate::sync::lock;
 use rudder_core::{DomainName, LogStamp, MemberName, MemberRole, plain_data};
 use rudder_decisions::{NodePlace, ReplicaProgress};
@@ -43,7 +43,8 @@
         /// Role that the member reports for itself.
         pub role: MemberRole,
         /// Start time in milliseconds since 1970. A restarted member keeps no state from before.
-        pub born: u64,
+        #[serde(rename = "born")]
+        pub started_at_ms: u64,
     }
 }
 
@@ -157,7 +158,9 @@
 ) -> Arc<GroupMember> {
     let same = known.iter().find(|member| {
         let before = member.entry();
-        before.target == entry.target && before.born == entry.born && before.domain == entry.domain
+        before.target == entry.target
+            && before.started_at_ms == entry.started_at_ms
+            && before.domain == entry.domain
     });
     let Some(member) = same else { return GroupMember::new(entry.clone(), dialer) };
     *lock(&member.entry) = entry.clone();
--- a/crates/rudder-engine/src/group/pool.rs
+++ b/crates/rudder-engine/src/group/pool.rs
@@ -13,7 +13,7 @@
 //! longest is replaced by one for the account that needs it.
 
 use super::link::PooledLink;
-use crate::border::{LinkError, MemberDialer, MemberTarget};
+use crate::interfaces::{LinkError, MemberDialer, MemberTarget};
 use crate::statement::StatementError;
 use crate::sync::lock;
 use rudder_core::AccountName;
--- a/crates/rudder-engine/src/group/service.rs
+++ b/crates/rudder-engine/src/group/service.rs
@@ -1,8 +1,8 @@
 //! One service: its members, its primary's lease, and the observed log positions.
 
 use super::member::{GroupMember, MemberEntry, reuse_or_create};
-use crate::border::MemberDialer;
 use crate::clock::boot_time;
+use crate::interfaces::MemberDialer;
 use crate::lead::{LeadRecord, LeaderEpoch, LeaderLease, LeaseTable, PositionHistory};
 use crate::sync::lock;
 use rudder_core::{FreshSample, InstanceName, LogStamp, MemberName, ServiceName};
--- a/crates/rudder-engine/src/group/tests/link_session.rs
+++ b/crates/rudder-engine/src/group/tests/link_session.rs
@@ -1,14 +1,14 @@
 //! Tests of the commands that prepare a pooled connection for a session.
 
 use crate::group::link_session::LinkSession;
-use crate::statement::{MemberCommand, SessionValue, StatementEffect, StatementShape};
+use crate::statement::{MemberCommand, PreparedStatement, SessionValue, StatementEffect};
 
 fn value(name: &str, value: &str) -> SessionValue {
     SessionValue { name: name.to_owned(), value: value.to_owned() }
 }
 
-fn shape(text: &str) -> StatementShape {
-    StatementShape { effect: StatementEffect::Read, shape: text.to_owned() }
+fn prepared(text: &str) -> PreparedStatement {
+    PreparedStatement { effect: StatementEffect::Read, text: text.to_owned() }
 }
 
 fn session_after(commands: &[MemberCommand]) -> LinkSession {
@@ -20,9 +20,10 @@
 #[test]
 fn known_values_and_shapes_are_not_sent_again() {
     let values = [value("a", "1")];
-    let session = session_after(&LinkSession::default().commands_for(&values, Some(&shape("q"))));
+    let session =
+        session_after(&LinkSession::default().commands_for(&values, Some(&prepared("q"))));
 
-    assert_eq!(session.commands_for(&values, Some(&shape("q"))), []);
+    assert_eq!(session.commands_for(&values, Some(&prepared("q"))), []);
 }
 
 #[test]
@@ -52,12 +53,12 @@
     // A caller that keeps preparing new statements must not make the member's memory grow.
     let many: Vec<_> = (0..64)
         .map(|number| {
-            let shape = shape(&format!("q{number}"));
-            MemberCommand::Prepare { alias: shape.alias(), shape }
+            let prepared = prepared(&format!("q{number}"));
+            MemberCommand::Prepare { alias: prepared.alias(), prepared }
         })
         .collect();
 
-    let commands = session_after(&many).commands_for(&[], Some(&shape("new")));
+    let commands = session_after(&many).commands_for(&[], Some(&prepared("new")));
 
     assert_eq!(commands.first(), Some(&MemberCommand::Reset));
     assert_eq!(commands.len(), 2);
--- a/crates/rudder-engine/src/group/tests/pool.rs
+++ b/crates/rudder-engine/src/group/tests/pool.rs
@@ -1,8 +1,8 @@
 //! Tests of connection pools: the order of grants, limits, and reuse of connections.
 
-use crate::border::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::group::acquire::{AcquireError, PoolChoice, acquire_any};
 use crate::group::pool::{LinkRequest, LinkUser, MemberPool};
+use crate::interfaces::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::statement::{
     MemberCommand, StatementError, StatementOutcome, StatementReply, TransactionState,
 };
--- a/crates/rudder-engine/src/group/tests/service.rs
+++ b/crates/rudder-engine/src/group/tests/service.rs
@@ -1,8 +1,8 @@
 //! Tests of the membership of a service.
 
-use crate::border::MemberDialer;
-use crate::fixtures::{NobodyDialer, member_entry};
+use crate::fixtures::{UnreachableDialer, member_entry};
 use crate::group::ServiceGroup;
+use crate::interfaces::MemberDialer;
 use crate::lead::{LeadPhase, LeadRecord, LeaderEpoch};
 use rudder_core::{LogTerm, MemberName};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 fn group(primary: &str) -> (Arc<ServiceGroup>, Arc<dyn MemberDialer>) {
     let group = ServiceGroup::new("records".parse().expect("a name"));
-    let dialer: Arc<dyn MemberDialer> = Arc::new(NobodyDialer);
+    let dialer: Arc<dyn MemberDialer> = Arc::new(UnreachableDialer);
     group.observe_record(&settled(1, primary), Duration::ZERO);
     group.set_members(&[member_entry("a"), member_entry("b")], &dialer);
     (group, dialer)
--- a/crates/rudder-engine/src/identity.rs
+++ b/crates/rudder-engine/src/identity.rs
@@ -1,6 +1,6 @@
 //! Identity of an instance, its external systems and the phases of its shutdown.
 
-use crate::border::{MemberDialer, PromotionCall};
+use crate::interfaces::{MemberDialer, PromotionCall};
 use rudder_core::{DomainName, InstanceName, plain_data};
 use rudder_decisions::{LimitBounds, NodePlace};
 use rudder_store::PlatformStore;
@@ -26,7 +26,7 @@
         pub member_drain: Duration,
         /// Time for which keys are trusted without confirmation that the settings are current; none
         /// if an instance without any confirmation continues with the settings it has.
-        pub key_trust: Option<Duration>,
+        pub key_validity: Option<Duration>,
         /// Bounds on how far a client account may exceed its limit, as the deployment configures
         /// them.
         pub limit_bounds: LimitBounds,
@@ -42,7 +42,7 @@
 
 /// External systems that this instance calls.
 #[derive(Clone)]
-pub struct EngineBorders {
+pub struct EngineDependencies {
     /// Opens connections to members.
     pub dialer: Arc<dyn MemberDialer>,
     /// Promotes members.
--- a/crates/rudder-engine/src/lib.rs
+++ b/crates/rudder-engine/src/lib.rs
@@ -5,7 +5,6 @@
 //! from samples of the primary's position. Writes and strict reads go to the primary under a lease.
 //! A change of primary is coordinated through a record in the store.
 
-mod border;
 mod clock;
 mod duty;
 mod engine;
@@ -13,6 +12,7 @@
 mod fixtures;
 mod group;
 mod identity;
+mod interfaces;
 mod lead;
 mod limits;
 mod own_entry;
@@ -24,14 +24,14 @@
 mod store_snapshot;
 mod sync;
 
-pub use border::{
-    LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
-    PromotionOrder,
-};
 pub use duty::{EngineTiming, start_engine, stop_engine};
 pub use engine::ProxyEngine;
 pub use group::{MemberEntry, MemberState};
-pub use identity::{DrainPhase, EngineBorders, InstanceIdentity};
+pub use identity::{DrainPhase, EngineDependencies, InstanceIdentity};
+pub use interfaces::{
+    LinkError, MemberDialer, MemberLink, MemberTarget, PromotionCall, PromotionError,
+    PromotionOrder,
+};
 pub use lead::{LeadPhase, LeadRecord, LeaderEpoch};
 pub use session::CallerSession;
 pub use settings::{
@@ -39,6 +39,6 @@
     RouteKind, RouteRule, ServiceRule, SettingsVersion,
 };
 pub use statement::{
-    CallerStatement, MemberCommand, RequestId, SessionValue, StatementBody, StatementEffect,
-    StatementError, StatementOutcome, StatementReply, StatementShape, TransactionState,
+    CallerStatement, MemberCommand, PreparedStatement, RequestId, SessionValue, StatementBody,
+    StatementEffect, StatementError, StatementOutcome, StatementReply, TransactionState,
 };
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -67,7 +67,7 @@
         let bounds = self.identity().limit_bounds;
         let mut state = self.limits().state();
         let before = state.ledger.role(account);
-        let verdict = state.ledger.claim(account, limit, bounds, role, rank, boot_time());
+        let decision = state.ledger.claim(account, limit, bounds, role, rank, boot_time());
         drop(state);
         if before != role {
             log::info!(
@@ -75,7 +75,7 @@
                 "this instance's part in counting for an account changed"
             );
         }
-        verdict
+        decision
     }
 
     /// Returns the rank of this instance among an account's owners and whether it counts for the
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -2,8 +2,10 @@
 
 use crate::clock::boot_time;
 use crate::engine::{ProxyEngine, RouteAccess};
-use crate::fixtures::{NoPromotion, NobodyDialer, SilentStore, identity, member_entry};
-use crate::identity::{EngineBorders, InstanceIdentity};
+use crate::fixtures::{
+    RejectingPromotion, UnavailableStore, UnreachableDialer, identity, member_entry,
+};
+use crate::identity::{EngineDependencies, InstanceIdentity};
 use crate::lead::{LeadPhase, LeadRecord, LeaderEpoch};
 use crate::peers::PeerEntry;
 use crate::settings::{
@@ -35,18 +37,18 @@
 
 /// Returns an instance that was just in contact with the fleet and knows no instance list.
 fn engine() -> Arc<ProxyEngine> {
-    engine_trusting(None)
+    engine_with_key_validity(None)
 }
 
-fn engine_trusting(key_trust: Option<Duration>) -> Arc<ProxyEngine> {
-    let borders = EngineBorders {
-        dialer: Arc::new(NobodyDialer),
-        promotion: Arc::new(NoPromotion),
-        store: Arc::new(SilentStore),
+fn engine_with_key_validity(key_validity: Option<Duration>) -> Arc<ProxyEngine> {
+    let dependencies = EngineDependencies {
+        dialer: Arc::new(UnreachableDialer),
+        promotion: Arc::new(RejectingPromotion),
+        store: Arc::new(UnavailableStore),
     };
-    let mut identity = InstanceIdentity { key_trust, ..identity("own") };
+    let mut identity = InstanceIdentity { key_validity, ..identity("own") };
     identity.limit_bounds.tolerance = 18;
-    let engine = ProxyEngine::new(identity, borders);
+    let engine = ProxyEngine::new(identity, dependencies);
     engine.apply_members(&[member_entry("a")], 1);
     engine.set_registered(Some(boot_time()));
     let service = "records".parse().expect("a name");
@@ -175,8 +177,8 @@
 #[tokio::test]
 async fn keys_are_trusted_without_a_confirmation_only_if_configured() {
     let (database, key) = (DatabaseName("db".to_owned()), KeyDigest::of("key-one"));
-    let open = engine_trusting(None);
-    let closed = engine_trusting(Some(Duration::from_millis(50)));
+    let open = engine_with_key_validity(None);
+    let closed = engine_with_key_validity(Some(Duration::from_millis(50)));
 
     closed.confirm_settings();
     let fresh = closed.access(&database, &key);
--- a/crates/rudder-engine/src/session/caller.rs
+++ b/crates/rudder-engine/src/session/caller.rs
@@ -7,8 +7,8 @@
 use crate::limits::ClaimError;
 use crate::settings::{DatabaseName, KeyDigest, RouteKind, RouteRule};
 use crate::statement::{
-    CallerStatement, RequestId, StatementBody, StatementEffect, StatementError, StatementOutcome,
-    StatementReply, StatementShape, TransactionState,
+    CallerStatement, PreparedStatement, RequestId, StatementBody, StatementEffect, StatementError,
+    StatementOutcome, StatementReply, TransactionState,
 };
 use rudder_core::{LogStamp, ServiceName, SessionFloor};
 use std::sync::Arc;
@@ -64,7 +64,7 @@
 
     /// Idle timeout of the open transaction; `None` outside of transactions.
     #[must_use]
-    pub fn idle_limit(&self) -> Option<Duration> {
+    pub fn transaction_idle_timeout(&self) -> Option<Duration> {
         matches!(self.phase, SessionPhase::Open(_)).then(|| self.engine.transaction_idle())
     }
 
@@ -110,7 +110,7 @@
         match statement {
             CallerStatement::Rollback => {
                 self.phase = SessionPhase::Idle;
-                StatementReply::local(TransactionState::Idle)
+                StatementReply::without_member(TransactionState::Idle)
             }
             CallerStatement::Commit => {
                 self.phase = SessionPhase::Idle;
@@ -133,8 +133,8 @@
                 let changed = self.session_state.set_value(value);
                 self.reply_local(changed)
             }
-            CallerStatement::Prepare { name, shape } => {
-                let changed = self.session_state.prepare(name, shape);
+            CallerStatement::Prepare { name, prepared } => {
+                let changed = self.session_state.prepare(name, prepared);
                 self.reply_local(changed)
             }
             CallerStatement::Deallocate(name) => self.deallocate(&name),
@@ -168,7 +168,7 @@
             Err(reply) => return reply,
         };
         self.phase = SessionPhase::Open(Box::new(OpenTransaction::new(read_only, access)));
-        StatementReply::local(TransactionState::Open)
+        StatementReply::without_member(TransactionState::Open)
     }
 
     /// Returns the route and account that the current settings grant to this caller.
@@ -187,7 +187,7 @@
         match std::mem::replace(&mut self.phase, SessionPhase::Idle) {
             SessionPhase::Open(open) => {
                 open.abandon();
-                StatementReply::local(TransactionState::Idle)
+                StatementReply::without_member(TransactionState::Idle)
             }
             phase => {
                 self.phase = phase;
@@ -199,14 +199,14 @@
     /// Returns the reply to a statement that only changed session state and used no member.
     fn reply_local(&self, changed: Result<(), StateFull>) -> StatementReply {
         match changed {
-            Ok(()) => StatementReply::local(self.state()),
+            Ok(()) => StatementReply::without_member(self.state()),
             Err(error) => self.refuse(StatementError::TooLarge, &error.to_string()),
         }
     }
 
     fn deallocate(&mut self, name: &str) -> StatementReply {
         if self.session_state.remove_prepared(name) {
-            return StatementReply::local(self.state());
+            return StatementReply::without_member(self.state());
         }
         self.fail(StatementError::UnknownName, "there is no such prepared name")
     }
@@ -222,11 +222,11 @@
     }
 
     async fn execute(&mut self, id: RequestId, name: &str, arguments: String) -> StatementReply {
-        let Some(shape) = self.session_state.shape(name).cloned() else {
+        let Some(prepared) = self.session_state.prepared(name).cloned() else {
             return self.fail(StatementError::UnknownName, "there is no such prepared name");
         };
-        let body = StatementBody::Execute { alias: shape.alias(), arguments };
-        self.run_on_member(id, body, shape.effect, Some(shape)).await
+        let body = StatementBody::Execute { alias: prepared.alias(), arguments };
+        self.run_on_member(id, body, prepared.effect, Some(prepared)).await
     }
 
     async fn run_on_member(
@@ -234,10 +234,10 @@
         id: RequestId,
         body: StatementBody,
         effect: StatementEffect,
-        shape: Option<StatementShape>,
+        prepared: Option<PreparedStatement>,
     ) -> StatementReply {
         if matches!(self.phase, SessionPhase::Open(_)) {
-            return self.run_in_transaction(id, body, effect, shape).await;
+            return self.run_in_transaction(id, body, effect, prepared).await;
         }
         let access = match self.access() {
             Ok(access) => access,
@@ -248,7 +248,8 @@
             return self.refuse(StatementError::Busy, &refusal_text(&error));
         }
         let route = Arc::clone(&access.route);
-        let job = StatementJob::new(id, body, effect, shape, self.session_state.values(), &access);
+        let job =
+            StatementJob::new(id, body, effect, prepared, self.session_state.values(), &access);
         let strict = route.kind == RouteKind::Strict || effect == StatementEffect::Write;
         if !strict {
             let floor = self.session_floor(&route.service);
@@ -266,7 +267,7 @@
         id: RequestId,
         body: StatementBody,
         effect: StatementEffect,
-        shape: Option<StatementShape>,
+        prepared: Option<PreparedStatement>,
     ) -> StatementReply {
         let SessionPhase::Open(mut open) = std::mem::replace(&mut self.phase, SessionPhase::Idle)
         else {
@@ -282,8 +283,14 @@
             return self.refuse(StatementError::Busy, &refusal_text(&error));
         }
         let floor = self.session_floor(open.service());
-        let job =
-            StatementJob::new(id, body, effect, shape, self.session_state.values(), open.access());
+        let job = StatementJob::new(
+            id,
+            body,
+            effect,
+            prepared,
+            self.session_state.values(),
+            open.access(),
+        );
         let reply = open.run(&self.engine, &job, floor).await;
         if reply.state == TransactionState::Failed {
             open.abandon();
@@ -398,6 +405,6 @@
 pub(super) fn staleness_bound(route: &RouteRule) -> Option<Duration> {
     match route.kind {
         RouteKind::Strict => None,
-        RouteKind::Bounded(bound) | RouteKind::OwnWrites(bound) => Some(bound),
+        RouteKind::Bounded(bound) | RouteKind::ReadYourWrites(bound) => Some(bound),
     }
 }
--- a/crates/rudder-engine/src/session/job.rs
+++ b/crates/rudder-engine/src/session/job.rs
@@ -4,8 +4,8 @@
 use crate::engine::RouteAccess;
 use crate::group::{ExchangeError, LinkRequest, LinkUser, PooledLink, ServiceGroup};
 use crate::statement::{
-    MemberCommand, RequestId, SessionValue, StatementBody, StatementEffect, StatementError,
-    StatementReply, StatementShape, TransactionState,
+    MemberCommand, PreparedStatement, RequestId, SessionValue, StatementBody, StatementEffect,
+    StatementError, StatementReply, TransactionState,
 };
 use rand::RngExt;
 use rudder_core::{AccountName, LogStamp, ServiceName};
@@ -30,8 +30,8 @@
     pub(crate) account: Option<AccountName>,
     pub(crate) body: StatementBody,
     pub(crate) effect: StatementEffect,
-    /// Prepared shape that the body refers to, if any.
-    pub(crate) shape: Option<StatementShape>,
+    /// Prepared statement that the body refers to, if any.
+    pub(crate) prepared: Option<PreparedStatement>,
     /// Session values, sorted by name.
     pub(crate) values: Vec<SessionValue>,
     pub(crate) priority: u8,
@@ -47,7 +47,7 @@
         id: RequestId,
         body: StatementBody,
         effect: StatementEffect,
-        shape: Option<StatementShape>,
+        prepared: Option<PreparedStatement>,
         values: &[SessionValue],
         access: &RouteAccess,
     ) -> Self {
@@ -59,7 +59,7 @@
             account: access.account.clone(),
             body,
             effect,
-            shape,
+            prepared,
             values: values.to_vec(),
             priority: route.priority,
             started_at: now,
@@ -83,15 +83,15 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Runs the statement on a connection. Missing session values and prepared shapes are sent in
-    /// the same write.
+    /// Runs the statement on a connection. Missing session values and prepared statements are sent
+    /// in the same write.
     pub(crate) async fn run_on(
         &self,
         link: &mut PooledLink,
         floor: Option<LogStamp>,
         timeout: Duration,
     ) -> Result<StatementReply, ExchangeError> {
-        let mut commands = link.session().commands_for(&self.values, self.shape.as_ref());
+        let mut commands = link.session().commands_for(&self.values, self.prepared.as_ref());
         commands.push(MemberCommand::Statement {
             id: self.id.clone(),
             floor,
@@ -100,8 +100,8 @@
         run_all(link, &commands, timeout).await
     }
 
-    /// Begins a transaction on a connection. Missing session values and prepared shapes are sent in
-    /// the same write.
+    /// Begins a transaction on a connection. Missing session values and prepared statements are
+    /// sent in the same write.
     pub(crate) async fn begin_on(
         &self,
         link: &mut PooledLink,
@@ -109,7 +109,7 @@
         floor: Option<LogStamp>,
         timeout: Duration,
     ) -> Result<StatementReply, ExchangeError> {
-        let mut commands = link.session().commands_for(&self.values, self.shape.as_ref());
+        let mut commands = link.session().commands_for(&self.values, self.prepared.as_ref());
         commands.push(MemberCommand::Begin { read_only, floor });
         run_all(link, &commands, timeout).await
     }
@@ -130,7 +130,7 @@
         // its reply cannot be used.
         (_, error) => {
             let reason = error.map_or_else(|| "no answer".to_owned(), ToString::to_string);
-            let reason = crate::border::LinkError::Protocol(reason);
+            let reason = crate::interfaces::LinkError::Protocol(reason);
             Err(ExchangeError { reason, sent: true })
         }
     }
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -154,7 +154,7 @@
                 Err(AcquireError::WaitOver) => {
                     return Err(refused(&group, reason));
                 }
-                Err(AcquireError::Down(_)) => {
+                Err(AcquireError::Unreachable(_)) => {
                     tried.extend(
                         members.iter().take(choices.len()).map(|member| member.name().clone()),
                     );
--- a/crates/rudder-engine/src/session/state.rs
+++ b/crates/rudder-engine/src/session/state.rs
@@ -1,7 +1,7 @@
 //! Session state kept between statements: session values and prepared statements.
 
 use crate::group::put_value;
-use crate::statement::{SessionValue, StatementShape};
+use crate::statement::{PreparedStatement, SessionValue};
 use displaydoc::Display;
 
 /// Maximum number of session values, and of prepared statements, per session. Bounds the memory
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct PreparedName {
     name: String,
-    shape: StatementShape,
+    prepared: PreparedStatement,
 }
 
 /// Session values and prepared statements, both sorted by name.
@@ -46,11 +46,15 @@
         Ok(())
     }
 
-    pub(super) fn prepare(&mut self, name: String, shape: StatementShape) -> Result<(), StateFull> {
+    pub(super) fn prepare(
+        &mut self,
+        name: String,
+        prepared: PreparedStatement,
+    ) -> Result<(), StateFull> {
         match self.position(&name) {
-            Ok(index) => self.names[index].shape = shape,
+            Ok(index) => self.names[index].prepared = prepared,
             Err(_) if self.names.len() >= NAMES_MAX => return Err(StateFull::Names),
-            Err(index) => self.names.insert(index, PreparedName { name, shape }),
+            Err(index) => self.names.insert(index, PreparedName { name, prepared }),
         }
         Ok(())
     }
@@ -64,10 +68,10 @@
         found.is_ok()
     }
 
-    /// Returns the shape of a prepared statement.
-    pub(super) fn shape(&self, name: &str) -> Option<&StatementShape> {
+    /// Returns a prepared statement by its name.
+    pub(super) fn prepared(&self, name: &str) -> Option<&PreparedStatement> {
         let found = self.position(name);
-        found.ok().map(|index| &self.names[index].shape)
+        found.ok().map(|index| &self.names[index].prepared)
     }
 
     fn position(&self, name: &str) -> Result<usize, usize> {
--- a/crates/rudder-engine/src/session/strict.rs
+++ b/crates/rudder-engine/src/session/strict.rs
@@ -129,10 +129,10 @@
             let link = match member.pool().acquire(&job.link_request(work), remaining).await {
                 Ok(link) => link,
                 Err(AcquireError::WaitOver) => return Err("all connections are in use"),
-                Err(AcquireError::Down(_)) if remaining < RETRY_DELAY => {
+                Err(AcquireError::Unreachable(_)) if remaining < RETRY_DELAY => {
                     return Err("the primary cannot be reached");
                 }
-                Err(AcquireError::Down(_)) => {
+                Err(AcquireError::Unreachable(_)) => {
                     group.wait_changed(RETRY_DELAY).await;
                     continue;
                 }
--- a/crates/rudder-engine/src/session/tests/failing_member.rs
+++ b/crates/rudder-engine/src/session/tests/failing_member.rs
@@ -1,10 +1,10 @@
 //! Statements that fail at a member which is otherwise healthy.
 
-use crate::border::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::clock::boot_time;
 use crate::engine::{ProxyEngine, RouteAccess};
-use crate::fixtures::{NoPromotion, SilentStore, identity, member_entry};
+use crate::fixtures::{RejectingPromotion, UnavailableStore, identity, member_entry};
 use crate::group::MemberEntry;
+use crate::interfaces::{LinkError, MemberDialer, MemberLink, MemberTarget};
 use crate::lead::{LeadPhase, LeadRecord, LeaderEpoch};
 use crate::session::job::StatementJob;
 use crate::settings::{DatabaseName, RouteKind, RouteRule};
@@ -97,12 +97,12 @@
 
 /// An instance with the primary `a` and the replicas `b` and `c`, all at the same distance.
 fn engine(members: &Arc<FailingMembers>) -> Arc<ProxyEngine> {
-    let borders = crate::identity::EngineBorders {
+    let dependencies = crate::identity::EngineDependencies {
         dialer: Arc::new(FailingDialer(Arc::clone(members))),
-        promotion: Arc::new(NoPromotion),
-        store: Arc::new(SilentStore),
+        promotion: Arc::new(RejectingPromotion),
+        store: Arc::new(UnavailableStore),
     };
-    let engine = ProxyEngine::new(identity("own"), borders);
+    let engine = ProxyEngine::new(identity("own"), dependencies);
     let entries: Vec<MemberEntry> = ["a", "b", "c"].map(member_entry).into();
     engine.apply_members(&entries, 1);
     engine.set_registered(Some(boot_time()));
--- a/crates/rudder-engine/src/session/transaction.rs
+++ b/crates/rudder-engine/src/session/transaction.rs
@@ -280,7 +280,7 @@
             "a commit was not done"
         );
         return match error {
-            error if error.ran_nothing() => aborted(job, "the member did not commit"),
+            error if error.guarantees_not_run() => aborted(job, "the member did not commit"),
             _ if wrote => in_doubt("the member answered the commit with an error"),
             _ => reply,
         };
--- a/crates/rudder-engine/src/settings/table.rs
+++ b/crates/rudder-engine/src/settings/table.rs
@@ -46,7 +46,7 @@
     /// Reads see every commit that was acknowledged longer ago than the bound.
     Bounded(Duration),
     /// Reads see the same as with [`RouteKind::Bounded`], and every commit of their own session.
-    OwnWrites(Duration),
+    ReadYourWrites(Duration),
 }
 
 plain_data! {
--- a/crates/rudder-engine/src/statement.rs
+++ b/crates/rudder-engine/src/statement.rs
@@ -27,22 +27,22 @@
 plain_data! {
     /// Content of a prepared statement, without its name.
     #[derive(PartialOrd, Ord)]
-    pub struct StatementShape {
+    pub struct PreparedStatement {
         /// Effect of the statement on data.
         pub effect: StatementEffect,
         /// Text of the statement, opaque to the engine.
-        pub shape: String,
+        pub text: String,
     }
 }
 
-impl StatementShape {
+impl PreparedStatement {
     /// Returns the name under which this statement is prepared on member connections. It depends on
     /// the statement alone, so the names of different callers cannot collide on a shared
     /// connection.
     pub(crate) fn alias(&self) -> String {
         match self.effect {
-            StatementEffect::Read => format!("r_{}", self.shape),
-            StatementEffect::Write => format!("w_{}", self.shape),
+            StatementEffect::Read => format!("r_{}", self.text),
+            StatementEffect::Write => format!("w_{}", self.text),
         }
     }
 }
@@ -81,7 +81,7 @@
         /// Name of the statement within this session.
         name: String,
         /// Content of the statement.
-        shape: StatementShape,
+        prepared: PreparedStatement,
     },
     /// Runs a prepared statement.
     Execute {
@@ -124,7 +124,7 @@
         /// Name of the statement on this connection.
         alias: String,
         /// Content of the statement.
-        shape: StatementShape,
+        prepared: PreparedStatement,
     },
     /// Begins a transaction.
     Begin {
@@ -219,7 +219,7 @@
     }
 
     /// Returns whether the error proves that the member did not run the statement.
-    pub(crate) fn ran_nothing(&self) -> bool {
+    pub(crate) fn guarantees_not_run(&self) -> bool {
         matches!(self, Self::Busy | Self::Lagging | Self::ReadOnly | Self::UnknownName)
     }
 }
@@ -255,7 +255,7 @@
 
 impl StatementReply {
     /// Returns a successful reply that no member took part in.
-    pub(crate) fn local(state: TransactionState) -> Self {
+    pub(crate) fn without_member(state: TransactionState) -> Self {
         let outcome = StatementOutcome::Done(String::new());
         Self { rows: Vec::new(), outcome, state, position: None }
     }
