--- a/crates/rudder-decisions/src/meter.rs
+++ b/crates/rudder-decisions/src/meter.rs
@@ -1,7 +1,7 @@
 //! Measured service time of one member, and the number of statements in flight that keeps its slots
 //! busy.
 //!
-//! Load pattern: old and new hardware side by side, at different distances. Without a measured
+//! Load pattern: old and new hardware side by side, at different distances. Without an estimated
 //! service time, equal shares go to unequal members and the queue of the slow one grows without
 //! bound. Without the window, a member behind a long link is idle while responses and new
 //! statements are in transit.
--- a/crates/rudder-decisions/src/ramp.rs
+++ b/crates/rudder-decisions/src/ramp.rs
@@ -7,7 +7,7 @@
 //!
 //! Thresholds: the weight starts at [`RAMP_START`], enough to warm the caches and to measure the
 //! member's speed, and is full after [`RAMP_TIME`]: a few hundred statements at a tenth of a
-//! member's usual rate. By then its measured speed, not the ramp, controls the load.
+//! member's usual rate. By then its observed speed, not the ramp, controls the load.
 
 use crate::routing::MemberWeight;
 use std::time::{Duration, Instant};
--- a/crates/rudder-decisions/src/replica_progress.rs
+++ b/crates/rudder-decisions/src/replica_progress.rs
@@ -20,7 +20,7 @@
 /// longer than a burst of reads of one session.
 const LACK_CERTAIN_TIME: Duration = Duration::from_millis(50);
 
-/// Last observed progress of a replica. Times are measured from an arbitrary common start.
+/// Last observed progress of a replica. Times are counted from an arbitrary common start.
 ///
 /// ```
 /// use rudder_core::LogStamp;
--- a/crates/rudder-engine/src/duty/tests/change.rs
+++ b/crates/rudder-engine/src/duty/tests/change.rs
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn a_change_that_was_judged_on_an_older_record_is_not_begun() {
+async fn a_change_decided_on_an_older_record_is_not_started() {
     // Two instances decide to take over a change whose holder was killed. The announcement of the
     // first one's new change reaches the second one after its decision and before it reads the
     // store. If the second one continues, two instances promote a member one after the other.
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_change_that_is_taken_over_still_waits_for_its_successor() {
+async fn a_planned_change_that_is_taken_over_waits_for_its_successor() {
     // Acknowledged commits are lost if the instance that replaces a leaving primary fails before a
     // promotion, and the one that takes over sees only an unfinished change and promotes at once,
     // while the successor still lacks the last commits.
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_change_goes_on_although_writes_of_the_store_are_lost() {
+async fn a_change_continues_after_a_lost_store_write() {
     // If the store loses every other write of a record without a response and the change restarts
     // each time, all instances stop again for the new version of the record, and callers wait six
     // seconds for a new primary instead of two.
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_primary_that_has_been_leaving_for_long_gets_no_work() {
+fn a_primary_that_drains_for_too_long_gets_no_statements() {
     // With three instances partitioned off and a fourth one failed, there is no majority, and the
     // change of primary waits for the partition to heal. If the leaving primary stays in use until
     // it stops, the statements in flight are lost.
--- a/crates/rudder-engine/src/duty/tests/registry.rs
+++ b/crates/rudder-engine/src/duty/tests/registry.rs
@@ -39,7 +39,7 @@
 
 /// Otherwise a delayed removal by the earlier process could remove the entry of the current one.
 #[tokio::test]
-async fn a_process_that_starts_again_writes_its_entry_anew() {
+async fn a_restarted_process_rewrites_its_entry() {
     let store = RecordStore::new(&first_record(), &[WriteOutcome::Done]);
     let earlier = engine(&store, None);
     ensure_registered(&earlier).await.expect("the store takes it");
--- a/crates/rudder-engine/src/duty/tests/settings.rs
+++ b/crates/rudder-engine/src/duty/tests/settings.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_greatest_version_stays_whoever_brings_it() {
+fn the_newest_settings_stay_under_concurrent_updates() {
     // The version of the store and a copy of a peer arrive on two threads. If each compares
     // versions before either applies its own, the older one can be applied last, and a removed
     // route is served again.
--- a/crates/rudder-engine/src/lead/suspicion.rs
+++ b/crates/rudder-engine/src/lead/suspicion.rs
@@ -118,7 +118,7 @@
         since.map(|since| since + timeout).filter(|due_at| now >= *due_at)
     };
     if let Some(due_at) = due_after(health.unreachable_since, UNREACHABLE_TIMEOUT)
-        && suspected_by_most(votes)
+        && suspected_by_majority(votes)
     {
         return Some((ChangeCause::Unreachable, due_at));
     }
@@ -133,7 +133,7 @@
 ///
 /// A primary must not be replaced because only one instance's or one domain's link to it is cut, as
 /// all others can still reach it.
-fn suspected_by_most(votes: &[PeerVote]) -> bool {
+fn suspected_by_majority(votes: &[PeerVote]) -> bool {
     let count = votes.iter().filter(|vote| vote.suspects).count();
     let domains_all = domains_of(votes.iter());
     let domains_suspecting = domains_of(votes.iter().filter(|vote| vote.suspects));
--- a/crates/rudder-engine/src/lead/tests/schedules.rs
+++ b/crates/rudder-engine/src/lead/tests/schedules.rs
@@ -108,7 +108,7 @@
 
 /// A response that was delayed on its way to the instance must not extend a lease.
 #[test]
-fn later_answers_to_a_question_renew_no_lease_of_a_superseded_primary() {
+fn repeated_responses_renew_no_lease_of_a_superseded_primary() {
     let (mut acknowledgments, mut promotions) = (0, 0);
     for seed in 0..schedules() {
         let model =
--- a/crates/rudder-engine/src/limits/tests.rs
+++ b/crates/rudder-engine/src/limits/tests.rs
@@ -103,7 +103,7 @@
 /// An instance without a list must not count: each instance of a restarting fleet would grant the
 /// whole limit.
 #[tokio::test]
-async fn an_instance_that_knows_no_list_counts_for_nobody() {
+async fn an_instance_without_an_instance_list_grants_no_operation() {
     let engine = engine();
 
     assert_eq!(granted_claims(&engine, 1).await, 0);
--- a/crates/rudder-engine/src/own_entry/tests.rs
+++ b/crates/rudder-engine/src/own_entry/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_record_that_was_read_before_the_entry_stood_gives_no_lease() {
+fn a_record_read_before_registration_gives_no_lease() {
     // An instance reads the record, another one begins a change and reads the list, and then the
     // new instance registers. The change does not wait for it, so the record that it read must not
     // permit acknowledgments for the replaced primary.
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_instance_that_leaves_does_not_lead_by_an_older_look_at_the_list() {
+fn a_leaving_instance_does_not_lead_by_an_older_read_of_the_list() {
     // A stopping instance removes its entry, and a change that does not wait for it begins. The
     // response to its last read of the list, which still shows the entry, must not permit
     // acknowledgments for the replaced primary.
@@ -74,7 +74,7 @@
 
 /// An instance must not lead by an entry that another instance has removed.
 #[test]
-fn an_entry_that_a_later_list_lacks_gives_no_lease() {
+fn a_registration_missing_from_a_later_list_gives_no_lease() {
     let second = Duration::from_secs;
     let mut entry = OwnEntry::default();
     entry.observe_listed(second(10), second(11));
