--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -184,7 +184,10 @@
         // and each change of primary would wait for its lease to expire.
         return Ok(RegistrationCheck::Stopping);
     }
-    log::info!(instance:% = engine.identity().name; "this instance is not in the list, or marked there");
+    log::info!(
+        instance:% = engine.identity().name;
+        "this instance is missing from the list of instances, or marked for removal"
+    );
     register(engine).await?;
     Ok(RegistrationCheck::Registered)
 }
@@ -253,7 +256,7 @@
     instance: &InstanceName,
     version: &ObjectVersion,
 ) -> Result<(), StoreError> {
-    log::info!(instance:% = instance; "an instance that is gone is taken out of the list");
+    log::info!(instance:% = instance; "removing an unresponsive instance from the list of instances");
     let store = &engine.dependencies().store;
     let kind = ObjectKind::InstanceRecord;
     with_timeout(CALL_TIMEOUT, store.delete(kind, instance.as_str(), version)).await
--- a/crates/rudderctl/src/explain/advice.rs
+++ b/crates/rudderctl/src/explain/advice.rs
@@ -43,7 +43,7 @@
     ReasonMeaning {
         reason: "the account's limit cannot be looked up",
         meaning: "none of the instances that may count for the account answered and counted within \
-                  0.6 s; look for who counts (this instance's part in counting) and for links between instances",
+                  0.6 s; look for who counts (the role of this instance in counting) and for links between instances",
     },
     ReasonMeaning {
         reason: "the account's limit is used up",
