--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -81,13 +81,13 @@
             PeerMessage::Announce(copy) => handle_announce(&engine, &exchange, copy, from).await,
             PeerMessage::Stopped(notice) => engine.membership().record_stop(notice),
             PeerMessage::FetchRecords(request) => {
-                handle_request(&engine, &exchange, request, from).await
+                handle_request(&engine, &exchange, request, from).await;
             }
             PeerMessage::Records(reply) => handle_response(&engine, &exchange, reply, from).await,
             PeerMessage::Claim(claim) => respond_to_claim(&engine, &exchange, claim, from).await,
             PeerMessage::ClaimResponse(response) => engine.handle_claim_response(response, from),
             PeerMessage::FetchCopy(request) => {
-                respond_with_copy(&engine, &exchange, request, from).await
+                respond_with_copy(&engine, &exchange, request, from).await;
             }
             PeerMessage::Copy(response) => engine.pending_copy().complete(response),
         }
