--- a/crates/rudder-decisions/src/admission/gate.rs
+++ b/crates/rudder-decisions/src/admission/gate.rs
@@ -52,6 +52,7 @@
 /// use rand::SeedableRng;
 /// use rudder_decisions::{
 ///     AdmissionDecision, AdmissionGate, AdmissionRequest, LaneKey, LaneLimits, WorkClass,
+///     WorkSize,
 /// };
 /// use std::time::{Duration, Instant};
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
