--- a/crates/rudder-standins/examples/bench/client.rs
+++ b/crates/rudder-standins/examples/bench/client.rs
@@ -1,4 +1,5 @@
-//! A client of the simple query protocol that costs as little as possible.
+//! A PostgreSQL client with minimal overhead, so that the load generator does not distort the
+//! figures.
 
 use bytes::{Buf, BufMut, BytesMut};
 use std::io;
@@ -6,22 +7,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Protocol 3.0, as the startup message gives it.
+/// Version 3.0 of the wire protocol, as encoded in the startup message.
 const PROTOCOL_VERSION: i32 = 196_608;
 
-/// A message's type byte and length.
+/// Size of a message's type byte and length field.
 const HEADER_BYTES: usize = 5;
 
-/// Bytes read at a time.
+/// Space reserved in the input buffer for each read.
 const READ_BYTES: usize = 16 << 10;
 
-/// The prepared statement's name with its end.
+/// Name of the prepared statement, with its terminating zero byte.
 const PREPARED_NAME: &[u8] = b"point\0";
 
-/// The unnamed portal, then the prepared statement's name.
-const PREPARED_NAME_PAIR: &[u8] = b"\0point\0";
+/// Name of the unnamed portal, followed by the name of the prepared statement.
+const BIND_NAMES: &[u8] = b"\0point\0";
 
-/// Whom to connect to, and as whom.
+/// Server address and login parameters of a connection.
 #[derive(Clone, Debug)]
 pub(crate) struct BenchTarget {
     pub(crate) address: SocketAddr,
@@ -29,7 +30,7 @@
     pub(crate) user: String,
 }
 
-/// One connection.
+/// A connection to a member or a proxy.
 #[derive(Debug)]
 pub(crate) struct BenchClient {
     stream: TcpStream,
@@ -37,7 +38,7 @@
 }
 
 impl BenchClient {
-    /// Connects and logs in; the server must trust the user.
+    /// Connects and logs in. Password authentication is not supported.
     pub(crate) async fn connect(target: &BenchTarget) -> io::Result<Self> {
         let stream = TcpStream::connect(target.address).await?;
         stream.set_nodelay(true)?;
@@ -51,21 +52,21 @@
         }
         let length = i32::try_from(startup.len()).unwrap_or(i32::MAX);
         startup[..4].copy_from_slice(&length.to_be_bytes());
-        client.ask(&startup).await?;
+        client.exchange(&startup).await?;
         Ok(client)
     }
 
-    /// The message for a statement.
-    pub(crate) fn request(statement: &str) -> BytesMut {
+    /// Returns the message that runs `statement` by the simple query protocol.
+    pub(crate) fn query_message(statement: &str) -> BytesMut {
         let mut message = BytesMut::new();
         put_message(b'Q', &[statement.as_bytes(), &[0]].concat(), &mut message);
         message
     }
 
-    /// The message that executes the prepared statement with one parameter, as text.
-    pub(crate) fn execution(parameter: &str) -> BytesMut {
+    /// Returns the messages that run the prepared statement with one parameter in text format.
+    pub(crate) fn execute_messages(parameter: &str) -> BytesMut {
         let mut bind = BytesMut::new();
-        bind.put_slice(PREPARED_NAME_PAIR);
+        bind.put_slice(BIND_NAMES);
         bind.put_slice(&[0, 0, 0, 1]);
         bind.put_i32(i32::try_from(parameter.len()).unwrap_or(i32::MAX));
         bind.put_slice(parameter.as_bytes());
@@ -77,7 +78,7 @@
         message
     }
 
-    /// Prepares the statement that executions run.
+    /// Prepares the statement that [`Self::execute_messages`] runs.
     pub(crate) async fn prepare(&mut self, statement: &str) -> io::Result<()> {
         let mut parse = BytesMut::from(PREPARED_NAME);
         parse.put_slice(statement.as_bytes());
@@ -85,16 +86,16 @@
         let mut message = BytesMut::new();
         put_message(b'P', &parse, &mut message);
         put_message(b'S', &[], &mut message);
-        self.ask(&message).await
+        self.exchange(&message).await
     }
 
-    /// Runs a statement.
+    /// Runs `statement` by the simple query protocol.
     pub(crate) async fn run(&mut self, statement: &str) -> io::Result<()> {
-        self.ask(&Self::request(statement)).await
+        self.exchange(&Self::query_message(statement)).await
     }
 
-    /// Sends a message and reads up to the end of its answer.
-    pub(crate) async fn ask(&mut self, message: &[u8]) -> io::Result<()> {
+    /// Sends `message` and reads its response up to `ReadyForQuery`, or returns the server's error.
+    pub(crate) async fn exchange(&mut self, message: &[u8]) -> io::Result<()> {
         self.stream.write_all(message).await?;
         let mut failure = None;
         loop {
@@ -104,7 +105,9 @@
                     failure = Some(String::from_utf8_lossy(body).replace('\0', " "));
                 }
                 if kind == b'R' && self.input[HEADER_BYTES..HEADER_BYTES + 4] != [0; 4] {
-                    return Err(io::Error::other("the server asks for a password"));
+                    return Err(io::Error::other(
+                        "the server requires password authentication, which is not supported",
+                    ));
                 }
                 self.input.advance(length);
                 if kind == b'Z' {
@@ -113,13 +116,14 @@
             }
             self.input.reserve(READ_BYTES);
             if self.stream.read_buf(&mut self.input).await? == 0 {
-                let failure = failure.unwrap_or_else(|| "the server closed".to_owned());
+                let failure =
+                    failure.unwrap_or_else(|| "the server closed the connection".to_owned());
                 return Err(io::Error::other(failure));
             }
         }
     }
 
-    /// Type and full length of the next message, if all of it is here.
+    /// Returns the type and the full length of the next message if it is buffered completely.
     fn complete_message(&self) -> Option<(u8, usize)> {
         let header = self.input.get(..HEADER_BYTES)?;
         let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize + 1;
@@ -127,9 +131,9 @@
     }
 }
 
-/// Appends a message of a type and a body.
+/// Appends a message with type byte `kind` and the given body to `out`.
 fn put_message(kind: u8, body: &[u8], out: &mut BytesMut) {
-    /// The length counts itself.
+    /// Size of the length field, which is included in the length.
     const LENGTH_BYTES: usize = 4;
     out.put_u8(kind);
     out.put_i32(i32::try_from(body.len() + LENGTH_BYTES).unwrap_or(i32::MAX));
--- a/crates/rudder-standins/examples/bench/load.rs
+++ b/crates/rudder-standins/examples/bench/load.rs
@@ -1,4 +1,4 @@
-//! Load of many connections for a while.
+//! Load generator: many connections that send statements for a fixed time.
 
 use crate::TABLE_ROWS;
 use crate::client::{BenchClient, BenchTarget};
@@ -11,17 +11,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Part of the time in which caches, pools and limits settle; not measured.
-const WARM_UP_SHARE: u32 = 5;
+/// The first 1/5 of a run is not measured: caches, pools and limits settle in it.
+const WARM_UP_DIVISOR: u32 = 5;
 
-/// What is asked.
+/// Kind of statement that a run sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatementKind {
-    /// A point read by the simple protocol.
+    /// A point read by the simple query protocol.
     Read,
-    /// A point read by a prepared statement.
+    /// A point read by a prepared statement with the extended query protocol.
     Prepared,
-    /// A change of one row by the simple protocol.
+    /// An update of one row by the simple query protocol.
     Write,
 }
 
@@ -39,36 +39,38 @@
 }
 
 impl StatementKind {
-    /// The message that asks for the row with this id.
+    /// Returns the message that reads or updates the row with this id.
     fn request(self, id: usize) -> BytesMut {
         match self {
-            Self::Read => BenchClient::request(&format!("SELECT note FROM bench WHERE id = {id}")),
-            Self::Prepared => BenchClient::execution(&id.to_string()),
-            Self::Write => {
-                BenchClient::request(&format!("UPDATE bench SET note = 'new' WHERE id = {id}"))
+            Self::Read => {
+                BenchClient::query_message(&format!("SELECT note FROM bench WHERE id = {id}"))
             }
+            Self::Prepared => BenchClient::execute_messages(&id.to_string()),
+            Self::Write => BenchClient::query_message(&format!(
+                "UPDATE bench SET note = 'new' WHERE id = {id}"
+            )),
         }
     }
 }
 
-/// The statement that prepared reads execute.
+/// Statement that [`StatementKind::Prepared`] runs.
 const PREPARED_READ: &str = "SELECT note FROM bench WHERE id = $1::int4";
 
-/// One run over one path.
+/// A load run against one target.
 #[derive(Debug)]
 pub(crate) struct LoadRun<'a> {
     pub(crate) target: &'a BenchTarget,
     pub(crate) connections: usize,
     pub(crate) time: Duration,
     pub(crate) statement: StatementKind,
-    /// Statements a second of all connections together, if they are paced.
+    /// Target rate of all connections together, in statements per second; unlimited if absent.
     pub(crate) rate: Option<u32>,
-    /// The proxy's and the group's processes.
+    /// Process ids of the proxy and of the database group, for their processor time.
     pub(crate) pids: (Option<u32>, Option<u32>),
 }
 
 impl LoadRun<'_> {
-    /// Runs and adds to `measurement`.
+    /// Runs the load and adds its figures to `measurement`.
     pub(crate) async fn run(&self, measurement: &mut Measurement) -> Result<(), Box<dyn Error>> {
         let requests: Arc<[BytesMut]> =
             (0..TABLE_ROWS).map(|id| self.statement.request(id)).collect();
@@ -80,12 +82,13 @@
             }
             clients.push(client);
         }
-        let start = Instant::now() + self.time / WARM_UP_SHARE;
+        let start = Instant::now() + self.time / WARM_UP_DIVISOR;
         let end = Instant::now() + self.time;
         let mut tasks = Vec::with_capacity(self.connections);
         for (index, client) in clients.into_iter().enumerate() {
-            let schedule = AskSchedule { first: index, pause: self.pause(), start, end };
-            tasks.push(tokio::spawn(ask_until(client, Arc::clone(&requests), schedule)));
+            let schedule =
+                RequestSchedule { first_request: index, interval: self.interval(), start, end };
+            tasks.push(tokio::spawn(send_until(client, Arc::clone(&requests), schedule)));
         }
         tokio::time::sleep_until(start.into()).await;
         let before = self.processor_times()?;
@@ -95,14 +98,14 @@
             measurement.latency.add(task.await??)?;
         }
         measurement.time += end - start;
-        measurement.processor_proxy += after[0].saturating_sub(before[0]);
-        measurement.processor_group += after[1].saturating_sub(before[1]);
-        measurement.processor_client += after[2].saturating_sub(before[2]);
+        measurement.proxy_processor += after[0].saturating_sub(before[0]);
+        measurement.group_processor += after[1].saturating_sub(before[1]);
+        measurement.client_processor += after[2].saturating_sub(before[2]);
         Ok(())
     }
 
-    /// The time between two statements of a connection, if they are paced.
-    fn pause(&self) -> Option<Duration> {
+    /// Returns the time between two statements of one connection, if the rate is limited.
+    fn interval(&self) -> Option<Duration> {
         let rate = self.rate.filter(|rate| *rate > 0)?;
         Some(Duration::from_secs_f64(self.connections as f64 / f64::from(rate)))
     }
@@ -116,39 +119,40 @@
     }
 }
 
-/// When one connection asks what.
+/// Times and requests of one connection.
 #[derive(Clone, Copy, Debug)]
-struct AskSchedule {
-    /// Index of its first request.
-    first: usize,
-    pause: Option<Duration>,
-    /// Earlier requests are not recorded.
+struct RequestSchedule {
+    /// Index of the connection's first request.
+    first_request: usize,
+    /// Time between two requests; without it, each request follows the previous response.
+    interval: Option<Duration>,
+    /// End of the warm-up: latencies of earlier requests are not recorded.
     start: Instant,
     end: Instant,
 }
 
-/// Asks one request after the other and records the latencies.
-async fn ask_until(
+/// Sends requests one at a time until the end of the schedule and returns their latencies.
+async fn send_until(
     mut client: BenchClient,
     requests: Arc<[BytesMut]>,
-    schedule: AskSchedule,
+    schedule: RequestSchedule,
 ) -> std::io::Result<Histogram<u64>> {
-    let AskSchedule { first, pause, start, end } = schedule;
+    let RequestSchedule { first_request, interval, start, end } = schedule;
     let mut latency = latency_histogram();
-    let mut index = first;
-    // Connections begin at different parts of the pause, so that they do not ask all at once.
-    let part = first as f64 / requests.len() as f64;
-    let mut next = Instant::now() + pause.unwrap_or_default().mul_f64(part.fract());
+    let mut index = first_request;
+    // Connections start at different offsets in the interval, so that they do not send in bursts.
+    let offset = first_request as f64 / requests.len() as f64;
+    let mut next = Instant::now() + interval.unwrap_or_default().mul_f64(offset.fract());
     loop {
-        if let Some(pause) = pause {
+        if let Some(interval) = interval {
             tokio::time::sleep_until(next.into()).await;
-            next += pause;
+            next += interval;
         }
         let sent = Instant::now();
         if sent >= end {
             return Ok(latency);
         }
-        client.ask(&requests[index % requests.len()]).await?;
+        client.exchange(&requests[index % requests.len()]).await?;
         index += 1;
         if sent >= start {
             let nanos = u64::try_from(sent.elapsed().as_nanos()).unwrap_or(u64::MAX);
--- a/crates/rudder-standins/examples/bench/main.rs
+++ b/crates/rudder-standins/examples/bench/main.rs
@@ -1,9 +1,9 @@
-//! Measures what a proxy adds: the same client, direct against a member and through one proxy,
-//! in one run.
+//! Measures the overhead of a proxy: one client sends the same statements directly to a member and
+//! through one proxy, in one run.
 //!
-//! Statements are sent one at a time on each connection, by the simple protocol or as a prepared
-//! statement. Prints one JSON line for each measurement to the standard output and a table for people to
-//! the standard error.
+//! Statements are sent one at a time on each connection, by the simple query protocol or as a
+//! prepared statement. Prints one JSON line for each measurement to the standard output and a
+//! readable table to the standard error.
 
 mod client;
 mod load;
@@ -18,14 +18,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rows of the table that is read.
+/// Number of rows in the test table.
 const TABLE_ROWS: usize = 1000;
 
-/// Each pair of paths is measured so many times in turn, so that a drift of the machine falls
-/// on both.
+/// Number of alternating runs on each path. Alternation spreads a drift of the machine's speed
+/// over both paths.
 const ROUNDS: u32 = 2;
 
-/// How long the proxy may take until it can read the fresh table.
+/// Maximum time until the new table can be read on every path.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Compare point reads direct and through a proxy.
@@ -70,7 +70,7 @@
         arguments.connections.split(',').map(|count| count.trim().parse()).collect();
     let counts = counts?;
     let paths = paths(&arguments);
-    prepare(&paths[0].1).await?;
+    create_table(&paths[0].1).await?;
     for (_, target) in &paths {
         wait_ready(target).await?;
     }
@@ -110,8 +110,8 @@
     paths
 }
 
-/// Makes the table that is read.
-async fn prepare(target: &BenchTarget) -> Result<(), Box<dyn Error>> {
+/// Creates and fills the test table.
+async fn create_table(target: &BenchTarget) -> Result<(), Box<dyn Error>> {
     let mut client = BenchClient::connect(target).await?;
     client.run("DROP TABLE IF EXISTS bench").await?;
     client.run("CREATE TABLE bench (id int4 PRIMARY KEY, note text)").await?;
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Waits until reads succeed: replicas get the fresh table a little later.
+/// Waits until reads succeed, as replicas receive the new table with a delay.
 async fn wait_ready(target: &BenchTarget) -> Result<(), Box<dyn Error>> {
     let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
     loop {
--- a/crates/rudder-standins/examples/bench/processor.rs
+++ b/crates/rudder-standins/examples/bench/processor.rs
@@ -1,19 +1,19 @@
-//! Processor time of processes.
+//! Processor time of a process, read from `/proc`.
 
 use std::io;
 use std::time::Duration;
 
-/// The kernel reports processor times to programs in hundredths of a second.
+/// Unit of the kernel's processor times in `/proc`: 1/100 of a second.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Field of `/proc/<pid>/stat`, counted after the program's name, with the time spent in the
-/// program; the next field has the time spent in the kernel.
+/// Index of the user time (`utime`) in `/proc/<pid>/stat`, counted after the program's name. The
+/// next field is the system time (`stime`).
 const USER_TIME_FIELD: usize = 11;
 
-/// The processor time that a process used so far, of all its threads. `pid` may be `self`.
+/// Returns the processor time that all threads of a process have used. `pid` may be `self`.
 pub(crate) fn processor_time(pid: &str) -> io::Result<Duration> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The program's name may hold spaces and parentheses, so fields count from its end.
+    // The program's name may contain spaces and parentheses, so fields are counted after it.
     let fields = text.rsplit(')').next().unwrap_or_default();
     let ticks: u32 = fields
         .split_whitespace()
--- a/crates/rudder-standins/examples/bench/report.rs
+++ b/crates/rudder-standins/examples/bench/report.rs
@@ -1,25 +1,25 @@
-//! Results as JSON lines and as a table.
+//! Report of the results, as JSON lines and as a table.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Significant digits that histograms keep.
+/// Number of significant digits that histograms keep.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Latencies above this count as this much.
+/// Maximum recorded latency; higher ones are recorded as this value.
 const LATENCY_MAX: Duration = Duration::from_secs(60);
 
 const NANOS_PER_MICRO: f64 = 1000.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// An empty histogram of nanoseconds.
+/// Returns an empty histogram for latencies in nanoseconds.
 pub(crate) fn latency_histogram() -> Histogram<u64> {
     let highest = u64::try_from(LATENCY_MAX.as_nanos()).unwrap_or(u64::MAX);
     Histogram::new_with_max(highest, LATENCY_DIGITS).expect("the constants are in range")
 }
 
-/// The way that statements take.
+/// Path from the client to the database group: directly or through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum PathKind {
@@ -27,29 +27,29 @@
     Proxy,
 }
 
-/// What was seen on one path with one number of connections.
+/// Figures of one path with one number of connections, summed over its runs.
 #[derive(Debug)]
 pub(crate) struct Measurement {
     path: PathKind,
     connections: usize,
     pub(crate) latency: Histogram<u64>,
     pub(crate) time: Duration,
-    pub(crate) processor_proxy: Duration,
-    pub(crate) processor_group: Duration,
-    pub(crate) processor_client: Duration,
+    pub(crate) proxy_processor: Duration,
+    pub(crate) group_processor: Duration,
+    pub(crate) client_processor: Duration,
 }
 
 impl Measurement {
-    /// Nothing seen yet.
+    /// Returns an empty measurement.
     pub(crate) fn new(path: PathKind, connections: usize) -> Self {
         Self {
             path,
             connections,
             latency: latency_histogram(),
             time: Duration::ZERO,
-            processor_proxy: Duration::ZERO,
-            processor_group: Duration::ZERO,
-            processor_client: Duration::ZERO,
+            proxy_processor: Duration::ZERO,
+            group_processor: Duration::ZERO,
+            client_processor: Duration::ZERO,
         }
     }
 
@@ -57,7 +57,7 @@
         let statements = self.latency.len();
         let micros_at =
             |quantile| self.latency.value_at_quantile(quantile) as f64 / NANOS_PER_MICRO;
-        let each =
+        let micros_per_statement =
             |time: Duration| time.as_secs_f64() * MICROS_PER_SECOND / statements.max(1) as f64;
         MeasurementLine {
             path: self.path,
@@ -66,14 +66,14 @@
             statements_per_second: statements as f64 / self.time.as_secs_f64(),
             median_micros: micros_at(0.5),
             p99_micros: micros_at(0.99),
-            proxy_processor_micros: each(self.processor_proxy),
-            group_processor_micros: each(self.processor_group),
-            client_processor_micros: each(self.processor_client),
+            proxy_processor_micros: micros_per_statement(self.proxy_processor),
+            group_processor_micros: micros_per_statement(self.group_processor),
+            client_processor_micros: micros_per_statement(self.client_processor),
         }
     }
 }
 
-/// A measurement as it is printed; processor times are per statement.
+/// Printed form of a measurement; processor times are per statement.
 #[derive(Clone, Debug, Serialize)]
 struct MeasurementLine {
     path: PathKind,
@@ -87,7 +87,7 @@
     client_processor_micros: f64,
 }
 
-/// The proxy's figures divided by the direct ones.
+/// Figures of the proxy path relative to the direct path.
 #[derive(Clone, Debug, Serialize)]
 struct RatioLine {
     connections: usize,
@@ -95,11 +95,12 @@
     p99_ratio: f64,
     throughput_ratio: f64,
     median_added_micros: f64,
-    /// Statements that one core of the proxy could carry; 0 if its process is not known.
+    /// Statements per second that one core of the proxy can process; 0 if its process id is not
+    /// known.
     proxy_statements_per_core_second: f64,
 }
 
-/// All results of a run.
+/// Results of all measurements.
 #[derive(Debug, Default)]
 pub(crate) struct BenchReport {
     lines: Vec<MeasurementLine>,
@@ -107,7 +108,7 @@
 }
 
 impl BenchReport {
-    /// Adds and prints the measurements of one number of connections.
+    /// Adds the measurements of one number of connections and prints them as JSON lines.
     pub(crate) fn add(&mut self, measurements: &[Measurement]) {
         let lines: Vec<_> = measurements.iter().map(Measurement::line).collect();
         for line in &lines {
@@ -132,7 +133,7 @@
         self.lines.extend(lines);
     }
 
-    /// Prints the table for people.
+    /// Prints a readable table to standard error.
     pub(crate) fn print_table(&self) {
         eprintln!(
             "{:>8} {:>11} {:>12} {:>10} {:>10} {:>11} {:>11} {:>11}",
@@ -179,6 +180,6 @@
 fn print_json(line: &impl Serialize) {
     match serde_json::to_string(line) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("a result could not be printed: {error}"),
+        Err(error) => eprintln!("cannot serialize a result: {error}"),
     }
 }
--- a/crates/rudder-standins/examples/group.rs
+++ b/crates/rudder-standins/examples/group.rs
@@ -1,4 +1,4 @@
-//! Runs a database group as a process of its own.
+//! Runs a database group stand-in as a separate process.
 
 use argh::FromArgs;
 use rudder_core::{ConnectionCount, MemberName, ServiceName, SlotCount};
--- a/crates/rudder-standins/examples/link.rs
+++ b/crates/rudder-standins/examples/link.rs
@@ -1,6 +1,7 @@
-//! Runs a link to one address as a process of its own, with faults ordered on standard input.
+//! Runs a link stand-in as a separate process: a TCP relay to one address, whose faults are
+//! controlled by commands on standard input.
 //!
-//! Orders, one a line: `cut`, `cut forward`, `cut backward`, `hold`, `hold forward`,
+//! Commands, one per line: `cut`, `cut forward`, `cut backward`, `hold`, `hold forward`,
 //! `hold backward`, `heal`, `reset`, `delay <ms> <jitter ms>`.
 
 use argh::FromArgs;
@@ -46,26 +47,26 @@
     })
     .await?;
     println!("{}", link.address());
-    let end = tokio::time::sleep(Duration::from_secs(arguments.seconds));
-    tokio::pin!(end);
+    let deadline = tokio::time::sleep(Duration::from_secs(arguments.seconds));
+    tokio::pin!(deadline);
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     loop {
         let line = tokio::select! {
-            () = &mut end => return Ok(()),
+            () = &mut deadline => return Ok(()),
             line = lines.next_line() => line?,
         };
         let Some(line) = line else { break };
-        match obey(&link, &line) {
+        match run_command(&link, &line) {
             Ok(()) => println!("ok {line}"),
             Err(error) => eprintln!("{line}: {error}"),
         }
     }
-    // Without orders the link goes on until its time is over.
-    end.await;
+    // The link keeps running after the end of standard input.
+    deadline.await;
     Ok(())
 }
 
-fn obey(link: &LinkStandin, line: &str) -> Result<(), Box<dyn Error>> {
+fn run_command(link: &LinkStandin, line: &str) -> Result<(), Box<dyn Error>> {
     let words: Vec<_> = line.split_whitespace().collect();
     match words.as_slice() {
         ["heal"] => link.heal(),
@@ -77,7 +78,7 @@
                 link.set_fault(*direction, fault);
             }
         }
-        _ => return Err("no such order".into()),
+        _ => return Err("unknown command".into()),
     }
     Ok(())
 }
@@ -87,7 +88,7 @@
         [] => Ok(&[LinkDirection::Forward, LinkDirection::Backward]),
         ["forward"] => Ok(&[LinkDirection::Forward]),
         ["backward"] => Ok(&[LinkDirection::Backward]),
-        _ => Err("the direction is forward or backward".into()),
+        _ => Err("direction must be forward or backward".into()),
     }
 }
 
--- a/crates/rudder-standins/examples/measure/baseline.rs
+++ b/crates/rudder-standins/examples/measure/baseline.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Routing policies that are compared: the proxies' own and the baselines.
 
 use arbutusrudder::ProxyPolicies;
 use rand::{Rng, RngExt};
@@ -7,14 +7,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A policy to measure.
+/// Policy to measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PolicyChoice {
-    /// What the proxies do.
+    /// The proxies' own policy.
     Current,
-    /// Any replica that may serve, by chance, and no limits.
+    /// Picks a random replica that is fresh enough, without admission limits.
     RoundRobin,
-    /// Every read at the primary, and no limits.
+    /// Sends every read to the primary, without admission limits.
     PrimaryOnly,
 }
 
@@ -29,17 +29,20 @@
 }
 
 impl PolicyChoice {
-    /// The rules that the proxies are given.
+    /// Returns the policies that the proxies run with.
     pub(crate) fn policies(self) -> ProxyPolicies {
         match self {
             Self::Current => ProxyPolicies::default(),
-            Self::RoundRobin => ProxyPolicies { reads: Arc::new(AnyFreshReplica), limits: false },
+            Self::RoundRobin => {
+                ProxyPolicies { reads: Arc::new(RandomFreshReplica), limits: false }
+            }
             Self::PrimaryOnly => ProxyPolicies { reads: Arc::new(AlwaysPrimary), limits: false },
         }
     }
 
-    /// Requests of one kind at one proxy, and how long each waits.
-    pub(crate) fn caller_bounds(self) -> (u32, &'static str) {
+    /// Returns `in_flight_max` and `queue_wait` of each kind of caller; for baselines they are too
+    /// high to take effect.
+    pub(crate) fn caller_limits(self) -> (u32, &'static str) {
         match self {
             Self::Current => (400, "3s"),
             Self::RoundRobin | Self::PrimaryOnly => (100_000, "30s"),
@@ -47,23 +50,23 @@
     }
 }
 
-struct AnyFreshReplica;
+struct RandomFreshReplica;
 
-impl ReadPolicy for AnyFreshReplica {
+impl ReadPolicy for RandomFreshReplica {
     fn choose(
         &self,
         demand: &ReadDemand,
         members: &[MemberView],
         rng: &mut dyn Rng,
     ) -> RouteChoice {
-        let fresh = |view: &MemberView| {
-            let old = view.age.is_none_or(|age| age > demand.max_staleness);
+        let is_eligible = |view: &MemberView| {
+            let stale = view.age.is_none_or(|age| age > demand.max_staleness);
             view.role == MemberRole::Replica
-                && !old
+                && !stale
                 && demand.floor.is_none_or(|floor| view.applied >= floor)
         };
         let replicas: Vec<usize> =
-            (0..members.len()).filter(|&index| fresh(&members[index])).collect();
+            (0..members.len()).filter(|&index| is_eligible(&members[index])).collect();
         if replicas.is_empty() {
             return primary_of(members);
         }
--- a/crates/rudder-standins/examples/measure/caller.rs
+++ b/crates/rudder-standins/examples/measure/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: its connection, its own row, and what it may expect to read.
+//! A caller: its connection, its own row, and a check that its reads see its own writes.
 
 use rudder_standins::Deployment;
 use std::error::Error;
@@ -6,26 +6,26 @@
 use tokio::time::{sleep, timeout};
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// A request without an answer after this long counts as failed.
-const REQUEST_BOUND: Duration = Duration::from_secs(10);
+/// A request without a response after this time counts as failed.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause before a caller whose connection ended connects again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestEnd {
-    /// Answered.
+pub(crate) enum RequestOutcome {
+    /// Completed successfully.
     Done,
-    /// Refused, and not run.
+    /// Rejected before it ran.
     Refused,
-    /// Nobody can tell.
+    /// May or may not have run: the proxy reported an unknown outcome.
     Unknown,
-    /// Failed in another way.
+    /// Failed in another way, or timed out.
     Failed,
 }
 
-/// One request's record.
+/// Measurement of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestSample {
     /// Index of the stream.
@@ -34,35 +34,35 @@
     pub(crate) group: usize,
     /// Whether it was a write.
     pub(crate) write: bool,
-    /// When its answer came, from the start of the run.
+    /// Time of the response, from the start of the run.
     pub(crate) ended: Duration,
-    /// From its arrival to its answer.
+    /// Time from the request's arrival to its response.
     pub(crate) latency: Duration,
-    /// How it ended.
-    pub(crate) end: RequestEnd,
-    /// Whether the answer broke a promise.
-    pub(crate) broken: bool,
+    /// Outcome of the request.
+    pub(crate) outcome: RequestOutcome,
+    /// Whether the response violated read-your-writes.
+    pub(crate) violation: bool,
 }
 
-/// A caller with a row of its own, which it alone changes.
+/// A caller with its own row, which no other caller changes.
 pub(crate) struct LoadCaller {
-    /// Its row.
+    /// Id of the caller's row.
     pub(crate) row: usize,
-    /// Index of its stream.
+    /// Index of the caller's stream.
     pub(crate) stream: usize,
-    /// Index of its group.
+    /// Index of the caller's group.
     pub(crate) group: usize,
-    words: String,
+    connection_string: String,
     client: Option<Client>,
-    reads_left: u32,
-    /// Writes that were acknowledged.
+    reads_before_write: u32,
+    /// Number of acknowledged writes.
     pub(crate) acknowledged: u64,
-    /// Writes that may have taken effect.
+    /// Number of writes that may have taken effect without an acknowledgement.
     pub(crate) unknown: u64,
 }
 
 impl LoadCaller {
-    /// A caller that connects to one proxy.
+    /// Returns a caller of one proxy that is not connected yet.
     pub(crate) fn new(
         deployment: &Deployment,
         row: usize,
@@ -72,40 +72,50 @@
         group: usize,
     ) -> Self {
         let address = deployment.proxy(proxy).listen_address();
-        let words = format!(
+        let connection_string = format!(
             "host={} port={} user={user} dbname={} sslmode=disable",
             address.ip(),
             address.port(),
             deployment.groups[group].service()
         );
-        Self { row, stream, group, words, client: None, reads_left: 0, acknowledged: 0, unknown: 0 }
+        Self {
+            row,
+            stream,
+            group,
+            connection_string,
+            client: None,
+            reads_before_write: 0,
+            acknowledged: 0,
+            unknown: 0,
+        }
     }
 
-    /// Connects, if it is not connected.
+    /// Connects, if the caller is not connected.
     pub(crate) async fn connect(&mut self) -> Result<(), Box<dyn Error + Send + Sync>> {
         if self.client.as_ref().is_none_or(Client::is_closed) {
-            let (client, connection) = tokio_postgres::connect(&self.words, NoTls).await?;
+            let (client, connection) =
+                tokio_postgres::connect(&self.connection_string, NoTls).await?;
             tokio::spawn(connection);
             self.client = Some(client);
         }
         Ok(())
     }
 
-    /// Runs the next request of the stream's pattern.
+    /// Runs the next read or write: one write, then `reads_per_write` reads.
     pub(crate) async fn run(
         &mut self,
         reads_per_write: u32,
         arrived: Instant,
         started: Instant,
     ) -> RequestSample {
-        let write = self.takes_write(reads_per_write);
-        let outcome = timeout(REQUEST_BOUND, self.request(write)).await;
-        let (end, broken) = outcome.unwrap_or((RequestEnd::Failed, false));
+        let write = self.next_is_write(reads_per_write);
+        let result = timeout(REQUEST_TIMEOUT, self.request(write)).await;
+        let (outcome, violation) = result.unwrap_or((RequestOutcome::Failed, false));
         if write {
-            match end {
-                RequestEnd::Done => self.acknowledged += 1,
-                RequestEnd::Refused => {}
-                RequestEnd::Unknown | RequestEnd::Failed => self.unknown += 1,
+            match outcome {
+                RequestOutcome::Done => self.acknowledged += 1,
+                RequestOutcome::Refused => {}
+                RequestOutcome::Unknown | RequestOutcome::Failed => self.unknown += 1,
             }
         }
         RequestSample {
@@ -114,30 +124,30 @@
             write,
             ended: started.elapsed(),
             latency: arrived.elapsed(),
-            end,
-            broken,
+            outcome,
+            violation,
         }
     }
 
-    fn takes_write(&mut self, reads_per_write: u32) -> bool {
+    fn next_is_write(&mut self, reads_per_write: u32) -> bool {
         match reads_per_write {
             0 => false,
             1 => true,
-            _ if self.reads_left == 0 => {
-                self.reads_left = reads_per_write;
+            _ if self.reads_before_write == 0 => {
+                self.reads_before_write = reads_per_write;
                 true
             }
             _ => {
-                self.reads_left -= 1;
+                self.reads_before_write -= 1;
                 false
             }
         }
     }
 
-    async fn request(&mut self, write: bool) -> (RequestEnd, bool) {
+    async fn request(&mut self, write: bool) -> (RequestOutcome, bool) {
         if self.connect().await.is_err() {
-            sleep(RECONNECT_PAUSE).await;
-            return (RequestEnd::Refused, false);
+            sleep(RECONNECT_DELAY).await;
+            return (RequestOutcome::Refused, false);
         }
         let text = if write {
             format!("UPDATE counters SET v = v + 1 WHERE id = {}", self.row)
@@ -146,14 +156,14 @@
         };
         let client = self.client.as_ref().expect("connected above");
         match client.simple_query(&text).await {
-            Ok(messages) => (RequestEnd::Done, !write && self.is_broken(&messages)),
-            Err(error) => (end_of(&error), false),
+            Ok(messages) => (RequestOutcome::Done, !write && self.violates_own_writes(&messages)),
+            Err(error) => (outcome_of(&error), false),
         }
     }
 
-    /// Guards the promise that a session sees its own writes: the row holds as many as were
-    /// acknowledged, and no more than were sent.
-    fn is_broken(&self, messages: &[SimpleQueryMessage]) -> bool {
+    /// Returns whether a read violates read-your-writes: its value must be at least the number of
+    /// acknowledged writes and at most the number of writes sent.
+    fn violates_own_writes(&self, messages: &[SimpleQueryMessage]) -> bool {
         let value = messages.iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => row.get(0)?.parse::<u64>().ok(),
             _ => None,
@@ -161,18 +171,18 @@
         !value.is_some_and(|value| self.allows(value))
     }
 
-    /// Whether the row may hold `value`.
+    /// Returns whether `value` is consistent with the caller's writes.
     pub(crate) fn allows(&self, value: u64) -> bool {
         (self.acknowledged..=self.acknowledged + self.unknown).contains(&value)
     }
 }
 
-fn end_of(error: &tokio_postgres::Error) -> RequestEnd {
-    let Some(error) = error.as_db_error() else { return RequestEnd::Failed };
+fn outcome_of(error: &tokio_postgres::Error) -> RequestOutcome {
+    let Some(error) = error.as_db_error() else { return RequestOutcome::Failed };
     match error.detail() {
-        Some("outcome: not_run") => RequestEnd::Refused,
-        Some("outcome: unknown") => RequestEnd::Unknown,
-        _ if error.code().code() == "57P01" => RequestEnd::Refused,
-        _ => RequestEnd::Failed,
+        Some("outcome: not_run") => RequestOutcome::Refused,
+        Some("outcome: unknown") => RequestOutcome::Unknown,
+        _ if error.code().code() == "57P01" => RequestOutcome::Refused,
+        _ => RequestOutcome::Failed,
     }
 }
--- a/crates/rudder-standins/examples/measure/fault.rs
+++ b/crates/rudder-standins/examples/measure/fault.rs
@@ -1,4 +1,4 @@
-//! Bringing about a trace's faults at their times.
+//! Injection of a trace's faults at their scheduled times.
 
 use crate::trace::{FaultAction, LoadTrace};
 use rudder_core::{MemberName, MemberRole};
@@ -6,25 +6,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Brings about the faults of `trace`, counted from now.
-pub(crate) async fn schedule(deployment: &Deployment, trace: &LoadTrace) {
+/// Injects the faults of `trace`. Their times count from the call.
+pub(crate) async fn inject_faults(deployment: &Deployment, trace: &LoadTrace) {
     let started = Instant::now();
     for fault in &trace.faults {
         sleep_until(started + Duration::from_secs_f64(fault.at)).await;
-        bring_about(deployment, fault.action);
+        inject(deployment, fault.action);
     }
 }
 
-fn bring_about(deployment: &Deployment, action: FaultAction) {
+fn inject(deployment: &Deployment, action: FaultAction) {
     match action {
         FaultAction::KillPrimary => {
             if let Some((_, name)) = primary_of(deployment) {
-                turn(deployment, &name, MemberKnob::Kill);
+                set_knob(deployment, &name, MemberKnob::Kill);
             }
         }
         FaultAction::CutPrimary => {
             if let Some((index, name)) = primary_of(deployment) {
-                turn(deployment, &name, MemberKnob::Cut(true));
+                set_knob(deployment, &name, MemberKnob::Cut(true));
                 for links in &deployment.links {
                     links.members[0][index].cut();
                 }
@@ -51,13 +51,13 @@
 
 fn primary_of(deployment: &Deployment) -> Option<(usize, MemberName)> {
     let group = &deployment.groups[0];
-    let leads = |name: &MemberName| {
+    let is_primary = |name: &MemberName| {
         group.status(name).is_ok_and(|status| status.role == MemberRole::Primary)
     };
-    let found = group.members().enumerate().find(|(_, (name, _))| leads(name));
+    let found = group.members().enumerate().find(|(_, (name, _))| is_primary(name));
     found.map(|(index, (name, _))| (index, name.clone()))
 }
 
-fn turn(deployment: &Deployment, name: &MemberName, knob: MemberKnob) {
+fn set_knob(deployment: &Deployment, name: &MemberName, knob: MemberKnob) {
     deployment.groups[0].turn(name, knob).expect("the member belongs to the group");
 }
--- a/crates/rudder-standins/examples/measure/load.rs
+++ b/crates/rudder-standins/examples/measure/load.rs
@@ -1,5 +1,5 @@
-//! Playing a trace's streams: arrivals come at their times, whether or not earlier requests have
-//! been answered.
+//! Open-loop replay of a trace's streams: requests arrive at their scheduled times, whether or not
+//! earlier requests have completed.
 
 use crate::caller::{LoadCaller, RequestSample};
 use crate::trace::LoadTrace;
@@ -13,16 +13,16 @@
 use tokio::task::JoinSet;
 use tokio_postgres::{NoTls, SimpleQueryMessage};
 
-/// What a run left behind.
+/// Samples of a run, with the final state of its callers.
 pub(crate) struct RunSamples {
-    /// Every request.
+    /// Samples of all requests.
     pub(crate) requests: Vec<RequestSample>,
-    /// Every caller, with what it may expect of its row.
+    /// All callers, with the counts of their writes.
     pub(crate) callers: Vec<LoadCaller>,
 }
 
-/// Creates the rows and connects the callers, spread over proxies and groups.
-pub(crate) async fn prepare(
+/// Creates the rows and connects the callers, which are distributed evenly over proxies and groups.
+pub(crate) async fn connect_callers(
     deployment: &Deployment,
     trace: &LoadTrace,
 ) -> Result<Vec<LoadCaller>, Box<dyn Error>> {
@@ -43,12 +43,13 @@
     Ok(callers)
 }
 
-/// Enters every row directly at the primaries, and waits until the replicas have them.
+/// Inserts every row directly at the primaries, and gives the replicas 300 ms to apply them.
 async fn create_rows(deployment: &Deployment, rows: usize) -> Result<(), Box<dyn Error>> {
     for group in &deployment.groups {
         let (_, address) = group.members().next().ok_or("a group has no member")?;
-        let words = format!("host={} port={} user=app dbname=db", address.ip(), address.port());
-        let (client, connection) = tokio_postgres::connect(&words, NoTls).await?;
+        let connection_string =
+            format!("host={} port={} user=app dbname=db", address.ip(), address.port());
+        let (client, connection) = tokio_postgres::connect(&connection_string, NoTls).await?;
         tokio::spawn(connection);
         client.batch_execute("CREATE TABLE counters (id int PRIMARY KEY, v int)").await?;
         let values: Vec<String> = (0..rows).map(|row| format!("({row}, 0)")).collect();
@@ -59,34 +60,34 @@
     Ok(())
 }
 
-/// Plays the trace.
+/// Replays the trace and returns its samples.
 pub(crate) async fn run(
     callers: Vec<LoadCaller>,
     trace: &LoadTrace,
     seed: u64,
     started: Instant,
 ) -> Result<RunSamples, Box<dyn Error>> {
-    let (samples, mut incoming) = mpsc::unbounded_channel();
+    let (sample_sender, mut sample_receiver) = mpsc::unbounded_channel();
     let mut tasks = JoinSet::new();
-    let mut inboxes: Vec<Vec<mpsc::UnboundedSender<Instant>>> =
+    let mut arrival_senders: Vec<Vec<mpsc::UnboundedSender<Instant>>> =
         vec![Vec::new(); trace.streams.len()];
     for caller in callers {
         let (sender, receiver) = mpsc::unbounded_channel();
         let reads_per_write = trace.streams[caller.stream].reads_per_write;
-        inboxes[caller.stream].push(sender);
-        tasks.spawn(serve(caller, reads_per_write, receiver, samples.clone(), started));
+        arrival_senders[caller.stream].push(sender);
+        tasks.spawn(run_caller(caller, reads_per_write, receiver, sample_sender.clone(), started));
     }
-    drop(samples);
+    drop(sample_sender);
     let mut arrivals = JoinSet::new();
-    for (index, inbox) in inboxes.into_iter().enumerate() {
+    for (index, senders) in arrival_senders.into_iter().enumerate() {
         let stream = trace.streams[index].clone();
         let end = if stream.until > 0.0 { stream.until } else { trace.seconds };
         let rng = StdRng::seed_from_u64(seed.wrapping_mul(31).wrapping_add(index as u64));
-        arrivals.spawn(arrive(inbox, stream.rate, stream.from, end, rng, started));
+        arrivals.spawn(send_arrivals(senders, stream.rate, stream.from, end, rng, started));
     }
     let collect = async {
         let mut requests = Vec::new();
-        while let Some(sample) = incoming.recv().await {
+        while let Some(sample) = sample_receiver.recv().await {
             requests.push(sample);
         }
         requests
@@ -95,8 +96,9 @@
     Ok(RunSamples { requests, callers })
 }
 
-async fn arrive(
-    inbox: Vec<mpsc::UnboundedSender<Instant>>,
+/// Sends the arrival times of one stream, which form a Poisson process, to random callers.
+async fn send_arrivals(
+    senders: Vec<mpsc::UnboundedSender<Instant>>,
     rate: f64,
     from: f64,
     until: f64,
@@ -111,37 +113,38 @@
         }
         let due = started + Duration::from_secs_f64(at);
         tokio::time::sleep_until(due.into()).await;
-        let caller = rng.random_range(0..inbox.len());
-        // A caller that is gone has ended with an error that the report shows.
-        let _ = inbox[caller].send(due);
+        let caller = rng.random_range(0..senders.len());
+        // A caller whose task has ended no longer receives arrivals.
+        let _ = senders[caller].send(due);
     }
 }
 
-async fn serve(
+/// Runs a caller's requests one at a time; a request's latency includes its wait for earlier ones.
+async fn run_caller(
     mut caller: LoadCaller,
     reads_per_write: u32,
     mut arrivals: mpsc::UnboundedReceiver<Instant>,
-    samples: mpsc::UnboundedSender<RequestSample>,
+    sample_sender: mpsc::UnboundedSender<RequestSample>,
     started: Instant,
 ) -> LoadCaller {
     while let Some(arrived) = arrivals.recv().await {
         let sample = caller.run(reads_per_write, arrived, started).await;
-        let _ = samples.send(sample);
+        let _ = sample_sender.send(sample);
     }
     caller
 }
 
-/// The groups after a run.
+/// State of the groups after a run.
 #[derive(Default)]
 pub(crate) struct FinalState {
-    /// The rows at the real primaries, by group.
+    /// Rows at the current primaries, by group.
     pub(crate) rows: Vec<Vec<(usize, u64)>>,
-    /// Groups whose primary was changed.
+    /// Number of groups whose primary was replaced.
     pub(crate) promotions: u64,
 }
 
-/// Asks the real primaries themselves.
-pub(crate) async fn final_state(
+/// Reads the final state directly from the current primaries.
+pub(crate) async fn read_final_state(
     deployment: &Deployment,
     trace: &LoadTrace,
 ) -> Result<FinalState, Box<dyn Error>> {
@@ -151,11 +154,12 @@
             let status = group.status(name).ok()?;
             (status.role == MemberRole::Primary).then_some((status.accepted, address))
         });
-        // A primary that was cut off still believes it leads; the real one has the greatest term.
+        // An isolated primary still reports itself primary; the current one has the highest term.
         let (term, address) = statuses.max().ok_or(format!("{}: no primary", trace.name))?;
         state.promotions += u64::from(term > LogTerm(1));
-        let words = format!("host={} port={} user=app dbname=db", address.ip(), address.port());
-        let (client, connection) = tokio_postgres::connect(&words, NoTls).await?;
+        let connection_string =
+            format!("host={} port={} user=app dbname=db", address.ip(), address.port());
+        let (client, connection) = tokio_postgres::connect(&connection_string, NoTls).await?;
         tokio::spawn(connection);
         let messages = client.simple_query("SELECT id, v FROM counters").await?;
         let row = |message: &SimpleQueryMessage| match message {
--- a/crates/rudder-standins/examples/measure/main.rs
+++ b/crates/rudder-standins/examples/measure/main.rs
@@ -1,5 +1,6 @@
-//! Drives real proxies over loopback from recorded traces, and prints what callers got: the share
-//! of reads that replicas served, the failover gap, waits, refusals, and broken promises.
+//! Replays traces of load and faults against proxies on loopback, and prints what callers saw: the
+//! share of reads that replicas served, the failover gap, latencies, rejected requests, and
+//! violations of session consistency.
 
 mod baseline;
 mod caller;
@@ -83,14 +84,14 @@
     seed: u64,
 ) -> Result<RunReport, Box<dyn Error>> {
     let deployment = Deployment::start(trace.plan(policy, seed)).await?;
-    let setup = load::prepare(&deployment, trace).await?;
+    let callers = load::connect_callers(&deployment, trace).await?;
     let before = report::RoleCounts::read(&deployment).await?;
     let started = std::time::Instant::now();
-    let faults = fault::schedule(&deployment, trace);
-    let samples = load::run(setup, trace, seed, started);
+    let faults = fault::inject_faults(&deployment, trace);
+    let samples = load::run(callers, trace, seed, started);
     let ((), samples) = tokio::join!(faults, samples);
     let samples = samples?;
     let after = report::RoleCounts::read(&deployment).await?;
-    let finals = load::final_state(&deployment, trace).await?;
-    Ok(RunReport::new(trace, policy, &samples, after.since(&before), &finals))
+    let final_state = load::read_final_state(&deployment, trace).await?;
+    Ok(RunReport::new(trace, policy, &samples, after.since(&before), &final_state))
 }
--- a/crates/rudder-standins/examples/measure/trace.rs
+++ b/crates/rudder-standins/examples/measure/trace.rs
@@ -1,4 +1,4 @@
-//! A recorded load: streams of requests, and faults at their times.
+//! Trace of a load: streams of requests and the times of faults, read from a TOML file.
 
 use crate::baseline::PolicyChoice;
 use rudder_core::{ConnectionCount, MemberSpeed, SlotCount};
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Length of a trace in the brief form, as a part of its whole length.
-const BRIEF_PART: f64 = 0.4;
+/// Length of a trace in a brief run, as a fraction of its full length.
+const BRIEF_FRACTION: f64 = 0.4;
 
-/// The two deployments of the users.
+/// Deployment that a trace runs against, modelled on a user's.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum DeploymentKind {
@@ -22,21 +22,22 @@
     Cyflwr,
 }
 
-/// What a fault does.
+/// Action of a scheduled fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum FaultAction {
-    /// The primary of the first group dies.
+    /// Stops the primary of the first group.
     KillPrimary,
-    /// The primary of the first group is cut off from members and proxies, but lives.
+    /// Isolates the primary of the first group from members and proxies while it keeps running.
     CutPrimary,
-    /// The primary of the first group can be reached by every proxy but the first.
+    /// Cuts the link from the first proxy to the primary of the first group.
     CutOneLink,
-    /// Every link to a member takes up to 60 ms more, differently for each message.
+    /// Sets the delay of every link to a member to 20 ms plus a jitter of up to 60 ms, drawn for
+    /// each message.
     Jitter,
-    /// The platform does not answer.
+    /// Cuts every proxy's link to the platform.
     PlatformDown,
-    /// The platform answers again.
+    /// Restores the links to the platform.
     PlatformUp,
 }
 
@@ -44,63 +45,63 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LoadStream {
-    /// The kind of caller.
+    /// Kind of caller.
     pub(crate) kind: String,
-    /// How many callers, spread over proxies and groups.
+    /// Number of callers, distributed evenly over proxies and groups.
     pub(crate) callers: usize,
-    /// Requests per second of all of them together.
+    /// Requests per second of all callers of the stream together.
     pub(crate) rate: f64,
-    /// A write comes before every so many reads; zero for reads only, one for writes only.
+    /// Number of reads after each write; zero for reads only, one for writes only.
     pub(crate) reads_per_write: u32,
-    /// Greatest age that reads accept, in milliseconds.
+    /// Maximum staleness that reads accept, in milliseconds.
     pub(crate) staleness_ms: u64,
-    /// Whether the kind is turned away before others.
+    /// Whether requests of the kind are shed before others under overload.
     #[serde(default)]
     pub(crate) shed_first: bool,
-    /// When the stream begins, in seconds.
+    /// Start of the stream, in seconds.
     #[serde(default)]
     pub(crate) from: f64,
-    /// When it ends; zero for the end of the trace.
+    /// End of the stream, in seconds; zero for the end of the trace.
     #[serde(default)]
     pub(crate) until: f64,
 }
 
-/// A fault and its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TraceFault {
-    /// When, in seconds.
+    /// Time of the fault, in seconds from the start.
     pub(crate) at: f64,
-    /// What.
+    /// Action of the fault.
     pub(crate) action: FaultAction,
 }
 
-/// A whole trace.
+/// A trace.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct LoadTrace {
-    /// Its name.
+    /// Name of the trace in reports.
     pub(crate) name: String,
-    /// The deployment.
+    /// Deployment that the trace runs against.
     pub(crate) deployment: DeploymentKind,
-    /// Its length in seconds.
+    /// Length of the trace in seconds.
     pub(crate) seconds: f64,
     /// Mean service time of a statement at full speed, in milliseconds.
     pub(crate) service_ms: f64,
-    /// How far replicas trail, in milliseconds.
+    /// Time before a replica applies a received entry, in milliseconds.
     pub(crate) lag_ms: u64,
     /// Speeds of the members in percent.
     pub(crate) speeds: Vec<u32>,
-    /// Whether the brief form leaves the trace out.
+    /// Whether a brief run skips the trace.
     #[serde(default)]
     pub(crate) full_only: bool,
-    /// Whether the brief form runs the baselines too.
+    /// Whether a brief run measures a baseline too.
     #[serde(default)]
     pub(crate) baselines_in_brief: bool,
-    /// The streams.
+    /// Streams of requests.
     #[serde(rename = "stream")]
     pub(crate) streams: Vec<LoadStream>,
-    /// The faults.
+    /// Scheduled faults.
     #[serde(default, rename = "fault")]
     pub(crate) faults: Vec<TraceFault>,
 }
@@ -121,22 +122,22 @@
 }
 
 impl LoadTrace {
-    /// The trace at a part of its length.
+    /// Returns the trace shortened to [`BRIEF_FRACTION`] of its length.
     pub(crate) fn shortened(mut self) -> Self {
-        self.seconds *= BRIEF_PART;
+        self.seconds *= BRIEF_FRACTION;
         for stream in &mut self.streams {
-            stream.from *= BRIEF_PART;
-            stream.until *= BRIEF_PART;
+            stream.from *= BRIEF_FRACTION;
+            stream.until *= BRIEF_FRACTION;
         }
         for fault in &mut self.faults {
-            fault.at *= BRIEF_PART;
+            fault.at *= BRIEF_FRACTION;
         }
         self
     }
 
-    /// The deployment that the trace asks for.
+    /// Returns the plan of the deployment that the trace runs against.
     pub(crate) fn plan(&self, policy: PolicyChoice, seed: u64) -> DeploymentPlan {
-        let name = "the name has only allowed characters";
+        let message = "the name has only allowed characters";
         let (domains, services, proxies) = match self.deployment {
             DeploymentKind::Inanga => (
                 ["kigali-a", "nairobi-a", "johannesburg-a"],
@@ -151,10 +152,10 @@
         };
         let groups = services.iter().map(|service| self.group(service, seed)).collect();
         DeploymentPlan {
-            domains: domains.iter().map(|domain| domain.parse().expect(name)).collect(),
+            domains: domains.iter().map(|domain| domain.parse().expect(message)).collect(),
             groups,
             proxies,
-            extra: self.callers_text(policy),
+            extra: self.caller_settings(policy),
             process: String::new(),
             delays: LinkDelays {
                 near: Duration::from_micros(200),
@@ -165,7 +166,7 @@
         }
     }
 
-    /// One way between the failure domains, each of which is a region of its own.
+    /// Returns the one-way delay between two failure domains, each of which is its own region.
     fn region_delay(&self) -> Duration {
         match self.deployment {
             DeploymentKind::Inanga => Duration::from_millis(12),
@@ -174,8 +175,8 @@
     }
 
     fn group(&self, service: &str, seed: u64) -> GroupSettings {
-        let name = "the name has only allowed characters";
-        let mut settings = GroupSettings::loopback(service.parse().expect(name));
+        let message = "the name has only allowed characters";
+        let mut settings = GroupSettings::loopback(service.parse().expect(message));
         let (slots, connections) = match self.deployment {
             DeploymentKind::Inanga => (5, 30),
             DeploymentKind::Cyflwr => (3, 40),
@@ -194,9 +195,9 @@
         settings
     }
 
-    fn callers_text(&self, policy: PolicyChoice) -> String {
+    fn caller_settings(&self, policy: PolicyChoice) -> String {
         let mut text = String::new();
-        let (in_flight_max, queue_wait) = policy.caller_bounds();
+        let (in_flight_max, queue_wait) = policy.caller_limits();
         for (index, stream) in self.streams.iter().enumerate() {
             let shed = if stream.shed_first { "first" } else { "last" };
             writeln!(
@@ -206,7 +207,7 @@
                 stream.staleness_ms,
                 kind = stream.kind,
             )
-            .expect("a string takes everything");
+            .expect("writing to a string does not fail");
         }
         text
     }
--- a/crates/rudder-standins/examples/platform.rs
+++ b/crates/rudder-standins/examples/platform.rs
@@ -1,8 +1,8 @@
-//! Runs the platform stand-in as a process.
+//! Runs the platform stand-in, a minimal object API, as a separate process.
 //!
 //! `cargo run -p rudder-standins --example platform -- --listen 127.0.0.1:18001 --folder
-//! examples/inanga-scores` prints its address once the folder is accepted. Faults are switched on
-//! by `POST /standin/faults` with a JSON object such as `{"latency_ms": 200}`.
+//! examples/inanga-scores` prints its address once the folder is accepted. `POST /standin/faults`
+//! with a JSON object such as `{"latency_ms": 200}` enables faults.
 
 use rudder_standins::{PlatformStandin, StandinInstance};
 use rudder_store::{FolderChange, KubeStore, PlatformOptions, submit_change};
@@ -32,7 +32,8 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     let options: StandinOptions = argh::from_env();
     let standin = PlatformStandin::start(options.listen).await?;
-    let instances: Result<Vec<_>, _> = options.instance.iter().map(|text| parse(text)).collect();
+    let instances: Result<Vec<_>, _> =
+        options.instance.iter().map(|text| parse_instance(text)).collect();
     standin.set_instances(instances?, Duration::ZERO);
     if let Some(folder) = &options.folder {
         let store = KubeStore::connect(PlatformOptions::at(&standin.url()))?;
@@ -49,7 +50,7 @@
     Ok(())
 }
 
-fn parse(text: &str) -> Result<StandinInstance, Box<dyn Error>> {
-    let (name, address) = text.split_once('=').ok_or("--instance wants NAME=IP")?;
+fn parse_instance(text: &str) -> Result<StandinInstance, Box<dyn Error>> {
+    let (name, address) = text.split_once('=').ok_or("--instance must have the form NAME=IP")?;
     Ok(StandinInstance { name: name.parse()?, address: address.parse()?, leaving: false })
 }
--- a/crates/rudder-standins/examples/proofs.rs
+++ b/crates/rudder-standins/examples/proofs.rs
@@ -1,5 +1,5 @@
-//! Many seeds of the fault trial: concurrent callers against a whole deployment under generated
-//! faults, each run checked by the history checker.
+//! Runs the fault trial with many seeds. In each run, concurrent callers use a whole deployment
+//! under generated faults, and the history checker verifies session consistency.
 
 use argh::FromArgs;
 use rudder_core::{WriteOutcome, check_history};
@@ -24,38 +24,39 @@
 fn main() -> Result<ExitCode, Box<dyn Error>> {
     let arguments: ProofArguments = argh::from_env();
     let runtime = tokio::runtime::Runtime::new()?;
-    let mut wrong = 0;
+    let mut failures = 0;
     let seeds: Vec<u64> = (arguments.from..arguments.from + arguments.seeds).collect();
     for chunk in seeds.chunks(arguments.parallel.max(1)) {
-        let runs = chunk.iter().map(|seed| runtime.spawn(run(*seed)));
+        let runs = chunk.iter().map(|seed| runtime.spawn(run_seed(*seed)));
         let runs: Vec<_> = runs.collect();
         for run in runs {
-            let line = runtime.block_on(run)??;
-            wrong += u64::from(!line.right);
-            println!("{}", line.text);
+            let result = runtime.block_on(run)??;
+            failures += u64::from(!result.passed);
+            println!("{}", result.text);
         }
     }
-    println!("{} seeds, {wrong} wrong", arguments.seeds);
-    Ok(if wrong == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{} seeds, {failures} wrong", arguments.seeds);
+    Ok(if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-struct ProofLine {
-    right: bool,
+/// Result of one seed.
+struct SeedResult {
+    passed: bool,
     text: String,
 }
 
-async fn run(seed: u64) -> Result<ProofLine, String> {
+async fn run_seed(seed: u64) -> Result<SeedResult, String> {
     let schedule = TrialSchedule::generate(seed);
     let report = run_trial(&schedule).await.map_err(|error| error.to_string())?;
-    let faults = check_history(&report.log);
+    let violations = check_history(&report.log);
     let acknowledged =
         report.log.writes.iter().filter(|write| write.outcome == WriteOutcome::Acknowledged);
-    let kinds: Vec<String> = schedule
+    let faults: Vec<String> = schedule
         .faults
         .iter()
         .map(|fault| format!("{:?}@{}", fault.kind, fault.from.as_millis()))
         .collect();
-    let right = faults.is_empty() && report.recovered;
+    let passed = violations.is_empty() && report.recovered;
     let text = format!(
         "seed {seed}: {} writes, {} acknowledged, {} reads, {} unanswered, recovered {}, faults {}{}",
         report.log.writes.len(),
@@ -63,8 +64,8 @@
         report.log.reads.len(),
         report.unanswered,
         report.recovered,
-        kinds.join(" "),
-        faults.iter().map(|fault| format!("\n  BROKEN {fault}")).collect::<String>(),
+        faults.join(" "),
+        violations.iter().map(|violation| format!("\n  BROKEN {violation}")).collect::<String>(),
     );
-    Ok(ProofLine { right, text })
+    Ok(SeedResult { passed, text })
 }
--- a/crates/rudder-standins/examples/serving_slopes/callers.rs
+++ b/crates/rudder-standins/examples/serving_slopes/callers.rs
@@ -1,4 +1,4 @@
-//! Memory of an instance for each idle caller.
+//! Memory that an instance uses for each idle caller.
 
 use crate::MeasureError;
 use crate::instance::InstanceProcess;
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use tokio_postgres::{Client, NoTls};
 
-/// Callers connected at each size.
+/// Numbers of connected callers to measure.
 const SIZES: [usize; 3] = [0, 1000, 3000];
 
-/// Until memory is read, so that what logging in needed can be given back.
+/// Delay before memory is read, in which memory used by logins can be freed.
 const SETTLE: Duration = Duration::from_secs(2);
 
 pub(crate) async fn measure() -> Result<(), MeasureError> {
     let deployment = Deployment::start(DeploymentPlan::small(0)).await?;
     let instance = InstanceProcess::start(&deployment, &[]).await?;
     let mut clients = Vec::new();
-    let mut first = 0;
+    let mut baseline = 0;
     for size in SIZES {
         while clients.len() < size {
             clients.push(connect(&instance).await?);
@@ -25,25 +25,25 @@
         tokio::time::sleep(SETTLE).await;
         let resident = instance.resident_kb()?;
         if size == 0 {
-            first = resident;
+            baseline = resident;
         }
-        let each = resident.saturating_sub(first) as f64 / size.max(1) as f64;
-        crate::print(&json!({
+        let kb_per_caller = resident.saturating_sub(baseline) as f64 / size.max(1) as f64;
+        crate::print_figure(&json!({
             "figure": "idle_callers", "callers": size, "resident_kb": resident,
-            "kb_per_caller": each,
+            "kb_per_caller": kb_per_caller,
         }));
     }
     Ok(())
 }
 
-/// Connects one caller.
+/// Connects one caller to `instance`.
 pub(crate) async fn connect(instance: &InstanceProcess) -> Result<Client, MeasureError> {
-    let words = format!(
+    let connection_string = format!(
         "host={} port={} user=app dbname=scores-orders sslmode=disable",
         instance.address.ip(),
         instance.address.port(),
     );
-    let (client, connection) = tokio_postgres::connect(&words, NoTls).await?;
+    let (client, connection) = tokio_postgres::connect(&connection_string, NoTls).await?;
     tokio::spawn(connection);
     Ok(client)
 }
--- a/crates/rudder-standins/examples/serving_slopes/declared.rs
+++ b/crates/rudder-standins/examples/serving_slopes/declared.rs
@@ -1,4 +1,5 @@
-//! Memory of an instance for each group that is declared, where it keeps only a few of them.
+//! Memory that an instance uses for each declared group, when it keeps (probes and votes for) only
+//! some of the groups.
 
 use crate::MeasureError;
 use crate::instance::InstanceProcess;
@@ -6,13 +7,13 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Groups at each size.
+/// Numbers of groups to measure.
 const SIZES: [usize; 3] = [0, 36, 108];
 
-/// Instances, four in each failure domain: one keeps a quarter of the groups.
+/// Number of instances, four in each failure domain, so that each keeps a quarter of the groups.
 const INSTANCES: usize = 12;
 
-/// Until duties and memory are steady.
+/// Delay before memory is read, until the assignment of groups to instances and memory are stable.
 const SETTLE: Duration = Duration::from_secs(5);
 
 pub(crate) async fn measure() -> Result<(), MeasureError> {
@@ -35,7 +36,7 @@
     tokio::time::sleep(SETTLE).await;
     let resident: Vec<_> =
         instances.iter().map(InstanceProcess::resident_kb).collect::<Result<_, _>>()?;
-    crate::print(&json!({
+    crate::print_figure(&json!({
         "figure": "declared_groups", "groups": groups, "instances": INSTANCES,
         "mean_kept": groups * 3 / INSTANCES,
         "mean_resident_kb": resident.iter().sum::<u64>() / INSTANCES as u64,
--- a/crates/rudder-standins/examples/serving_slopes/instance.rs
+++ b/crates/rudder-standins/examples/serving_slopes/instance.rs
@@ -1,4 +1,4 @@
-//! A measured instance in a process of its own.
+//! A measured instance in a separate process, so that its memory and processor time can be read.
 
 use crate::MeasureError;
 use crate::relay::MemberRelay;
@@ -11,10 +11,11 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// The failure domains of a small plan.
+/// Failure domains of [`DeploymentPlan::small`](rudder_standins::DeploymentPlan::small).
 const DOMAINS: [&str; 3] = ["kigali-a", "nairobi-a", "johannesburg-a"];
 
-/// Serves until the process is ended, after one line with its addresses.
+/// Runs an instance until the process is killed. Prints one line with its addresses when it has the
+/// settings.
 pub(crate) async fn serve(text: &str) -> Result<(), MeasureError> {
     let proxy = ProxyInstance::start(ProcessSettings::parse(text)?).await?;
     while proxy.revision() == 0 {
@@ -25,14 +26,14 @@
     Ok(())
 }
 
-/// The process of an instance; dropping it ends it.
+/// Process of an instance, killed on drop.
 pub(crate) struct InstanceProcess {
     child: Child,
-    /// Where it listens for callers.
+    /// Address for callers.
     pub(crate) address: SocketAddr,
-    /// Where its pages for operators are.
+    /// Address of the admin pages.
     pub(crate) admin: SocketAddr,
-    /// Where it listens for other instances.
+    /// Address for other instances.
     pub(crate) peer: SocketAddr,
 }
 
@@ -46,7 +47,8 @@
         Self::join(deployment, relays, &[]).await
     }
 
-    /// The same, beside the instances `others`, in the next failure domain.
+    /// Starts an instance that joins `others`, in the next failure domain. Otherwise like
+    /// [`Self::start`].
     pub(crate) async fn join(
         deployment: &Deployment,
         relays: &[MemberRelay],
@@ -68,40 +70,46 @@
         let mut command = Command::new(std::env::current_exe()?);
         command.args(["--instance", &text]).stdout(Stdio::piped()).kill_on_drop(true);
         let mut child = command.spawn()?;
-        let output = child.stdout.take().ok_or("the instance has no output")?;
+        let output =
+            child.stdout.take().ok_or("the standard output of the instance is not captured")?;
         let line = BufReader::new(output).lines().next_line().await?;
-        let line = line.ok_or("the instance ended at once")?;
+        let line = line.ok_or("the instance exited before it printed its addresses")?;
         let addresses: Vec<SocketAddr> =
             line.split_whitespace().map(str::parse).collect::<Result<_, _>>()?;
-        let [address, admin, peer] = addresses[..] else { return Err("no addresses".into()) };
+        let [address, admin, peer] = addresses[..] else {
+            return Err("the instance did not print three addresses".into());
+        };
         Ok(Self { child, address, admin, peer })
     }
 
-    /// Ends the process without a farewell.
+    /// Kills the process without a graceful shutdown.
     pub(crate) async fn kill(mut self) -> Result<(), MeasureError> {
         self.child.kill().await?;
         Ok(())
     }
 
-    /// Resident memory in KB.
+    /// Returns the resident memory in KB.
     pub(crate) fn resident_kb(&self) -> Result<u64, MeasureError> {
-        let text = std::fs::read_to_string(format!("{}/status", self.folder()?))?;
-        let line = text.lines().find(|line| line.starts_with("VmRSS:")).ok_or("no VmRSS")?;
-        Ok(line.split_whitespace().nth(1).ok_or("no size")?.parse()?)
+        let text = std::fs::read_to_string(format!("{}/status", self.proc_directory()?))?;
+        let line = text
+            .lines()
+            .find(|line| line.starts_with("VmRSS:"))
+            .ok_or("/proc/<pid>/status has no VmRSS")?;
+        Ok(line.split_whitespace().nth(1).ok_or("VmRSS has no value")?.parse()?)
     }
 
-    /// Processor time of all its threads so far.
+    /// Returns the processor time that all threads of the process have used.
     pub(crate) fn processor_time(&self) -> Result<Duration, MeasureError> {
         let mut nanoseconds = 0;
-        for task in std::fs::read_dir(format!("{}/task", self.folder()?))? {
+        for task in std::fs::read_dir(format!("{}/task", self.proc_directory()?))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
-            let first = text.split_whitespace().next().ok_or("an empty schedstat")?;
+            let first = text.split_whitespace().next().ok_or("schedstat is empty")?;
             nanoseconds += first.parse::<u64>()?;
         }
         Ok(Duration::from_nanos(nanoseconds))
     }
 
-    fn folder(&self) -> Result<String, MeasureError> {
-        Ok(format!("/proc/{}", self.child.id().ok_or("the instance has ended")?))
+    fn proc_directory(&self) -> Result<String, MeasureError> {
+        Ok(format!("/proc/{}", self.child.id().ok_or("the instance has exited")?))
     }
 }
--- a/crates/rudder-standins/examples/serving_slopes/main.rs
+++ b/crates/rudder-standins/examples/serving_slopes/main.rs
@@ -1,7 +1,8 @@
-//! What serving, keeping and settings cost one instance, at several sizes, on loopback.
+//! Measures how the cost of an instance grows with callers, statements, groups and proxies, on
+//! loopback.
 //!
 //! Prints one JSON line for each figure. Instances whose memory or processor time is measured run
-//! in processes of their own; all else runs in this one. Takes 135 s in all.
+//! in separate processes; everything else runs in this process. A full run takes 135 s.
 
 mod callers;
 mod declared;
@@ -17,7 +18,7 @@
 use serde_json::Value;
 use std::error::Error;
 
-/// Any error of a measurement; it ends the run.
+/// Error of a measurement, which aborts the run.
 type MeasureError = Box<dyn Error + Send + Sync>;
 
 /// Slopes of serving, keeping and settings.
@@ -40,32 +41,32 @@
     if let Some(text) = &arguments.instance {
         return instance::serve(text).await;
     }
-    let wanted = |part: &str| arguments.part == "all" || arguments.part == part;
-    if wanted("probe") {
+    let is_selected = |part: &str| arguments.part == "all" || arguments.part == part;
+    if is_selected("probe") {
         probe::measure().await?;
     }
-    if wanted("callers") {
+    if is_selected("callers") {
         callers::measure().await?;
     }
-    if wanted("statements") {
+    if is_selected("statements") {
         statements::measure().await?;
     }
-    if wanted("keeping") {
+    if is_selected("keeping") {
         keeping::measure(arguments.seconds).await?;
     }
-    if wanted("votes") {
+    if is_selected("votes") {
         votes::measure().await?;
     }
-    if wanted("declared") {
+    if is_selected("declared") {
         declared::measure().await?;
     }
-    if wanted("settings") {
+    if is_selected("settings") {
         settings::measure().await?;
     }
     Ok(())
 }
 
-/// Prints one figure.
-fn print(line: &Value) {
+/// Prints one figure as a JSON line.
+fn print_figure(line: &Value) {
     println!("{line}");
 }
--- a/crates/rudder-standins/examples/serving_slopes/probe.rs
+++ b/crates/rudder-standins/examples/serving_slopes/probe.rs
@@ -1,4 +1,4 @@
-//! The bytes of a status probe on the wire.
+//! Size of a status probe's request and response on the wire.
 
 use crate::MeasureError;
 use rudder_core::ControlStatement;
@@ -7,56 +7,56 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Version 3.0 of the protocol, as the startup message carries it.
+/// Version 3.0 of the wire protocol, as encoded in the startup message.
 const PROTOCOL_VERSION: u32 = 196_608;
 
-/// A message's type and length.
+/// Size of a message's type byte and length field.
 const HEADER_BYTES: usize = 5;
 
-/// Bytes of the length, which counts itself.
+/// Size of the length field, which is included in the length.
 const LENGTH_BYTES: usize = 4;
 
 pub(crate) async fn measure() -> Result<(), MeasureError> {
     let group = GroupStandin::start(GroupSettings::loopback("scores-orders".parse()?)).await?;
     let (_, address) = group.members().next().ok_or("the group has no member")?;
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(&startup()).await?;
+    stream.write_all(&startup_message()).await?;
     read_until_ready(&mut stream).await?;
-    let question = query(&ControlStatement::Status.to_string());
-    stream.write_all(&question).await?;
+    let request = query_message(&ControlStatement::Status.to_string());
+    stream.write_all(&request).await?;
     let messages = read_until_ready(&mut stream).await?;
-    let answered: usize = messages.iter().map(|(_, bytes)| bytes).sum();
-    let parts: Vec<_> = messages.iter().map(|(kind, bytes)| format!("{kind}:{bytes}")).collect();
-    crate::print(&json!({
-        "figure": "status_probe", "question_bytes": question.len(), "answer_bytes": answered,
-        "answer_messages": parts,
+    let response_bytes: usize = messages.iter().map(|(_, bytes)| bytes).sum();
+    let sizes: Vec<_> = messages.iter().map(|(kind, bytes)| format!("{kind}:{bytes}")).collect();
+    crate::print_figure(&json!({
+        "figure": "status_probe", "question_bytes": request.len(), "answer_bytes": response_bytes,
+        "answer_messages": sizes,
     }));
     Ok(())
 }
 
-fn startup() -> Vec<u8> {
+fn startup_message() -> Vec<u8> {
     let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
     body.extend_from_slice(b"user\0app\0database\0scores-orders\0\0");
-    let mut message = length(&body).to_vec();
+    let mut message = encode_length(&body).to_vec();
     message.extend(body);
     message
 }
 
-fn query(text: &str) -> Vec<u8> {
+fn query_message(text: &str) -> Vec<u8> {
     let mut body = text.as_bytes().to_vec();
     body.push(0);
     let mut message = vec![b'Q'];
-    message.extend(length(&body));
+    message.extend(encode_length(&body));
     message.extend(body);
     message
 }
 
-fn length(body: &[u8]) -> [u8; LENGTH_BYTES] {
+fn encode_length(body: &[u8]) -> [u8; LENGTH_BYTES] {
     let bytes = u32::try_from(body.len() + LENGTH_BYTES).expect("the message is short");
     bytes.to_be_bytes()
 }
 
-/// The messages up to the one that says that the member is ready: type and whole length of each.
+/// Reads messages up to `ReadyForQuery` and returns the type and full length of each.
 async fn read_until_ready(stream: &mut TcpStream) -> Result<Vec<(char, usize)>, MeasureError> {
     let mut messages = Vec::new();
     loop {
--- a/crates/rudder-standins/examples/serving_slopes/relay.rs
+++ b/crates/rudder-standins/examples/serving_slopes/relay.rs
@@ -1,4 +1,4 @@
-//! A relay before a member that counts what passes.
+//! A TCP relay in front of a member that counts traffic.
 
 use crate::MeasureError;
 use rudder_standins::{Deployment, GroupStandin};
@@ -10,74 +10,74 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// Bytes read at once.
+/// Size of the read buffer.
 const BLOCK_BYTES: usize = 16 * 1024;
 
-/// What passed through all relays that share the counter.
+/// Traffic counters, shared by several relays.
 #[derive(Default)]
-pub(crate) struct PassedTraffic {
-    /// Bytes in both directions, without headers of TCP.
+pub(crate) struct RelayTraffic {
+    /// Bytes in both directions, without TCP headers.
     pub(crate) bytes: AtomicU64,
-    /// Blocks that an instance sent; a status question is one.
-    pub(crate) questions: AtomicU64,
+    /// Blocks received from an instance; a status request arrives as one block.
+    pub(crate) requests: AtomicU64,
 }
 
-/// A relay; dropping it ends it.
+/// A relay to one member, stopped on drop.
 pub(crate) struct MemberRelay {
-    /// The member.
+    /// Address of the member.
     pub(crate) target: SocketAddr,
-    /// Where the relay listens.
+    /// Address on which the relay listens.
     pub(crate) address: SocketAddr,
     _task: JoinSet<()>,
 }
 
 impl MemberRelay {
-    /// Starts relays before all members of `deployment`.
+    /// Starts a relay for each member of `deployment`.
     pub(crate) async fn start_all(
         deployment: &Deployment,
-        passed: &Arc<PassedTraffic>,
+        traffic: &Arc<RelayTraffic>,
     ) -> Result<Vec<Self>, MeasureError> {
         let mut relays = Vec::new();
         for (_, target) in deployment.groups.iter().flat_map(GroupStandin::members) {
-            relays.push(Self::start(target, Arc::clone(passed)).await?);
+            relays.push(Self::start(target, Arc::clone(traffic)).await?);
         }
         Ok(relays)
     }
 
-    async fn start(target: SocketAddr, passed: Arc<PassedTraffic>) -> Result<Self, MeasureError> {
+    async fn start(target: SocketAddr, traffic: Arc<RelayTraffic>) -> Result<Self, MeasureError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let mut task = JoinSet::new();
-        task.spawn(accept(listener, target, passed));
+        task.spawn(accept(listener, target, traffic));
         Ok(Self { target, address, _task: task })
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, passed: Arc<PassedTraffic>) {
+async fn accept(listener: TcpListener, target: SocketAddr, traffic: Arc<RelayTraffic>) {
     let mut connections = JoinSet::new();
     while let Ok((near, _)) = listener.accept().await {
         let Ok(far) = TcpStream::connect(target).await else { continue };
-        // Without this the kernel would hold small messages back.
+        // Nagle's algorithm would delay small messages.
         if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
             continue;
         }
         let (near_read, near_write) = near.into_split();
         let (far_read, far_write) = far.into_split();
-        connections.spawn(carry(near_read, far_write, Arc::clone(&passed), true));
-        connections.spawn(carry(far_read, near_write, Arc::clone(&passed), false));
+        connections.spawn(copy_counted(near_read, far_write, Arc::clone(&traffic), true));
+        connections.spawn(copy_counted(far_read, near_write, Arc::clone(&traffic), false));
     }
 }
 
-async fn carry(
+async fn copy_counted(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    passed: Arc<PassedTraffic>,
-    asks: bool,
+    traffic: Arc<RelayTraffic>,
+    is_request: bool,
 ) {
     let mut block = vec![0; BLOCK_BYTES];
     while let Ok(bytes @ 1..) = from.read(&mut block).await {
-        passed.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
-        passed.questions.fetch_add(u64::from(asks), Ordering::Relaxed);
+        traffic.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        traffic.requests.fetch_add(u64::from(is_request), Ordering::Relaxed);
         if to.write_all(&block[..bytes]).await.is_err() {
             return;
         }
--- a/crates/rudder-standins/examples/serving_slopes/settings.rs
+++ b/crates/rudder-standins/examples/serving_slopes/settings.rs
@@ -1,49 +1,49 @@
-//! How long a change of settings takes until every proxy has it in force.
+//! Time from the submission of a change of settings until it is in force on every proxy.
 
 use crate::MeasureError;
 use rudder_standins::{Deployment, DeploymentPlan};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Proxies at each size, all in this process.
+/// Numbers of proxies to measure, all in this process.
 const SIZES: [usize; 3] = [3, 7, 14];
 
-/// Changes at each size.
+/// Number of changes for each number of proxies.
 const CHANGES: u32 = 3;
 
-/// How often the proxies are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which the proxies' revisions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Between two changes, so that they fall on different moments between two polls.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Delay between two changes, so that they occur at different times between the proxies' polls.
+const CHANGE_DELAY: Duration = Duration::from_millis(700);
 
 pub(crate) async fn measure() -> Result<(), MeasureError> {
     for proxies in SIZES {
         let deployment = Deployment::start(DeploymentPlan::small(proxies)).await?;
-        tokio::time::sleep(PAUSE).await;
-        let mut taken = Vec::new();
-        let mut submitted = Vec::new();
+        tokio::time::sleep(CHANGE_DELAY).await;
+        let mut in_force_ms = Vec::new();
+        let mut submitted_ms = Vec::new();
         for change in 1..=CHANGES {
-            let text = caller_text(change);
+            let text = caller_settings(change);
             let started = Instant::now();
             deployment.submit("20-callers.toml", &text).await?;
-            submitted.push(started.elapsed().as_millis());
-            let wanted = u64::from(change) + 1;
-            while deployment.proxies.iter().flatten().any(|proxy| proxy.revision() < wanted) {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+            submitted_ms.push(started.elapsed().as_millis());
+            let revision = u64::from(change) + 1;
+            while deployment.proxies.iter().flatten().any(|proxy| proxy.revision() < revision) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
-            taken.push(started.elapsed().as_millis());
-            tokio::time::sleep(PAUSE).await;
+            in_force_ms.push(started.elapsed().as_millis());
+            tokio::time::sleep(CHANGE_DELAY).await;
         }
-        crate::print(&json!({
-            "figure": "settings_in_force", "proxies": proxies, "submitted_ms": submitted,
-            "all_ms": taken,
+        crate::print_figure(&json!({
+            "figure": "settings_in_force", "proxies": proxies, "submitted_ms": submitted_ms,
+            "all_ms": in_force_ms,
         }));
     }
     Ok(())
 }
 
-fn caller_text(change: u32) -> String {
+fn caller_settings(change: u32) -> String {
     format!(
         "[callers.archive]\nusers = [\"archive\"]\nstaleness = \"2s\"\nqueue_wait = \"5s\"\n\
          in_flight_max = {change}\n"
--- a/crates/rudder-standins/examples/serving_slopes/statements.rs
+++ b/crates/rudder-standins/examples/serving_slopes/statements.rs
@@ -1,4 +1,4 @@
-//! Processor time of an instance for each statement.
+//! Processor time that an instance uses for each statement.
 
 use crate::MeasureError;
 use crate::callers::connect;
@@ -12,21 +12,22 @@
 use tokio::time::MissedTickBehavior;
 use tokio_postgres::Client;
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 64;
 
-/// Statements a second of all callers together, at each size. The plan has 2105 at one instance.
+/// Rates to measure, in statements per second of all callers together. The planned load of one
+/// instance is 2105.
 const RATES: [u64; 3] = [500, 1000, 2000];
 
-/// How long each rate is kept.
+/// Duration of the measurement at each rate.
 const WINDOW: Duration = Duration::from_secs(3);
 
 pub(crate) async fn measure() -> Result<(), MeasureError> {
     let deployment = Deployment::start(DeploymentPlan::small(0)).await?;
     let instance = InstanceProcess::start(&deployment, &[]).await?;
-    let first = connect(&instance).await?;
-    first.batch_execute("CREATE TABLE pages (id int PRIMARY KEY, copyist text)").await?;
-    first.batch_execute("INSERT INTO pages VALUES (7, 'anna')").await?;
+    let client = connect(&instance).await?;
+    client.batch_execute("CREATE TABLE pages (id int PRIMARY KEY, copyist text)").await?;
+    client.batch_execute("INSERT INTO pages VALUES (7, 'anna')").await?;
     for (kind, statement) in [
         ("read", "SELECT copyist FROM pages WHERE id = 7"),
         ("write", "UPDATE pages SET copyist = 'ben' WHERE id = 7"),
@@ -49,8 +50,14 @@
     let mut tasks = JoinSet::new();
     for _ in 0..CALLERS {
         let client = connect(instance).await?;
-        let pace = Duration::from_secs(CALLERS) / u32::try_from(rate)?;
-        tasks.spawn(call(client, statement, pace, Arc::clone(&done), Arc::clone(&refused)));
+        let interval = Duration::from_secs(CALLERS) / u32::try_from(rate)?;
+        tasks.spawn(send_statements(
+            client,
+            statement,
+            interval,
+            Arc::clone(&done),
+            Arc::clone(&refused),
+        ));
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     let (before, processor) = (done.load(Ordering::Relaxed), instance.processor_time()?);
@@ -59,7 +66,7 @@
     let seconds = started.elapsed().as_secs_f64();
     let statements = done.load(Ordering::Relaxed) - before;
     let spent = instance.processor_time()? - processor;
-    crate::print(&json!({
+    crate::print_figure(&json!({
         "figure": "statements", "kind": kind, "wanted_per_second": rate,
         "done_per_second": statements as f64 / seconds,
         "refused_since_start": refused.load(Ordering::Relaxed),
@@ -69,14 +76,15 @@
     Ok(())
 }
 
-async fn call(
+/// Sends `statement` at a fixed interval and counts the results.
+async fn send_statements(
     client: Client,
     statement: &str,
-    pace: Duration,
+    interval: Duration,
     done: Arc<AtomicU64>,
     refused: Arc<AtomicU64>,
 ) {
-    let mut ticks = tokio::time::interval(pace);
+    let mut ticks = tokio::time::interval(interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/rudder-standins/examples/serving_slopes/votes.rs
+++ b/crates/rudder-standins/examples/serving_slopes/votes.rs
@@ -1,4 +1,4 @@
-//! What three instances that keep the same quiet groups tell each other.
+//! Traffic between three instances that keep (probe and vote for) the same idle groups.
 
 use crate::MeasureError;
 use crate::instance::InstanceProcess;
@@ -9,19 +9,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Groups at each size. Each of the three instances keeps them all.
+/// Numbers of groups to measure. Each of the three instances keeps them all.
 const SIZES: [usize; 4] = [0, 1, 3, 9];
 
-/// Instances, one in each failure domain.
+/// Number of instances, one in each failure domain.
 const INSTANCES: usize = 3;
 
-/// Until the instances know each other and the first rounds are over.
+/// Delay until the instances have discovered each other and the first rounds of messages are over.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// How long is counted.
+/// Duration of the measurement.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// All sizes at the same time.
+/// Measures all sizes at the same time.
 pub(crate) async fn measure() -> Result<(), MeasureError> {
     futures::future::try_join_all(SIZES.map(measure_groups)).await?;
     Ok(())
@@ -45,7 +45,7 @@
     let seconds = started.elapsed().as_secs_f64();
     let (after, spent) = (metrics_page(admin).await?, instances[0].processor_time()? - processor);
     let rate = |name: &str| (sum(&after, name) - sum(&before, name)) / seconds;
-    crate::print(&json!({
+    crate::print_figure(&json!({
         "figure": "kept_together", "groups": groups, "instances": INSTANCES,
         "peer_bytes_per_second": rate("rudder_peer_bytes_total"),
         "peer_datagrams_per_second": rate("rudder_peer_datagrams_total"),
@@ -63,7 +63,7 @@
     Ok(page)
 }
 
-/// The sum of a metric over all its labels.
+/// Returns the sum of a metric over all its labels.
 fn sum(page: &str, name: &str) -> f64 {
     let lines = page.lines().filter(|line| line.starts_with(name));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
