--- a/crates/rudder-standins/tests/group/main.rs
+++ b/crates/rudder-standins/tests/group/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the database group's stand-in, by unmodified clients.
+//! Tests of the database group stand-in, with standard PostgreSQL clients.
 
 #[cfg(test)]
 mod protocol;
--- a/crates/rudder-standins/tests/group/protocol.rs
+++ b/crates/rudder-standins/tests/group/protocol.rs
@@ -1,31 +1,31 @@
-//! The order of messages, and what batches leave behind.
+//! Order of protocol messages, effects of batches, `COPY`, cancellation and session settings.
 
-use crate::raw::{RawClient, execution, query, sync};
+use crate::raw::{RawClient, execute_messages, query, sync};
 use crate::support::{connect, group, sqlstate, status};
 use futures::{SinkExt, StreamExt, TryStreamExt};
 use rudder_core::LogStamp;
 use std::pin::pin;
 use tokio_postgres::{AsyncMessage, NoTls};
 
-/// A client sends a batch whose second statement fails. The third must not run, nothing of the
-/// batch may stay, and the next batch must work.
+/// After the second statement of a batch fails, the third must not run, the first must be rolled
+/// back, and the next batch must work.
 #[tokio::test]
 async fn an_error_skips_the_rest_of_a_batch() {
     let group = group().await;
     let mut client = RawClient::connect(&group, 0).await;
     client.send(vec![query("CREATE TABLE t (id int PRIMARY KEY)")]).await;
-    client.answers(1).await;
+    client.response_types(1).await;
 
-    let mut batch = execution("INSERT INTO t VALUES (1)", 0);
-    batch.extend(execution("INSERT INTO t VALUES (1)", 0));
-    batch.extend(execution("INSERT INTO t VALUES (2)", 0));
+    let mut batch = execute_messages("INSERT INTO t VALUES (1)", 0);
+    batch.extend(execute_messages("INSERT INTO t VALUES (1)", 0));
+    batch.extend(execute_messages("INSERT INTO t VALUES (2)", 0));
     batch.push(sync());
-    batch.extend(execution("SELECT id FROM t", 0));
+    batch.extend(execute_messages("SELECT id FROM t", 0));
     batch.push(sync());
     client.send(batch).await;
-    let answers = client.answers(2).await;
+    let types = client.response_types(2).await;
 
-    assert_eq!(answers, "12C12EZI12CZI");
+    assert_eq!(types, "12C12EZI12CZI");
     assert_eq!(status(&group, 0).received, LogStamp::new(1, 1));
 }
 
@@ -45,29 +45,29 @@
             query(""),
         ])
         .await;
-    let answers = client.answers(7).await;
+    let types = client.response_types(7).await;
 
-    assert_eq!(answers, "CEZITDCTDCZICTDCZTEZETDCZECZIIZI");
+    assert_eq!(types, "CEZITDCTDCZICTDCZTEZETDCZECZIIZI");
 }
 
 #[tokio::test]
-async fn a_portal_hands_out_its_rows_in_parts() {
+async fn a_portal_returns_its_rows_in_parts() {
     let group = group().await;
     let mut client = connect(&group, 0).await;
     let transaction = client.transaction().await.unwrap();
     let statement = transaction.prepare("SELECT generate_series(1, 5)").await.unwrap();
     let portal = transaction.bind(&statement, &[]).await.unwrap();
 
-    let mut counts = Vec::new();
+    let mut row_counts = Vec::new();
     for _ in 0..3 {
-        counts.push(transaction.query_portal(&portal, 2).await.unwrap().len());
+        row_counts.push(transaction.query_portal(&portal, 2).await.unwrap().len());
     }
 
-    assert_eq!(counts, [2, 2, 1]);
+    assert_eq!(row_counts, [2, 2, 1]);
 }
 
 #[tokio::test]
-async fn large_answers_are_made_as_they_are_sent() {
+async fn large_results_are_streamed() {
     let group = group().await;
     let client = connect(&group, 0).await;
     let parameters: [&str; 0] = [];
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn copy_goes_both_ways() {
+async fn copy_works_in_both_directions() {
     let group = group().await;
     let client = connect(&group, 0).await;
     client.batch_execute("CREATE TABLE t (id int PRIMARY KEY, note text)").await.unwrap();
@@ -118,7 +118,7 @@
 
     let sleeping = client.batch_execute("SELECT pg_sleep(600)");
     let cancelling = async {
-        // A request that comes before the statement runs has no effect, so it is repeated.
+        // A cancel request that arrives before the statement runs has no effect, so it is repeated.
         loop {
             token.cancel_query(NoTls).await.unwrap();
             tokio::task::yield_now().await;
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn notices_arrive_and_settings_are_kept() {
+async fn notices_are_delivered_and_session_settings_last() {
     let group = group().await;
     let (_, address) = group.members().next().unwrap();
     let config =
--- a/crates/rudder-standins/tests/group/raw.rs
+++ b/crates/rudder-standins/tests/group/raw.rs
@@ -1,4 +1,4 @@
-//! A client that sends messages of its own choice and lists the types of the answers.
+//! A client that sends arbitrary protocol messages and returns the types of the response messages.
 
 use bytes::{Buf, BytesMut};
 use pgwire::messages::PgWireFrontendMessage as FrontendMessage;
@@ -23,7 +23,7 @@
         let mut startup = Startup::new();
         startup.parameters.insert("user".to_owned(), "raw".to_owned());
         client.send(vec![FrontendMessage::Startup(startup)]).await;
-        client.answers(1).await;
+        client.response_types(1).await;
         client
     }
 
@@ -36,33 +36,38 @@
         self.stream.write_all(&output).await.unwrap();
     }
 
-    /// The type bytes of the answers up to the `count`th end of a request, each of which is
-    /// followed by its transaction status.
-    pub(crate) async fn answers(&mut self, count: usize) -> String {
+    /// Returns the type bytes of all messages up to the `count`th `ReadyForQuery`, each of whose
+    /// type bytes (`Z`) is followed by the transaction status.
+    pub(crate) async fn response_types(&mut self, count: usize) -> String {
         let mut types = String::new();
-        let mut ends = 0;
-        while ends < count {
-            let answer = self.answer().await;
-            ends += usize::from(answer.starts_with('Z'));
-            types.push_str(&answer);
+        let mut ready_count = 0;
+        while ready_count < count {
+            let message_type = self.next_type().await;
+            ready_count += usize::from(message_type.starts_with('Z'));
+            types.push_str(&message_type);
         }
         types
     }
 
-    /// The type byte of the next answer.
-    pub(crate) async fn answer(&mut self) -> String {
-        while self.input.len() < 5 || self.input.len() < self.length() {
-            assert_ne!(self.stream.read_buf(&mut self.input).await.unwrap(), 0, "closed");
+    /// Returns the type byte of the next message, and the transaction status after `Z`.
+    pub(crate) async fn next_type(&mut self) -> String {
+        while self.input.len() < 5 || self.input.len() < self.message_length() {
+            assert_ne!(
+                self.stream.read_buf(&mut self.input).await.unwrap(),
+                0,
+                "the member closed the connection"
+            );
         }
-        let mut answer = String::from(char::from(self.input[0]));
-        if answer == "Z" {
-            answer.push(char::from(self.input[5]));
+        let mut message_type = String::from(char::from(self.input[0]));
+        if message_type == "Z" {
+            message_type.push(char::from(self.input[5]));
         }
-        self.input.advance(self.length());
-        answer
+        self.input.advance(self.message_length());
+        message_type
     }
 
-    fn length(&self) -> usize {
+    /// Returns the full length of the first message in the input.
+    fn message_length(&self) -> usize {
         u32::from_be_bytes(self.input[1..5].try_into().unwrap()) as usize + 1
     }
 }
@@ -71,8 +76,8 @@
     FrontendMessage::Query(Query::new(text.to_owned()))
 }
 
-/// `Parse`, `Bind` and `Execute` of a statement without parameters.
-pub(crate) fn execution(text: &str, max_rows: i32) -> Vec<FrontendMessage> {
+/// Returns `Parse`, `Bind` and `Execute` messages for a statement without parameters.
+pub(crate) fn execute_messages(text: &str, max_rows: i32) -> Vec<FrontendMessage> {
     vec![
         FrontendMessage::Parse(Parse::new(None, text.to_owned(), Vec::new())),
         FrontendMessage::Bind(Bind::new(None, None, Vec::new(), Vec::new(), Vec::new())),
@@ -84,7 +89,7 @@
     FrontendMessage::Sync(Sync::new())
 }
 
-/// The data of a `COPY`, and its end.
+/// Returns `CopyData` and `CopyDone` messages for a `COPY`.
 pub(crate) fn copy_data(text: &'static str) -> Vec<FrontendMessage> {
     vec![
         FrontendMessage::CopyData(CopyData::new(text.into())),
--- a/crates/rudder-standins/tests/group/replication.rs
+++ b/crates/rudder-standins/tests/group/replication.rs
@@ -1,4 +1,4 @@
-//! Terms, roles and the log.
+//! Replication, terms, roles and fencing.
 
 use crate::support::{
     connect, fence, follow, group, name, promote, sqlstate, status, try_connect, wait_applied,
@@ -22,8 +22,8 @@
     assert_eq!(status(&group, 1).role, MemberRole::Replica);
 }
 
-/// A reader at a replica does not find a row that the primary has committed. The replica has
-/// received the entry but applies it late, and its report says so.
+/// A replica that has received an entry but not applied it does not show the committed row to
+/// readers, and its status must report the received and the applied position separately.
 #[tokio::test]
 async fn a_lagging_replica_reports_received_before_applied() {
     let group = group().await;
@@ -44,10 +44,9 @@
     assert_eq!((before.get::<_, i64>(0), applied_before), (0, LogStamp::new(1, 1)));
 }
 
-/// A primary was fenced. A client that writes through it, or commits a transaction that it began
-/// before, must get an error, and nothing may be kept. It must not report itself primary either:
-/// it would pass for the primary of the term that it was fenced with, and make replicas look
-/// fresh that miss what the real one committed.
+/// A fenced primary must reject writes and commits of earlier transactions without effect. It must
+/// not report itself primary: it would be taken for the primary of the fence's term, and replicas
+/// that lack commits of the actual primary would appear up to date.
 #[tokio::test]
 async fn a_fenced_primary_commits_nothing() {
     let group = group().await;
@@ -58,21 +57,21 @@
     fence(&group, 0, 7);
     let commit = client.batch_execute("COMMIT").await;
     let write = client.batch_execute("INSERT INTO t VALUES (2)").await;
-    let begun = client.batch_execute("BEGIN; INSERT INTO t VALUES (3)").await;
+    let transaction = client.batch_execute("BEGIN; INSERT INTO t VALUES (3)").await;
     client.batch_execute("ROLLBACK").await.unwrap();
     let lower = client.batch_execute("SELECT rudder.fence(6)").await.unwrap_err();
 
-    assert_eq!([commit, write, begun].map(sqlstate), ["RU001", "RU001", "RU001"]);
+    assert_eq!([commit, write, transaction].map(sqlstate), ["RU001", "RU001", "RU001"]);
     assert_eq!(lower.as_db_error().unwrap().message(), "term 7 has been accepted");
     assert_eq!(status(&group, 0).received, LogStamp::new(1, 1));
     assert_eq!(status(&group, 0).role, MemberRole::Replica);
 }
 
-/// A primary is cut off and commits a row that no replica receives. Another member is promoted.
-/// When the old primary follows it, readers there must no longer see the lost row, nor miss the
-/// rows committed meanwhile.
+/// An isolated primary commits a row that no replica receives, and another member is promoted. When
+/// the old primary follows the new one, it must discard that row and apply the rows committed
+/// meanwhile.
 #[tokio::test]
-async fn a_follower_drops_what_its_leader_does_not_have() {
+async fn a_follower_discards_entries_that_its_primary_lacks() {
     let group = group().await;
     let old = connect(&group, 0).await;
     old.batch_execute("CREATE TABLE t (id int PRIMARY KEY, note text)").await.unwrap();
@@ -116,19 +115,19 @@
     assert_eq!((exact.role, exact.received), (MemberRole::Primary, LogStamp::new(5, 1)));
 }
 
-/// A proxy asks for the status in the same exchange as a statement, also when that statement or
-/// its transaction has failed. The report must come all the same.
+/// A proxy requests the status in the same round trip as a statement. The status must be returned
+/// even if that statement or its transaction has failed.
 #[tokio::test]
-async fn control_statements_answer_in_any_transaction_state() {
+async fn control_statements_work_in_any_transaction_state() {
     let group = group().await;
     let client = connect(&group, 1).await;
     client.batch_execute("BEGIN").await.unwrap();
     client.batch_execute("SELECT * FROM nowhere").await.unwrap_err();
 
-    let answer = client.simple_query("SHOW rudder.status").await.unwrap();
+    let response = client.simple_query("SHOW rudder.status").await.unwrap();
     let refused = client.batch_execute("SELECT 1").await;
 
-    let row = answer.iter().find_map(|message| match message {
+    let row = response.iter().find_map(|message| match message {
         SimpleQueryMessage::Row(row) => Some(row),
         _ => None,
     });
@@ -137,8 +136,8 @@
     assert_eq!(sqlstate(refused), "25P02");
 }
 
-/// A member dies and comes back. What it had committed lasts, but it leads nobody until it is
-/// told so, since another member may lead by now.
+/// A restarted member keeps its committed entries but must not act as primary before it is promoted
+/// again, since another member may have become primary meanwhile.
 #[tokio::test]
 async fn a_restarted_member_keeps_its_log_but_not_its_role() {
     let group = group().await;
@@ -146,7 +145,7 @@
     client.batch_execute("CREATE TABLE t (id int)").await.unwrap();
 
     group.turn(&name(0), MemberKnob::Kill).unwrap();
-    let broken = client.batch_execute("SELECT 1").await;
+    let disconnected = client.batch_execute("SELECT 1").await;
     let refused = try_connect(&group, 0).await;
     group.turn(&name(0), MemberKnob::Restart).unwrap();
     let client = loop {
@@ -157,7 +156,7 @@
     };
     let write = client.batch_execute("INSERT INTO t VALUES (1)").await;
 
-    assert!(broken.is_err() && refused.is_err());
+    assert!(disconnected.is_err() && refused.is_err());
     assert_eq!(sqlstate(write), "25006");
     assert_eq!(status(&group, 0).received, LogStamp::new(1, 1));
 }
--- a/crates/rudder-standins/tests/group/resources.rs
+++ b/crates/rudder-standins/tests/group/resources.rs
@@ -1,4 +1,4 @@
-//! Slots, service times, connections, and members that answer nothing.
+//! Slots, service times, timeouts, connection limits, passwords and frozen members.
 
 use crate::raw::{RawClient, copy_data, query};
 use crate::support::{connect, group, name, settings, sqlstate, status, try_connect};
@@ -6,16 +6,16 @@
 use rudder_standins::{GroupSettings, GroupStandin, MemberKnob};
 use std::time::{Duration, Instant};
 
-/// All slots of a member are taken for long. Statements wait, but the member's report must come
-/// at once, since the decision over its role hangs on it.
+/// While all slots of a member are in use, statements wait. The status must be returned at once, as
+/// decisions on the member's role depend on it.
 #[tokio::test]
-async fn statements_wait_for_slots_and_reports_do_not() {
+async fn statements_wait_for_slots_but_status_does_not() {
     let group =
         GroupStandin::start(GroupSettings { slots: SlotCount(1), ..settings() }).await.unwrap();
     let (busy, other) = (connect(&group, 0).await, connect(&group, 0).await);
     let token = busy.cancel_token();
     let occupying = tokio::spawn(async move { busy.batch_execute("SELECT pg_sleep(600)").await });
-    let waiting = loop {
+    let third = loop {
         let statement = other.batch_execute("SELECT 1");
         match tokio::time::timeout(Duration::from_millis(20), statement).await {
             Ok(done) => done.unwrap(),
@@ -23,14 +23,14 @@
         }
     };
 
-    let report = waiting.simple_query("SHOW rudder.status").await;
+    let status = third.simple_query("SHOW rudder.status").await;
     while !occupying.is_finished() {
         token.cancel_query(tokio_postgres::NoTls).await.unwrap();
     }
     let cancelled = occupying.await.unwrap();
     let after = other.batch_execute("SELECT 1").await;
 
-    assert!(report.is_ok() && after.is_ok());
+    assert!(status.is_ok() && after.is_ok());
     assert_eq!(sqlstate(cancelled), "57014");
 }
 
@@ -47,7 +47,7 @@
         client.batch_execute("SELECT 1").await.unwrap();
     }
 
-    // Timers that are late shorten the statements after them, but never the sum.
+    // A timer that fires late shortens the following statements but never the total.
     assert!(start.elapsed() >= Duration::from_millis(40), "{:?}", start.elapsed());
 }
 
@@ -63,13 +63,13 @@
 }
 
 #[tokio::test]
-async fn one_connection_too_many_is_refused() {
+async fn connections_above_the_limit_are_rejected() {
     let settings = GroupSettings { connections: ConnectionCount(1), ..settings() };
     let group = GroupStandin::start(settings).await.unwrap();
-    let kept = connect(&group, 0).await;
+    let first = connect(&group, 0).await;
 
     let refused = try_connect(&group, 0).await;
-    drop(kept);
+    drop(first);
     let again = loop {
         match try_connect(&group, 0).await {
             Ok(client) => break client,
@@ -81,48 +81,48 @@
     assert!(again.batch_execute("SELECT 1").await.is_ok());
 }
 
-/// A member freezes while a client sends rows. They must not be committed before it wakes, since
-/// another member may have been promoted by then.
+/// Rows sent to a frozen member must not be committed before it thaws, since another member may
+/// have been promoted by then.
 #[tokio::test]
 async fn a_frozen_member_commits_nothing() {
     let group = group().await;
     let mut client = RawClient::connect(&group, 0).await;
     client.send(vec![query("CREATE TABLE t (id int)"), query("COPY t FROM STDIN")]).await;
-    client.answers(1).await;
-    assert_eq!(client.answer().await, "G");
+    client.response_types(1).await;
+    assert_eq!(client.next_type().await, "G");
 
     group.turn(&name(0), MemberKnob::Frozen(true)).unwrap();
     client.send(copy_data("1\n")).await;
-    let early = tokio::time::timeout(Duration::from_millis(50), client.answer()).await;
+    let early = tokio::time::timeout(Duration::from_millis(50), client.next_type()).await;
     group.control(&name(0), &ControlStatement::Fence(LogTerm(2))).unwrap();
     group.turn(&name(0), MemberKnob::Frozen(false)).unwrap();
-    let answers = client.answers(1).await;
+    let types = client.response_types(1).await;
 
     assert!(early.is_err());
-    assert_eq!(answers, "EZI");
+    assert_eq!(types, "EZI");
     assert_eq!(status(&group, 0).received, LogStamp::new(1, 1));
 }
 
-/// A member freezes: it accepts connections but answers nothing. When it wakes, it answers what
-/// it was asked.
+/// A frozen member accepts connections without responding, and responds to pending requests after
+/// it thaws.
 #[tokio::test]
-async fn a_frozen_member_answers_when_it_wakes() {
+async fn a_frozen_member_responds_after_it_thaws() {
     let group = group().await;
     let client = connect(&group, 0).await;
     let controller = connect(&group, 1).await;
 
     controller.batch_execute("SELECT standin.freeze('orders-1')").await.unwrap();
-    let asked = tokio::spawn(async move { client.batch_execute("SELECT 1").await });
-    let silent = tokio::time::timeout(Duration::from_millis(50), try_connect(&group, 0)).await;
-    let answered_early = asked.is_finished();
+    let request = tokio::spawn(async move { client.batch_execute("SELECT 1").await });
+    let connecting = tokio::time::timeout(Duration::from_millis(50), try_connect(&group, 0)).await;
+    let finished_early = request.is_finished();
     controller.batch_execute("SELECT standin.thaw('orders-1')").await.unwrap();
 
-    assert!(silent.is_err() && !answered_early);
-    assert!(asked.await.unwrap().is_ok());
+    assert!(connecting.is_err() && !finished_early);
+    assert!(request.await.unwrap().is_ok());
 }
 
 #[tokio::test]
-async fn a_password_must_be_proved() {
+async fn login_requires_the_password() {
     let settings = GroupSettings { password: Some("secret".to_owned()), ..settings() };
     let group = GroupStandin::start(settings).await.unwrap();
     let (_, address) = group.members().next().unwrap();
--- a/crates/rudder-standins/tests/group/statements.rs
+++ b/crates/rudder-standins/tests/group/statements.rs
@@ -1,4 +1,4 @@
-//! An ordinary client against one member.
+//! SQL statements that a standard client runs at a member.
 
 use crate::support::{connect, group, sqlstate, wait_applied};
 use rudder_core::LogStamp;
@@ -18,12 +18,13 @@
         )
         .await
         .unwrap();
-    let answer = client.simple_query("SELECT * FROM pages ORDER BY id DESC LIMIT 1").await.unwrap();
+    let messages =
+        client.simple_query("SELECT * FROM pages ORDER BY id DESC LIMIT 1").await.unwrap();
 
     let [_, SimpleQueryMessage::Row(row), SimpleQueryMessage::CommandComplete(1)] =
-        answer.as_slice()
+        messages.as_slice()
     else {
-        panic!("unexpected answer: {answer:?}");
+        panic!("unexpected messages: {messages:?}");
     };
     assert_eq!(
         (row.get("id"), row.get("title"), row.get("claimed")),
@@ -32,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn parameters_travel_in_binary() {
+async fn parameters_are_sent_in_binary() {
     let group = group().await;
     let client = connect(&group, 0).await;
     client
@@ -59,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn errors_carry_their_codes() {
+async fn errors_have_their_sqlstates() {
     let group = group().await;
     let client = connect(&group, 0).await;
     let replica = connect(&group, 1).await;
--- a/crates/rudder-standins/tests/group/support.rs
+++ b/crates/rudder-standins/tests/group/support.rs
@@ -1,11 +1,11 @@
-//! Fixtures of the group's tests.
+//! Fixtures for the tests of the database group stand-in.
 
 use rudder_core::{ControlStatement, LogStamp, LogTerm, MemberName, MemberStatus};
 use rudder_standins::{GroupSettings, GroupStandin};
 use std::time::Duration;
 use tokio_postgres::{Client, NoTls};
 
-/// A group of three members without delays.
+/// Starts a group of three members without delays.
 pub(crate) async fn group() -> GroupStandin {
     GroupStandin::start(settings()).await.unwrap()
 }
@@ -14,12 +14,12 @@
     GroupSettings::loopback("orders".parse().unwrap())
 }
 
-/// The name of the member with this index from 0.
+/// Returns the name of the member with this index, starting from 0.
 pub(crate) fn name(index: usize) -> MemberName {
     format!("orders-{}", index + 1).parse().unwrap()
 }
 
-/// An unmodified client of a member.
+/// Connects a standard client to a member.
 pub(crate) async fn connect(group: &GroupStandin, index: usize) -> Client {
     try_connect(group, index).await.unwrap()
 }
@@ -35,7 +35,7 @@
     Ok(client)
 }
 
-/// The code of the error that a statement must have ended with.
+/// Returns the SQLSTATE of a failed statement; panics if the statement succeeded.
 pub(crate) fn sqlstate<T: std::fmt::Debug>(result: Result<T, tokio_postgres::Error>) -> String {
     result.unwrap_err().code().unwrap().code().to_owned()
 }
@@ -53,7 +53,7 @@
     group.control(&name(index), &statement).unwrap()
 }
 
-/// Waits until a member's reads show `stamp`.
+/// Waits until a member has applied the log up to `stamp`.
 pub(crate) async fn wait_applied(group: &GroupStandin, index: usize, stamp: LogStamp) {
     while group.status(&name(index)).unwrap().applied != stamp {
         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/rudder-standins/tests/group/transactions.rs
+++ b/crates/rudder-standins/tests/group/transactions.rs
@@ -1,11 +1,11 @@
-//! What transactions see of each other.
+//! Isolation of transactions and their conflicts.
 
 use crate::support::{connect, group, sqlstate};
 
-/// Two callers read the same counter in transactions and both raise it. The second to commit
-/// must fail, or one of the two changes would be lost.
+/// Two transactions increment the same counter. The second to commit must fail, as otherwise one of
+/// the two increments would be lost.
 #[tokio::test]
-async fn of_two_changes_of_a_row_the_first_committer_wins() {
+async fn the_first_of_two_conflicting_updates_to_commit_wins() {
     let group = group().await;
     let (first, second) = (connect(&group, 0).await, connect(&group, 0).await);
     first.batch_execute("CREATE TABLE t (id int PRIMARY KEY, n int)").await.unwrap();
@@ -14,20 +14,20 @@
     for client in [&first, &second] {
         client.batch_execute("BEGIN; UPDATE t SET n = n + 1 WHERE id = 1").await.unwrap();
     }
-    let won = second.batch_execute("COMMIT").await;
-    let lost = first.batch_execute("COMMIT").await;
+    let first_commit = second.batch_execute("COMMIT").await;
+    let second_commit = first.batch_execute("COMMIT").await;
     first.batch_execute("BEGIN; UPDATE t SET n = 5 WHERE id = 1").await.unwrap();
     second.batch_execute("UPDATE t SET n = 6 WHERE id = 2").await.unwrap();
-    let apart = first.batch_execute("COMMIT").await;
+    let other_row = first.batch_execute("COMMIT").await;
 
-    assert!(won.is_ok() && apart.is_ok());
-    assert_eq!(sqlstate(lost), "40001");
+    assert!(first_commit.is_ok() && other_row.is_ok());
+    assert_eq!(sqlstate(second_commit), "40001");
 }
 
-/// Two callers insert the same request key in transactions. Both inserts are accepted at first,
-/// since neither sees the other; only one may commit, and the other learns why.
+/// Two transactions insert the same key. Both inserts succeed, since neither sees the other; only
+/// one may commit, and the other must fail with an error that names the constraint.
 #[tokio::test]
-async fn of_two_inserts_of_a_key_one_commits() {
+async fn one_of_two_concurrent_inserts_of_a_key_commits() {
     let group = group().await;
     let (first, second) = (connect(&group, 0).await, connect(&group, 0).await);
     first.batch_execute("CREATE TABLE keys (key text PRIMARY KEY)").await.unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn a_snapshot_stays_as_it_was() {
+async fn a_snapshot_does_not_see_later_commits() {
     let group = group().await;
     let (mut reader, writer) = (connect(&group, 0).await, connect(&group, 0).await);
     writer.batch_execute("CREATE TABLE t (id int PRIMARY KEY)").await.unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_savepoint_saves_a_transaction_from_an_error() {
+async fn a_transaction_continues_after_rollback_to_a_savepoint() {
     let group = group().await;
     let client = connect(&group, 0).await;
     client.batch_execute("CREATE TABLE t (id int PRIMARY KEY)").await.unwrap();
@@ -77,8 +77,8 @@
     assert_eq!(rows.iter().map(|row| row.get(0)).collect::<Vec<i32>>(), [1, 3]);
 }
 
-/// Many callers raise the same counter, each in a single statement. Such statements run and
-/// commit in one step, so none may fail and no change may be lost.
+/// Single statements run and commit atomically: concurrent increments of one counter outside of
+/// transactions must all succeed, and none may be lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn single_statements_do_not_conflict() {
     let group = group().await;
--- a/crates/rudder-standins/tests/link/support.rs
+++ b/crates/rudder-standins/tests/link/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: servers that send back what they get.
+//! Fixtures: TCP and UDP echo servers.
 
 use rudder_standins::{LinkSettings, LinkStandin};
 use std::net::SocketAddr;
--- a/crates/rudder-standins/tests/link/traffic.rs
+++ b/crates/rudder-standins/tests/link/traffic.rs
@@ -1,4 +1,4 @@
-//! What passes a link, and what does not.
+//! Delays, cuts, holds, resets and losses of a link.
 
 use crate::support::{datagram_echo_server, link_to_echo, read_exactly};
 use rudder_standins::{DatagramLinkStandin, LinkDirection, LinkFault, LinkSettings};
@@ -6,8 +6,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
-/// Long enough that bytes that are on their way would have arrived over loopback.
-const SILENCE: Duration = Duration::from_millis(50);
+/// Timeout after which nothing is expected to arrive; long enough for any bytes in transit over
+/// loopback.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(50);
 
 #[tokio::test]
 async fn bytes_arrive_in_order_after_both_delays() {
@@ -26,8 +27,8 @@
     assert!(start.elapsed() >= Duration::from_millis(20));
 }
 
-/// A link is cut for a while. The connection that sent into the cut never answers again, as
-/// when something on the way forgot it; a new connection works as soon as the link is healed.
+/// A connection that sent bytes while the link was cut stays silent after the link is healed, as if
+/// a device on the path had dropped the connection's state. A new connection works at once.
 #[tokio::test]
 async fn a_connection_that_lost_bytes_stays_silent() {
     let link = link_to_echo().await;
@@ -42,12 +43,12 @@
     }
     link.heal();
     old.write_all(b"c").await.unwrap();
-    let answer = tokio::time::timeout(SILENCE, old.read_u8()).await;
+    let response = tokio::time::timeout(SILENCE_TIMEOUT, old.read_u8()).await;
     let mut new = TcpStream::connect(link.address()).await.unwrap();
     new.write_all(b"d").await.unwrap();
     let bytes = read_exactly(&mut new, 1).await;
 
-    assert!(answer.is_err());
+    assert!(response.is_err());
     assert_eq!(bytes, b"d");
 }
 
@@ -58,7 +59,7 @@
     link.set_fault(LinkDirection::Backward, LinkFault::Hold);
 
     stream.write_all(b"late").await.unwrap();
-    let early = tokio::time::timeout(SILENCE, stream.read_u8()).await;
+    let early = tokio::time::timeout(SILENCE_TIMEOUT, stream.read_u8()).await;
     link.heal();
     let bytes = read_exactly(&mut stream, 4).await;
 
@@ -80,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_find_their_way_back_unless_they_are_lost() {
+async fn datagrams_return_to_their_sender_unless_lost() {
     let settings = LinkSettings::loopback(datagram_echo_server().await);
     let link = DatagramLinkStandin::start(&settings).await.unwrap();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -90,7 +91,7 @@
     let (length, _) = socket.recv_from(&mut buffer).await.unwrap();
     link.set_delay(Duration::ZERO, Duration::ZERO, 100);
     socket.send_to(b"two", link.address()).await.unwrap();
-    let lost = tokio::time::timeout(SILENCE, socket.recv_from(&mut buffer)).await;
+    let lost = tokio::time::timeout(SILENCE_TIMEOUT, socket.recv_from(&mut buffer)).await;
 
     assert_eq!(&buffer[..length], b"one");
     assert!(lost.is_err());
