--- a/crates/rudder-standins/src/deployment/links.rs
+++ b/crates/rudder-standins/src/deployment/links.rs
@@ -46,7 +46,7 @@
     }
 
     /// The process settings that send the proxy over these links.
-    pub(super) fn routes_text(&self, deployment: &Deployment) -> String {
+    pub(super) fn route_settings(&self, deployment: &Deployment) -> String {
         let mut text = String::new();
         for (group, links) in deployment.groups.iter().zip(&self.members) {
             for ((_, declared), link) in group.members().zip(links) {
--- a/crates/rudder-standins/src/deployment/mod.rs
+++ b/crates/rudder-standins/src/deployment/mod.rs
@@ -1,27 +1,27 @@
 //! A whole deployment on loopback: groups, platform, and proxies inside one process.
 
-mod folder;
 mod links;
+mod settings;
 
 use crate::group::{GroupSettings, GroupStandin};
 use crate::platform::PlatformStandin;
 use arbutusrudder::{ProcessSettings, ProxyError, ProxyInstance, ProxyPolicies};
 use displaydoc::Display;
-use folder::settings_text;
 pub use links::{LinkDelays, ProxyLinks};
 use rudder_core::DomainName;
 use rudder_settings::SettingsFile;
 use rudder_store::{
     FolderChange, KubeStore, PlatformOptions, StoreError, SubmitError, submit_change,
 };
+use settings::plan_settings;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// How often a starting deployment looks whether its proxies are ready.
-const READY_POLL: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Looks at most; a deployment that is not ready by then is broken.
-const READY_POLLS: u32 = 500;
+const READY_POLLS_MAX: u32 = 500;
 
 /// Why a deployment did not start.
 #[derive(Debug, Display)]
@@ -145,7 +145,7 @@
             groups.push(GroupStandin::start(settings.clone()).await?);
         }
         let platform = PlatformStandin::start(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
-        let text = settings_text(&plan, &groups);
+        let text = plan_settings(&plan, &groups);
         let mut deployment = Self {
             groups,
             platform,
@@ -201,7 +201,7 @@
             seeds.join(", "),
             links.platform.address(),
             self.process,
-            links.routes_text(self),
+            links.route_settings(self),
         );
         self.links.push(links);
         let process = ProcessSettings::parse(&text).map_err(ProxyError::from)?;
@@ -232,11 +232,11 @@
     }
 
     async fn await_ready(&self) -> Result<(), DeploymentError> {
-        for _ in 0..READY_POLLS {
+        for _ in 0..READY_POLLS_MAX {
             if self.proxies.iter().flatten().all(|proxy| proxy.revision() > 0) {
                 return Ok(());
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(DeploymentError::NotReady)
     }
--- a/crates/rudder-standins/src/deployment/folder.rs
+++ b/crates/rudder-standins/src/deployment/settings.rs
@@ -5,17 +5,17 @@
 use std::fmt::Write;
 
 /// The settings of a plan whose groups run already.
-pub(super) fn settings_text(plan: &DeploymentPlan, groups: &[GroupStandin]) -> String {
+pub(super) fn plan_settings(plan: &DeploymentPlan, groups: &[GroupStandin]) -> String {
     let mut text = String::new();
     for domain in &plan.domains {
-        put(&mut text, format_args!("[domains.{domain}]\nregion = \"{domain}\"\n"));
+        append(&mut text, format_args!("[domains.{domain}]\nregion = \"{domain}\"\n"));
     }
     for (group, settings) in groups.iter().zip(&plan.groups) {
-        put(&mut text, format_args!("[services.{}]\nuser = \"app\"\n", group.service()));
+        append(&mut text, format_args!("[services.{}]\nuser = \"app\"\n", group.service()));
         for (index, (name, address)) in group.members().enumerate() {
             let domain = &plan.domains[index % plan.domains.len()];
             let speed = settings.members[index].speed;
-            put(
+            append(
                 &mut text,
                 format_args!(
                     "[services.{}.members.{name}]\naddress = \"{address}\"\ndomain = \"{domain}\"\n\
@@ -31,6 +31,6 @@
     text
 }
 
-fn put(text: &mut String, line: std::fmt::Arguments<'_>) {
+fn append(text: &mut String, line: std::fmt::Arguments<'_>) {
     text.write_fmt(line).expect("a string takes everything");
 }
--- a/crates/rudder-standins/src/lines/client.rs
+++ b/crates/rudder-standins/src/lines/client.rs
@@ -64,19 +64,19 @@
     /// use rudder_standins::{LineClient, LineGroup};
     /// let group = LineGroup::start("scores", 3, std::time::Duration::ZERO).await?;
     /// let member = &group.members()[0];
-    /// let hello = format!("scores someone {}", member.id);
-    /// let (mut client, line) = LineClient::connect(member.address, &hello).await?;
+    /// let startup = format!("scores someone {}", member.id);
+    /// let (mut client, line) = LineClient::connect(member.address, &startup).await?;
     /// assert_eq!(line, "READY I 1.0");
     /// assert!(client.query("q1", "WRITE page anna").await?.is_done());
     /// # Ok::<(), std::io::Error>(())
     /// # })?;
     /// # Ok::<(), std::io::Error>(())
     /// ```
-    pub async fn connect(address: SocketAddr, hello: &str) -> io::Result<(Self, String)> {
+    pub async fn connect(address: SocketAddr, startup: &str) -> io::Result<(Self, String)> {
         let stream = TcpStream::connect(address).await?;
         let (reader, writer) = stream.into_split();
         let mut client = Self { lines: BufReader::new(reader).lines(), writer };
-        client.send(&format!("STARTUP {hello}")).await?;
+        client.send(&format!("STARTUP {startup}")).await?;
         let line = client.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         Ok((client, line))
     }
--- a/crates/rudder-standins/src/lines/fleet.rs
+++ b/crates/rudder-standins/src/lines/fleet.rs
@@ -20,9 +20,9 @@
 const PEER_PORT: u16 = 6434;
 
 /// When the members started, in milliseconds since 1970.
-const BORN_MS: u64 = 1_700_000_000_000;
+const MEMBER_START_MS: u64 = 1_700_000_000_000;
 
-static ADDRESSES: AtomicU32 = AtomicU32::new(0);
+static ADDRESS_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// What the reads of a database must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,10 +111,10 @@
     /// ```
     pub async fn start(service: &str, lag: Duration) -> io::Result<Self> {
         let group = LineGroup::start(service, DOMAINS.len(), lag).await?;
-        let promoted = group.clone();
-        let known = service.to_owned();
+        let promoted_group = group.clone();
+        let own_service = service.to_owned();
         let store = ObjectsStandin::start(Arc::new(move |service, member, token| {
-            service == known && promoted.promote(member, token)
+            service == own_service && promoted_group.promote(member, token)
         }))
         .await?;
         Ok(Self { store, group, service: service.to_owned(), accounts: Mutex::default() })
@@ -129,7 +129,7 @@
                 "service": self.service, "address": entry.address,
                 "zone": DOMAINS[entry.number % DOMAINS.len()],
                 "version": "v1", "capacity": 3, "state": state, "warmupLeftMs": 0,
-                "dbRole": role, "sequence": 1, "born": BORN_MS,
+                "dbRole": role, "sequence": 1, "born": MEMBER_START_MS,
             });
             self.store.put("servers", &entry.member.id, spec);
         }
@@ -142,7 +142,7 @@
 
     /// Writes a version of the settings as the operator would.
     pub fn publish_settings(&self, version: u64, databases: &[LineDatabase]) {
-        let routes: Vec<Value> = databases.iter().map(|known| self.route(known)).collect();
+        let routes: Vec<Value> = databases.iter().map(|database| self.route(database)).collect();
         let services = json!([{"name": self.service, "maxConnections": 40, "syncReplicas": 0}]);
         let limits = json!({"txIdleMs": 1000});
         let mut spec = json!({
@@ -171,10 +171,10 @@
     /// tests uses: a free port could be taken by another test before the instance binds it.
     #[must_use]
     pub fn seat(number: usize) -> LineSeat {
-        let count = ADDRESSES.fetch_add(1, Ordering::Relaxed);
+        let count = ADDRESS_COUNT.fetch_add(1, Ordering::Relaxed);
         let process = 20 + std::process::id() % 200;
-        let part = |value: u32| u8::try_from(value % 250).unwrap_or(0);
-        let ip = IpAddr::from([127, part(process), part(count / 250), part(count) + 1]);
+        let octet = |value: u32| u8::try_from(value % 250).unwrap_or(0);
+        let ip = IpAddr::from([127, octet(process), octet(count / 250), octet(count) + 1]);
         LineSeat { number, callers: SocketAddr::new(ip, CALLER_PORT) }
     }
 
--- a/crates/rudder-standins/src/lines/group.rs
+++ b/crates/rudder-standins/src/lines/group.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 /// How long a superseded primary goes on after a promotion, unless it is told to step down.
-const UNAWARE_TIME: Duration = Duration::from_secs(1);
+const SUPERSEDED_TIME: Duration = Duration::from_secs(1);
 
 /// Connections that a member takes.
 const CONNECTIONS_MAX: usize = 60;
@@ -54,12 +54,12 @@
 pub(super) struct MemberState {
     pub(super) id: String,
     pub(super) address: SocketAddr,
-    pub(super) leads: bool,
+    pub(super) is_primary: bool,
     pub(super) term: u64,
     pub(super) log: Vec<LineCommit>,
     pub(super) connections: usize,
     /// Whether it answers; tells its connections when that ends.
-    pub(super) up: watch::Sender<bool>,
+    pub(super) running: watch::Sender<bool>,
 }
 
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     pub(super) service: String,
     pub(super) members: Vec<MemberState>,
     /// The member that replicas follow.
-    leader: usize,
+    primary: usize,
     lag: Duration,
     tokens: Vec<u64>,
     promoted_at: Option<Instant>,
@@ -77,20 +77,20 @@
 }
 
 impl GroupState {
-    pub(super) fn note_run(&mut self, run: LineRun) {
+    pub(super) fn record_run(&mut self, run: LineRun) {
         self.runs.push(run);
     }
 
     /// Brings a replica's log to where it is by now.
     pub(super) fn catch_up(&mut self, index: usize) {
         self.demote_superseded(index);
-        let leader = &self.members[self.leader];
-        if index == self.leader || self.members[index].leads || !*leader.up.borrow() {
+        let primary = &self.members[self.primary];
+        if index == self.primary || self.members[index].is_primary || !*primary.running.borrow() {
             return;
         }
         let now = Instant::now();
-        let due = leader.log.iter().take_while(|commit| commit.at + self.lag <= now).count();
-        let (term, log) = (leader.term, leader.log[..due].to_vec());
+        let due = primary.log.iter().take_while(|commit| commit.at + self.lag <= now).count();
+        let (term, log) = (primary.term, primary.log[..due].to_vec());
         let member = &mut self.members[index];
         member.term = term;
         if log.len() > member.log.len() {
@@ -100,8 +100,8 @@
 
     /// A superseded primary learns of its successor and follows it.
     fn demote_superseded(&mut self, index: usize) {
-        let aware = self.promoted_at.is_some_and(|at| at.elapsed() >= UNAWARE_TIME);
-        if aware {
+        let must_step_down = self.promoted_at.is_some_and(|at| at.elapsed() >= SUPERSEDED_TIME);
+        if must_step_down {
             self.step_down(index);
         }
     }
@@ -115,8 +115,8 @@
 
     /// Makes a superseded primary a replica.
     pub(super) fn step_down(&mut self, index: usize) {
-        if index != self.leader && self.members[index].leads {
-            self.members[index].leads = false;
+        if index != self.primary && self.members[index].is_primary {
+            self.members[index].is_primary = false;
             self.members[index].log.clear();
         }
     }
@@ -125,25 +125,25 @@
         let Some(index) = self.members.iter().position(|member| member.id == id) else {
             return false;
         };
-        if !*self.members[index].up.borrow() {
+        if !*self.members[index].running.borrow() {
             return false;
         }
-        if index == self.leader && self.members[index].leads {
+        if index == self.primary && self.members[index].is_primary {
             return true;
         }
         self.catch_up(index);
         let term = self.members.iter().map(|member| member.term).max().unwrap_or(0) + 1;
-        let lost = self.members[self.leader].log[self.members[index].log.len()..].iter();
-        let lost = lost.flat_map(|commit| &commit.writes).map(|(id, ..)| id.clone());
-        self.cut_back.extend(lost.collect::<Vec<_>>());
+        let rolled_back = self.members[self.primary].log[self.members[index].log.len()..].iter();
+        let rolled_back = rolled_back.flat_map(|commit| &commit.writes).map(|(id, ..)| id.clone());
+        self.cut_back.extend(rolled_back.collect::<Vec<_>>());
         self.promoted_at = Some(Instant::now());
-        self.members[index].leads = true;
+        self.members[index].is_primary = true;
         self.members[index].term = term;
-        self.leader = index;
-        let kept = self.members[index].log.clone();
-        for member in self.members.iter_mut().filter(|member| !member.leads) {
+        self.primary = index;
+        let primary_log = self.members[index].log.clone();
+        for member in self.members.iter_mut().filter(|member| !member.is_primary) {
             // What the new primary lacks is rolled back.
-            let same = member.log.iter().zip(&kept).take_while(|(a, b)| a == b).count();
+            let same = member.log.iter().zip(&primary_log).take_while(|(a, b)| a == b).count();
             member.log.truncate(same);
         }
         true
@@ -181,11 +181,11 @@
             members.push(MemberState {
                 id: format!("i-{service}-{index}"),
                 address: listener.local_addr()?,
-                leads: index == 0,
+                is_primary: index == 0,
                 term: 1,
                 log: Vec::new(),
                 connections: 0,
-                up: watch::Sender::new(true),
+                running: watch::Sender::new(true),
             });
             listeners.push(listener);
         }
@@ -193,7 +193,7 @@
         let state = GroupState {
             service,
             members,
-            leader: 0,
+            primary: 0,
             lag,
             tokens: Vec::new(),
             promoted_at: None,
@@ -217,7 +217,7 @@
         let view = |member: &MemberState| LineMember {
             id: member.id.clone(),
             address: member.address,
-            is_primary: member.leads,
+            is_primary: member.is_primary,
         };
         self.state().members.iter().map(view).collect()
     }
@@ -239,19 +239,19 @@
     /// Ends a member: its connections break and it refuses new ones. Its log stays.
     pub fn stop(&self, index: usize) {
         let mut state = self.state();
-        state.members[index].up.send_replace(false);
+        state.members[index].running.send_replace(false);
         state.members[index].connections = 0;
     }
 
     /// Starts a member again that was stopped, with the log that it had.
     pub fn resume(&self, index: usize) {
-        self.state().members[index].up.send_replace(true);
+        self.state().members[index].running.send_replace(true);
     }
 
     /// Whether a member runs.
     #[must_use]
     pub fn is_up(&self, index: usize) -> bool {
-        *self.state().members[index].up.borrow()
+        *self.state().members[index].running.borrow()
     }
 
     /// Ids of the writes that promotions have cut back: the member that was promoted had not
@@ -276,7 +276,7 @@
     #[must_use]
     pub fn commits(&self) -> Vec<LineCommit> {
         let state = self.state();
-        state.members[state.leader].log.clone()
+        state.members[state.primary].log.clone()
     }
 
     /// The log of a member.
@@ -288,21 +288,21 @@
 
 async fn accept(state: Arc<Mutex<GroupState>>, index: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let mut up = {
+        let mut running = {
             let mut state = lock(&state);
             let member = &mut state.members[index];
-            if !*member.up.borrow() {
+            if !*member.running.borrow() {
                 continue;
             }
             member.connections += 1;
-            member.up.subscribe()
+            member.running.subscribe()
         };
         let full = lock(&state).members[index].connections > CONNECTIONS_MAX;
         let state = Arc::clone(&state);
         tokio::spawn(async move {
             tokio::select! {
                 () = serve_connection(&state, index, stream, full) => {}
-                _ = up.wait_for(|up| !*up) => {}
+                _ = running.wait_for(|running| !*running) => {}
             }
             let mut state = lock(&state);
             let member = &mut state.members[index];
--- a/crates/rudder-standins/src/lines/session.rs
+++ b/crates/rudder-standins/src/lines/session.rs
@@ -15,10 +15,10 @@
     values: Vec<(String, String)>,
     /// Prepared names with their shapes.
     names: Vec<(String, String)>,
-    transaction: Option<OpenWrites>,
+    transaction: Option<OpenTransaction>,
 }
 
-struct OpenWrites {
+struct OpenTransaction {
     /// Whether no statement has come yet.
     first: bool,
     read_only: bool,
@@ -26,15 +26,15 @@
     writes: Vec<(String, String, String)>,
 }
 
-impl OpenWrites {
+impl OpenTransaction {
     /// Whether the statement that comes now is the first one.
-    fn take_first(&mut self) -> bool {
+    fn take_first_statement(&mut self) -> bool {
         std::mem::take(&mut self.first)
     }
 }
 
 /// What a statement is answered with.
-enum LineAnswer {
+enum LineResponse {
     Done(Vec<String>, String),
     Error(String),
 }
@@ -47,29 +47,29 @@
 ) {
     let (reader, mut writer) = stream.into_split();
     let mut lines = BufReader::new(reader).lines();
-    let Ok(Some(hello)) = lines.next_line().await else { return };
-    let greeting = greet(&lock(group), index, &hello, full);
-    let accepted = greeting.starts_with("READY");
-    if writer.write_all(greeting.as_bytes()).await.is_err() || !accepted {
+    let Ok(Some(startup)) = lines.next_line().await else { return };
+    let response = login_response(&lock(group), index, &startup, full);
+    let accepted = response.starts_with("READY");
+    if writer.write_all(response.as_bytes()).await.is_err() || !accepted {
         return;
     }
-    let user = hello.split(' ').nth(2).unwrap_or_default().to_owned();
+    let user = startup.split(' ').nth(2).unwrap_or_default().to_owned();
     let mut session = SessionState { user, ..SessionState::default() };
     while let Ok(Some(line)) = lines.next_line().await {
         let Some((id, text)) = line.strip_prefix("QUERY ").and_then(|rest| rest.split_once(' '))
         else {
             return;
         };
-        let answer = run(&mut lock(group), index, &mut session, id, text);
-        let text = write_answer(&lock(group), index, &session, answer);
+        let response = run(&mut lock(group), index, &mut session, id, text);
+        let text = format_response(&lock(group), index, &session, response);
         if writer.write_all(text.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-fn greet(group: &GroupState, index: usize, hello: &str, full: bool) -> String {
-    let fields: Vec<&str> = hello.split(' ').collect();
+fn login_response(group: &GroupState, index: usize, startup: &str, full: bool) -> String {
+    let fields: Vec<&str> = startup.split(' ').collect();
     let member = &group.members[index];
     match fields.as_slice() {
         _ if full => "ERROR CONNLIMIT full\r\n".to_owned(),
@@ -88,23 +88,23 @@
     )
 }
 
-fn write_answer(
+fn format_response(
     group: &GroupState,
     index: usize,
     session: &SessionState,
-    answer: LineAnswer,
+    response: LineResponse,
 ) -> String {
     let state = match &session.transaction {
         None => "I",
         Some(open) if open.failed => "E",
         Some(_) => "T",
     };
-    let body = match answer {
-        LineAnswer::Done(rows, proof) => {
+    let body = match response {
+        LineResponse::Done(rows, proof) => {
             let rows: String = rows.iter().map(|row| format!("DATAROW {row}\r\n")).collect();
             format!("{rows}COMPLETE {proof}\r\n")
         }
-        LineAnswer::Error(text) => format!("ERROR {text}\r\n"),
+        LineResponse::Error(text) => format!("ERROR {text}\r\n"),
     };
     format!("{body}READY {state} {}\r\n", position(group, index))
 }
@@ -115,20 +115,20 @@
     session: &mut SessionState,
     id: &str,
     text: &str,
-) -> LineAnswer {
+) -> LineResponse {
     group.catch_up(index);
     let (text, floor) = split_floor(text);
-    if floor.is_some_and(|floor| lacks(group, index, floor)) {
-        return LineAnswer::Error(format!("LAGGING {}", position(group, index)));
+    if floor.is_some_and(|floor| lags_behind(group, index, floor)) {
+        return LineResponse::Error(format!("LAGGING {}", position(group, index)));
     }
-    let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
-    if matches!(word, "READ" | "WRITE" | "EXECUTE" | "COMMIT") {
-        let begins = session.transaction.as_mut().is_none_or(OpenWrites::take_first);
+    let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
+    if matches!(verb, "READ" | "WRITE" | "EXECUTE" | "COMMIT") {
+        let begins = session.transaction.as_mut().is_none_or(OpenTransaction::take_first_statement);
         let (id, user) = (id.to_owned(), session.user.clone());
-        group.note_run(LineRun { id, user, begins, at: Instant::now() });
+        group.record_run(LineRun { id, user, begins, at: Instant::now() });
     }
-    let done = || LineAnswer::Done(Vec::new(), "-".to_owned());
-    match word {
+    let done = || LineResponse::Done(Vec::new(), "-".to_owned());
+    match verb {
         "RESET" => {
             session.values.clear();
             session.names.clear();
@@ -141,14 +141,14 @@
             done()
         }
         "PREPARE" => {
-            let (name, shape) = rest.split_once(' ').unwrap_or((rest, ""));
-            session.names.push((name.to_owned(), shape.to_owned()));
+            let (name, statement) = rest.split_once(' ').unwrap_or((rest, ""));
+            session.names.push((name.to_owned(), statement.to_owned()));
             done()
         }
-        "STATUS" => LineAnswer::Done(vec![status(group, index)], "-".to_owned()),
+        "STATUS" => LineResponse::Done(vec![status(group, index)], "-".to_owned()),
         "STEPDOWN" => {
             group.step_down(index);
-            LineAnswer::Done(vec![status(group, index)], "-".to_owned())
+            LineResponse::Done(vec![status(group, index)], "-".to_owned())
         }
         "BEGIN" => begin(group, index, session, rest == "READ"),
         "ROLLBACK" => {
@@ -158,16 +158,16 @@
         "COMMIT" => commit(group, index, session, id),
         "EXECUTE" => {
             let (name, rest) = rest.split_once(' ').unwrap_or((rest, ""));
-            let shape = session.names.iter().find(|(known, _)| known == name);
-            match shape.map(|(_, shape)| shape.split(' ').next() == Some("WRITE")) {
-                None => LineAnswer::Error("NOSTMT no such name".to_owned()),
+            let statement = session.names.iter().find(|(known, _)| known == name);
+            match statement.map(|(_, statement)| statement.split(' ').next() == Some("WRITE")) {
+                None => LineResponse::Error("NOSTMT no such name".to_owned()),
                 Some(true) => write(group, index, session, id, rest),
                 Some(false) => read(group, index, session, id, rest),
             }
         }
         "READ" => read(group, index, session, id, rest),
         "WRITE" => write(group, index, session, id, rest),
-        _ => LineAnswer::Error("MALFORMED".to_owned()),
+        _ => LineResponse::Error("MALFORMED".to_owned()),
     }
 }
 
@@ -180,14 +180,14 @@
     parsed.map_or((text, None), |(rest, floor)| (rest, Some(floor)))
 }
 
-fn lacks(group: &GroupState, index: usize, floor: (u64, u64)) -> bool {
+fn lags_behind(group: &GroupState, index: usize, floor: (u64, u64)) -> bool {
     let last = group.members[index].log.last().map(|commit| (commit.term, commit.number));
     floor.1 > 0 && last.is_none_or(|last| last < floor)
 }
 
 fn status(group: &GroupState, index: usize) -> String {
     let member = &group.members[index];
-    let role = if member.leads { "primary" } else { "replica" };
+    let role = if member.is_primary { "primary" } else { "replica" };
     format!("{role} {} {} 0 0 0 {}", member.term, position(group, index), member.connections)
 }
 
@@ -196,13 +196,13 @@
     index: usize,
     session: &mut SessionState,
     read_only: bool,
-) -> LineAnswer {
-    if !read_only && !group.members[index].leads {
-        return LineAnswer::Error(format!("READONLY {}", group.members[index].id));
+) -> LineResponse {
+    if !read_only && !group.members[index].is_primary {
+        return LineResponse::Error(format!("READONLY {}", group.members[index].id));
     }
     session.transaction =
-        Some(OpenWrites { first: true, read_only, failed: false, writes: Vec::new() });
-    LineAnswer::Done(Vec::new(), "-".to_owned())
+        Some(OpenTransaction { first: true, read_only, failed: false, writes: Vec::new() });
+    LineResponse::Done(Vec::new(), "-".to_owned())
 }
 
 fn commit(
@@ -210,17 +210,17 @@
     index: usize,
     session: &mut SessionState,
     id: &str,
-) -> LineAnswer {
+) -> LineResponse {
     let Some(open) = session.transaction.take() else {
-        return LineAnswer::Error("MALFORMED no transaction".to_owned());
+        return LineResponse::Error("MALFORMED no transaction".to_owned());
     };
     if !open.writes.is_empty() {
-        if !group.members[index].leads {
-            return LineAnswer::Error(format!("READONLY {}", group.members[index].id));
+        if !group.members[index].is_primary {
+            return LineResponse::Error(format!("READONLY {}", group.members[index].id));
         }
         group.commit(index, open.writes);
     }
-    LineAnswer::Done(Vec::new(), proof(group, index, id))
+    LineResponse::Done(Vec::new(), proof(group, index, id))
 }
 
 fn read(
@@ -229,7 +229,7 @@
     session: &SessionState,
     id: &str,
     item: &str,
-) -> LineAnswer {
+) -> LineResponse {
     let own = session.transaction.iter().flat_map(|open| &open.writes);
     let log = group.members[index].log.iter().flat_map(|commit: &LineCommit| &commit.writes);
     let found = log.chain(own).rfind(|(_, known, _)| known == item);
@@ -239,7 +239,7 @@
         session.values.iter().map(|(name, value)| format!("{name}={value}")).collect();
     values.sort();
     let row = format!("{data}|{}", values.join(","));
-    LineAnswer::Done(vec![row], proof(group, index, id))
+    LineResponse::Done(vec![row], proof(group, index, id))
 }
 
 fn write(
@@ -248,21 +248,21 @@
     session: &mut SessionState,
     id: &str,
     rest: &str,
-) -> LineAnswer {
+) -> LineResponse {
     let (item, data) = rest.split_once(' ').unwrap_or((rest, ""));
     let change = (id.to_owned(), item.to_owned(), data.to_owned());
-    let leads = group.members[index].leads;
-    if !leads || session.transaction.as_ref().is_some_and(|open| open.read_only) {
+    let is_primary = group.members[index].is_primary;
+    if !is_primary || session.transaction.as_ref().is_some_and(|open| open.read_only) {
         if let Some(open) = session.transaction.as_mut() {
             open.failed = true;
         }
-        return LineAnswer::Error(format!("READONLY {}", group.members[index].id));
+        return LineResponse::Error(format!("READONLY {}", group.members[index].id));
     }
     match session.transaction.as_mut() {
         Some(open) => open.writes.push(change),
         None => group.commit(index, vec![change]),
     }
-    LineAnswer::Done(Vec::new(), proof(group, index, id))
+    LineResponse::Done(Vec::new(), proof(group, index, id))
 }
 
 fn proof(group: &GroupState, index: usize, id: &str) -> String {
--- a/crates/rudder-standins/src/link/conditions.rs
+++ b/crates/rudder-standins/src/link/conditions.rs
@@ -85,7 +85,7 @@
     timing: Mutex<LinkTiming>,
     forward: watch::Sender<LinkFault>,
     backward: watch::Sender<LinkFault>,
-    swallowed: AtomicU64,
+    dropped_count: AtomicU64,
 }
 
 impl LinkConditions {
@@ -99,18 +99,18 @@
             }),
             forward: watch::Sender::default(),
             backward: watch::Sender::default(),
-            swallowed: AtomicU64::new(0),
+            dropped_count: AtomicU64::new(0),
         }
     }
 
     /// Counts a chunk or datagram that a fault swallowed.
-    pub(crate) fn count_swallowed(&self) {
-        self.swallowed.fetch_add(1, Ordering::AcqRel);
+    pub(crate) fn count_dropped(&self) {
+        self.dropped_count.fetch_add(1, Ordering::AcqRel);
     }
 
     /// How many chunks or datagrams faults swallowed.
-    pub(crate) fn swallowed(&self) -> u64 {
-        self.swallowed.load(Ordering::Acquire)
+    pub(crate) fn dropped_count(&self) -> u64 {
+        self.dropped_count.load(Ordering::Acquire)
     }
 
     fn timing(&self) -> MutexGuard<'_, LinkTiming> {
@@ -118,18 +118,19 @@
     }
 
     /// When traffic that enters now comes out.
-    pub(crate) fn due(&self) -> Instant {
+    pub(crate) fn due_time(&self) -> Instant {
         let mut timing = self.timing();
         let factor: f64 = timing.generator.random();
         Instant::now() + timing.delay + timing.jitter.mul_f64(factor)
     }
 
     /// Whether the next datagram is lost.
-    pub(crate) fn loses(&self) -> bool {
+    pub(crate) fn draws_loss(&self) -> bool {
         /// Loss is given in percent.
-        const WHOLE: u32 = 100;
+        const PERCENT_MAX: u32 = 100;
         let mut timing = self.timing();
-        timing.loss_percent > 0 && timing.generator.random_range(0..WHOLE) < timing.loss_percent
+        timing.loss_percent > 0
+            && timing.generator.random_range(0..PERCENT_MAX) < timing.loss_percent
     }
 
     pub(crate) fn set_delay(&self, delay: Duration, jitter: Duration) {
@@ -159,15 +160,15 @@
     }
 
     /// Waits until traffic of a direction is no longer held, and tells what happens to it then.
-    pub(crate) async fn released(&self, direction: LinkDirection) -> LinkFault {
+    pub(crate) async fn wait_until_released(&self, direction: LinkDirection) -> LinkFault {
         let mut faults = self.sender(direction).subscribe();
         // The sender lives as long as `self`, so the wait ends by a change only.
-        let released = faults.wait_for(|fault| *fault != LinkFault::Hold).await;
-        released.map_or(LinkFault::Swallow, |fault| *fault)
+        let fault = faults.wait_for(|fault| *fault != LinkFault::Hold).await;
+        fault.map_or(LinkFault::Swallow, |fault| *fault)
     }
 
     /// Waits until a direction carries traffic.
-    pub(crate) async fn healed(&self, direction: LinkDirection) {
+    pub(crate) async fn wait_until_healed(&self, direction: LinkDirection) {
         let mut faults = self.sender(direction).subscribe();
         let _ = faults.wait_for(|fault| *fault == LinkFault::None).await;
     }
--- a/crates/rudder-standins/src/link/tcp.rs
+++ b/crates/rudder-standins/src/link/tcp.rs
@@ -160,7 +160,7 @@
     /// ```
     #[must_use]
     pub fn silenced(&self) -> u64 {
-        self.conditions.swallowed()
+        self.conditions.dropped_count()
     }
 
     /// Resets all connections at both ends.
@@ -198,70 +198,72 @@
             () = stop.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
-        let Ok((near, _)) = accepted else {
+        let Ok((inbound, _)) = accepted else {
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        let life = connections.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        tokio::spawn(carry(near, target, Arc::clone(&conditions), life));
+        let reset_token = connections.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        tokio::spawn(forward_connection(inbound, target, Arc::clone(&conditions), reset_token));
     }
 }
 
 /// Carries one connection until both ends closed it or it is reset.
-async fn carry(
-    near: TcpStream,
+async fn forward_connection(
+    inbound: TcpStream,
     target: SocketAddr,
     conditions: Arc<LinkConditions>,
-    life: CancellationToken,
+    reset_token: CancellationToken,
 ) {
     let connecting = async {
-        conditions.healed(LinkDirection::Forward).await;
-        tokio::time::sleep_until(conditions.due()).await;
+        conditions.wait_until_healed(LinkDirection::Forward).await;
+        tokio::time::sleep_until(conditions.due_time()).await;
         TcpStream::connect(target).await
     };
-    let far = tokio::select! {
-        () = life.cancelled() => None,
-        far = connecting => far.ok(),
+    let outbound = tokio::select! {
+        () = reset_token.cancelled() => None,
+        outbound = connecting => outbound.ok(),
     };
-    let Some(far) = far else {
+    let Some(outbound) = outbound else {
         // A target that refuses shows at the near end as a reset.
-        let _ = near.set_zero_linger();
+        let _ = inbound.set_zero_linger();
         return;
     };
     // Without this, small messages wait for acknowledgements on top of the delay.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (mut near, mut far) = (near, far);
-    let (near_read, near_write) = near.split();
-    let (far_read, far_write) = far.split();
-    let forward = pass(near_read, far_write, &conditions, LinkDirection::Forward);
-    let backward = pass(far_read, near_write, &conditions, LinkDirection::Backward);
+    let _ = inbound.set_nodelay(true);
+    let _ = outbound.set_nodelay(true);
+    let (mut inbound, mut outbound) = (inbound, outbound);
+    let (inbound_reader, inbound_writer) = inbound.split();
+    let (outbound_reader, outbound_writer) = outbound.split();
+    let forward =
+        forward_direction(inbound_reader, outbound_writer, &conditions, LinkDirection::Forward);
+    let backward =
+        forward_direction(outbound_reader, inbound_writer, &conditions, LinkDirection::Backward);
     let both = async { tokio::join!(forward, backward) };
     let failed = tokio::select! {
-        () = life.cancelled() => true,
+        () = reset_token.cancelled() => true,
         (forward, backward) = both => forward.is_err() || backward.is_err(),
     };
     if failed {
-        let _ = near.set_zero_linger();
-        let _ = far.set_zero_linger();
+        let _ = inbound.set_zero_linger();
+        let _ = outbound.set_zero_linger();
     }
 }
 
 /// Passes one direction on, each chunk after its delay and in order.
-async fn pass(
+async fn forward_direction(
     reader: impl AsyncRead + Unpin,
     writer: impl AsyncWrite + Unpin,
     conditions: &LinkConditions,
     direction: LinkDirection,
 ) -> io::Result<()> {
     let (sender, receiver) = mpsc::channel(CHUNKS_IN_FLIGHT);
-    let taken = take_in(reader, sender, conditions);
-    let given = give_out(writer, receiver, conditions, direction);
-    tokio::try_join!(taken, given).map(drop)
+    let reading = read_chunks(reader, sender, conditions);
+    let writing = write_chunks(writer, receiver, conditions, direction);
+    tokio::try_join!(reading, writing).map(drop)
 }
 
 /// Reads chunks and notes when each comes out. The end of the stream is an empty chunk.
-async fn take_in(
+async fn read_chunks(
     mut reader: impl AsyncRead + Unpin,
     sender: mpsc::Sender<(Instant, Bytes)>,
     conditions: &LinkConditions,
@@ -272,7 +274,7 @@
         buffer.reserve(CHUNK_BYTES);
         let count = reader.read_buf(&mut buffer).await?;
         // A stream keeps its order, whatever the jitter.
-        last = last.max(conditions.due());
+        last = last.max(conditions.due_time());
         let sent = sender.send((last, buffer.split().freeze())).await;
         if count == 0 || sent.is_err() {
             return Ok(());
@@ -281,7 +283,7 @@
 }
 
 /// Writes chunks when they are due.
-async fn give_out(
+async fn write_chunks(
     mut writer: impl AsyncWrite + Unpin,
     mut receiver: mpsc::Receiver<(Instant, Bytes)>,
     conditions: &LinkConditions,
@@ -291,10 +293,10 @@
         if due > Instant::now() {
             tokio::time::sleep_until(due).await;
         }
-        if conditions.released(direction).await == LinkFault::Swallow {
+        if conditions.wait_until_released(direction).await == LinkFault::Swallow {
             // What came after lost bytes would make no sense to the receiver, so the connection
             // stays silent; it ends by a reset only.
-            conditions.count_swallowed();
+            conditions.count_dropped();
             return std::future::pending().await;
         }
         if chunk.is_empty() {
--- a/crates/rudder-standins/src/link/udp.rs
+++ b/crates/rudder-standins/src/link/udp.rs
@@ -45,7 +45,7 @@
             stop: CancellationToken::new(),
         };
         let forwarder = DatagramForwarder {
-            near: socket,
+            inbound: socket,
             target: settings.target,
             conditions: Arc::clone(&link.conditions),
             stop: link.stop.clone(),
@@ -114,7 +114,7 @@
 }
 
 struct DatagramForwarder {
-    near: Arc<UdpSocket>,
+    inbound: Arc<UdpSocket>,
     target: SocketAddr,
     conditions: Arc<LinkConditions>,
     stop: CancellationToken,
@@ -125,54 +125,54 @@
         let mut senders: Vec<(SocketAddr, Arc<UdpSocket>)> = Vec::new();
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
-            let Ok((length, sender)) = self.near.recv_from(&mut buffer).await else {
+            let Ok((length, sender)) = self.inbound.recv_from(&mut buffer).await else {
                 pause_after_error().await;
                 continue;
             };
             let datagram = Bytes::copy_from_slice(&buffer[..length]);
-            let far = match senders.binary_search_by_key(&sender, |(known, _)| *known) {
+            let outbound = match senders.binary_search_by_key(&sender, |(known, _)| *known) {
                 Ok(index) => Arc::clone(&senders[index].1),
                 Err(index) => {
-                    let Ok(far) = self.open(sender).await else { continue };
-                    senders.insert(index, (sender, Arc::clone(&far)));
-                    far
+                    let Ok(outbound) = self.open_socket(sender).await else { continue };
+                    senders.insert(index, (sender, Arc::clone(&outbound)));
+                    outbound
                 }
             };
             let target = self.target;
-            self.send_later(LinkDirection::Forward, far, target, datagram);
+            self.send_later(LinkDirection::Forward, outbound, target, datagram);
         }
     }
 
     /// Opens a sender's own socket towards the target and carries the answers back.
-    async fn open(&self, sender: SocketAddr) -> io::Result<Arc<UdpSocket>> {
-        let far =
-            Arc::new(UdpSocket::bind(SocketAddr::new(self.near.local_addr()?.ip(), 0)).await?);
+    async fn open_socket(&self, sender: SocketAddr) -> io::Result<Arc<UdpSocket>> {
+        let outbound =
+            Arc::new(UdpSocket::bind(SocketAddr::new(self.inbound.local_addr()?.ip(), 0)).await?);
         let backward = DatagramForwarder {
-            near: Arc::clone(&self.near),
+            inbound: Arc::clone(&self.inbound),
             target: sender,
             conditions: Arc::clone(&self.conditions),
             stop: self.stop.clone(),
         };
-        let socket = Arc::clone(&far);
+        let socket = Arc::clone(&outbound);
         tokio::spawn(async move {
             tokio::select! {
                 () = backward.stop.cancelled() => {}
-                () = backward.carry_back(&socket) => {}
+                () = backward.forward_responses(&socket) => {}
             }
         });
-        Ok(far)
+        Ok(outbound)
     }
 
-    async fn carry_back(&self, far: &UdpSocket) {
+    async fn forward_responses(&self, outbound: &UdpSocket) {
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
-            let Ok((length, _)) = far.recv_from(&mut buffer).await else {
+            let Ok((length, _)) = outbound.recv_from(&mut buffer).await else {
                 pause_after_error().await;
                 continue;
             };
             let datagram = Bytes::copy_from_slice(&buffer[..length]);
-            let near = Arc::clone(&self.near);
-            self.send_later(LinkDirection::Backward, near, self.target, datagram);
+            let inbound = Arc::clone(&self.inbound);
+            self.send_later(LinkDirection::Backward, inbound, self.target, datagram);
         }
     }
 
@@ -183,16 +183,16 @@
         target: SocketAddr,
         datagram: Bytes,
     ) {
-        if self.conditions.fault(direction) == LinkFault::Swallow || self.conditions.loses() {
-            self.conditions.count_swallowed();
+        if self.conditions.fault(direction) == LinkFault::Swallow || self.conditions.draws_loss() {
+            self.conditions.count_dropped();
             return;
         }
-        let due = self.conditions.due();
+        let due = self.conditions.due_time();
         let conditions = Arc::clone(&self.conditions);
         let stop = self.stop.clone();
         let sending = async move {
             tokio::time::sleep_until(due).await;
-            if conditions.released(direction).await == LinkFault::None {
+            if conditions.wait_until_released(direction).await == LinkFault::None {
                 // A datagram that cannot be sent is lost, as on any link.
                 let _ = socket.send_to(&datagram, target).await;
             }
--- a/crates/rudder-standins/src/objects/routes.rs
+++ b/crates/rudder-standins/src/objects/routes.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 /// Objects on one page.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// How long a lost answer takes to be given up by whoever waits for it.
-const LOST: Duration = Duration::from_secs(3600);
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(3600);
 
 type Shared = State<Arc<ObjectsShared>>;
 
@@ -51,7 +51,7 @@
         (false, None, 0) => ObjectsCall::List,
         (false, None, _) => ObjectsCall::CachedList,
     };
-    shared.state().count(call);
+    shared.state().count_call(call);
     if is_busy(&shared) {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
@@ -72,29 +72,29 @@
     let state = shared.state();
     let of_kind = state.rows.iter().filter(|row| row.kind == kind);
     let rest = of_kind.filter(|row| after.is_none_or(|after| row.name.as_str() > after));
-    let mut items: Vec<Value> = rest.take(PAGE + 1).map(ObjectRow::to_json).collect();
-    let more = items.len() > PAGE;
-    items.truncate(PAGE);
+    let mut items: Vec<Value> = rest.take(PAGE_SIZE + 1).map(ObjectRow::to_json).collect();
+    let more = items.len() > PAGE_SIZE;
+    items.truncate(PAGE_SIZE);
     Json(json!({"items": items, "hasMore": more, "storeRevision": state.revision})).into_response()
 }
 
 async fn watch(shared: &ObjectsShared, kind: &str, from: u64, wait_ms: u64) -> Response {
     let mut changed = shared.changed.subscribe();
-    let give_up = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
+    let deadline = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let (events, revision) = {
             let state = shared.state();
-            let news = |event: &&ObjectEvent| event.row.kind == kind && event.row.revision > from;
+            let is_new = |event: &&ObjectEvent| event.row.kind == kind && event.row.revision > from;
             let events: Vec<Value> = state
                 .events
                 .iter()
-                .filter(news)
+                .filter(is_new)
                 .map(|event| json!({"object": event.row.to_json(), "removed": event.removed}))
                 .collect();
             (events, state.revision)
         };
-        let over = tokio::time::timeout_at(give_up, changed.changed());
-        if !events.is_empty() || !matches!(over.await, Ok(Ok(()))) {
+        let change = tokio::time::timeout_at(deadline, changed.changed());
+        if !events.is_empty() || !matches!(change.await, Ok(Ok(()))) {
             return Json(json!({"events": events, "storeRevision": revision})).into_response();
         }
     }
@@ -115,14 +115,14 @@
         return (StatusCode::CONFLICT, Json(known)).into_response();
     }
     let row = shared.state().put(kind, name, body["spec"].clone());
-    answer_write(shared, row.to_json()).await
+    respond_to_write(shared, row.to_json()).await
 }
 
 /// Answers a write that was done, unless its answer is to be lost.
-async fn answer_write(shared: &ObjectsShared, object: Value) -> Response {
-    shared.tell();
+async fn respond_to_write(shared: &ObjectsShared, object: Value) -> Response {
+    shared.notify_watchers();
     if shared.state().fault == Some(ObjectsFault::LostWrites) {
-        tokio::time::sleep(LOST).await;
+        tokio::time::sleep(LOST_RESPONSE_DELAY).await;
     }
     Json(object).into_response()
 }
@@ -135,7 +135,7 @@
     body: Bytes,
 ) -> Response {
     let reads = method == Method::GET;
-    shared.state().count(if reads { ObjectsCall::Get } else { ObjectsCall::Write });
+    shared.state().count_call(if reads { ObjectsCall::Get } else { ObjectsCall::Write });
     if is_busy(&shared) {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
@@ -154,10 +154,10 @@
     }
     if method == Method::DELETE {
         shared.state().remove(&kind, &name);
-        return answer_write(&shared, known.to_json()).await;
+        return respond_to_write(&shared, known.to_json()).await;
     }
     let row = shared.state().put(&kind, &name, body["spec"].clone());
-    answer_write(&shared, row.to_json()).await
+    respond_to_write(&shared, row.to_json()).await
 }
 
 async fn promote(State(shared): Shared, headers: HeaderMap, Json(body): Json<Value>) -> Response {
--- a/crates/rudder-standins/src/objects/state.rs
+++ b/crates/rudder-standins/src/objects/state.rs
@@ -73,7 +73,7 @@
 }
 
 impl ObjectsState {
-    pub(super) fn count(&mut self, call: ObjectsCall) {
+    pub(super) fn count_call(&mut self, call: ObjectsCall) {
         match self.calls.binary_search_by(|(known, _)| known.cmp(&call)) {
             Ok(index) => self.calls[index].1 += 1,
             Err(index) => self.calls.insert(index, (call, 1)),
@@ -133,7 +133,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn tell(&self) {
+    pub(super) fn notify_watchers(&self) {
         let revision = self.state().revision;
         self.changed.send_replace(revision);
     }
@@ -181,13 +181,13 @@
     /// Writes an object as the operator or a member would.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.shared.state().put(kind, name, spec);
-        self.shared.tell();
+        self.shared.notify_watchers();
     }
 
     /// Removes an object.
     pub fn remove(&self, kind: &str, name: &str) {
         self.shared.state().remove(kind, name);
-        self.shared.tell();
+        self.shared.notify_watchers();
     }
 
     /// An object's content.
--- a/crates/rudder-standins/src/platform/instances.rs
+++ b/crates/rudder-standins/src/platform/instances.rs
@@ -23,7 +23,7 @@
 /// The list as it is shown, and as it will be shown.
 #[derive(Default)]
 pub(crate) struct InstanceList {
-    shown: Vec<StandinInstance>,
+    visible: Vec<StandinInstance>,
     pending: Vec<(Instant, Vec<StandinInstance>)>,
 }
 
@@ -34,12 +34,12 @@
     }
 
     /// The list as the API writes it, at `now`.
-    pub(crate) fn slices(&mut self, service: &str, now: Instant) -> Value {
-        let due = self.pending.iter().take_while(|(shown_at, _)| *shown_at <= now).count();
+    pub(crate) fn endpoint_slices(&mut self, service: &str, now: Instant) -> Value {
+        let due = self.pending.iter().take_while(|(visible_at, _)| *visible_at <= now).count();
         if let Some((_, entries)) = self.pending.drain(..due).next_back() {
-            self.shown = entries;
+            self.visible = entries;
         }
-        let endpoints: Vec<Value> = self.shown.iter().map(endpoint).collect();
+        let endpoints: Vec<Value> = self.visible.iter().map(endpoint).collect();
         json!({
             "apiVersion": "discovery.k8s.io/v1",
             "kind": "EndpointSliceList",
--- a/crates/rudder-standins/src/platform/routes.rs
+++ b/crates/rudder-standins/src/platform/routes.rs
@@ -57,15 +57,15 @@
     Path(path): Path<ObjectPath>,
     headers: HeaderMap,
 ) -> Response {
-    enter(&state, &cut, false).await;
-    let plural = scoped(&path.namespace, &path.plural);
+    begin_call(&state, &cut, false).await;
+    let plural = scoped_plural(&path.namespace, &path.plural);
     let found = state.read(&plural, |table| table.get(&plural, &path.name).cloned());
-    leave(&state).await;
+    delay_response(&state).await;
     let accept = headers.get(ACCEPT).and_then(|value| value.to_str().ok()).unwrap_or_default();
     match found {
-        None => refused(ChangeRefusal::Absent),
-        Some(row) if accept.contains(METADATA_ONLY) => Json(metadata_of(&row)).into_response(),
-        Some(row) => shown(&row),
+        None => refusal_response(ChangeRefusal::Absent),
+        Some(row) if accept.contains(METADATA_ONLY) => Json(object_metadata(&row)).into_response(),
+        Some(row) => object_response(&row),
     }
 }
 
@@ -74,10 +74,10 @@
     ConnectInfo(cut): Connection,
     Path(path): Path<CollectionPath>,
 ) -> Response {
-    enter(&state, &cut, false).await;
-    let plural = scoped(&path.namespace, &path.plural);
+    begin_call(&state, &cut, false).await;
+    let plural = scoped_plural(&path.namespace, &path.plural);
     let (rows, version) = state.read(&plural, |table| (table.list(&plural), table.last_version()));
-    leave(&state).await;
+    delay_response(&state).await;
     let items: Vec<Value> = rows.iter().map(with_version).collect();
     let metadata = json!({ "resourceVersion": version.to_string() });
     Json(json!({ "kind": "List", "apiVersion": "v1", "metadata": metadata, "items": items }))
@@ -90,11 +90,11 @@
     Path(path): Path<CollectionPath>,
     Json(body): Json<Value>,
 ) -> Response {
-    enter(&state, &cut, true).await;
-    let plural = scoped(&path.namespace, &path.plural);
+    begin_call(&state, &cut, true).await;
+    let plural = scoped_plural(&path.namespace, &path.plural);
     let name = body["metadata"]["name"].as_str().unwrap_or_default().to_owned();
     let result = state.change(&plural, |table| table.create(&plural, &name, body));
-    answer_change(&state, &cut, result).await
+    respond_to_change(&state, &cut, result).await
 }
 
 async fn replace_object(
@@ -103,11 +103,11 @@
     Path(path): Path<ObjectPath>,
     Json(body): Json<Value>,
 ) -> Response {
-    enter(&state, &cut, true).await;
-    let plural = scoped(&path.namespace, &path.plural);
-    let expected = version_of(&body["metadata"]["resourceVersion"]);
+    begin_call(&state, &cut, true).await;
+    let plural = scoped_plural(&path.namespace, &path.plural);
+    let expected = parse_version(&body["metadata"]["resourceVersion"]);
     let result = state.change(&plural, |table| table.replace(&plural, &path.name, expected, body));
-    answer_change(&state, &cut, result).await
+    respond_to_change(&state, &cut, result).await
 }
 
 async fn delete_object(
@@ -116,14 +116,14 @@
     Path(path): Path<ObjectPath>,
     Json(body): Json<Value>,
 ) -> Response {
-    enter(&state, &cut, true).await;
-    let plural = scoped(&path.namespace, &path.plural);
-    let expected = version_of(&body["preconditions"]["resourceVersion"]);
+    begin_call(&state, &cut, true).await;
+    let plural = scoped_plural(&path.namespace, &path.plural);
+    let expected = parse_version(&body["preconditions"]["resourceVersion"]);
     let result = state.change(&plural, |table| table.remove(&plural, &path.name, expected));
-    lose_or_leave(&state, &cut, result.is_ok()).await;
+    finish_change(&state, &cut, result.is_ok()).await;
     match result {
         Ok(()) => Json(json!({ "kind": "Status", "status": "Success" })).into_response(),
-        Err(refusal) => refused(refusal),
+        Err(refusal) => refusal_response(refusal),
     }
 }
 
@@ -138,10 +138,10 @@
     ConnectInfo(cut): Connection,
     Query(query): Query<SliceQuery>,
 ) -> Response {
-    enter(&state, &cut, false).await;
+    begin_call(&state, &cut, false).await;
     let service = query.label_selector.rsplit('=').next().unwrap_or_default().to_owned();
-    let slices = state.slices(&service);
-    leave(&state).await;
+    let slices = state.endpoint_slices(&service);
+    delay_response(&state).await;
     Json(slices).into_response()
 }
 
@@ -186,7 +186,7 @@
 }
 
 /// Counts the call and shows the faults that come before its effect.
-async fn enter(state: &StandinState, cut: &ConnectionCut, writes: bool) {
+async fn begin_call(state: &StandinState, cut: &ConnectionCut, writes: bool) {
     state.count(writes);
     let faults = state.faults();
     match faults.outage {
@@ -197,36 +197,36 @@
 }
 
 /// Shows the faults that come after the effect.
-async fn leave(state: &StandinState) {
+async fn delay_response(state: &StandinState) {
     tokio::time::sleep(state.faults().half_latency()).await;
 }
 
-async fn lose_or_leave(state: &StandinState, cut: &ConnectionCut, changed: bool) {
-    if changed && state.take_lost_answer() {
+async fn finish_change(state: &StandinState, cut: &ConnectionCut, changed: bool) {
+    if changed && state.take_lost_response() {
         cut.cut().await;
     }
-    leave(state).await;
+    delay_response(state).await;
 }
 
-async fn answer_change(
+async fn respond_to_change(
     state: &StandinState,
     cut: &ConnectionCut,
     result: Result<ObjectRow, ChangeRefusal>,
 ) -> Response {
-    lose_or_leave(state, cut, result.is_ok()).await;
+    finish_change(state, cut, result.is_ok()).await;
     match result {
         Ok(_) if state.take_gateway_timeout() => StatusCode::GATEWAY_TIMEOUT.into_response(),
-        Ok(row) => shown(&row),
-        Err(refusal) => refused(refusal),
+        Ok(row) => object_response(&row),
+        Err(refusal) => refusal_response(refusal),
     }
 }
 
 /// Kinds of different namespaces are kept apart by this prefix.
-fn scoped(namespace: &str, plural: &str) -> String {
+fn scoped_plural(namespace: &str, plural: &str) -> String {
     format!("{namespace}/{plural}")
 }
 
-fn version_of(value: &Value) -> Option<u64> {
+fn parse_version(value: &Value) -> Option<u64> {
     value.as_str()?.parse().ok()
 }
 
@@ -236,16 +236,16 @@
     body
 }
 
-fn metadata_of(row: &ObjectRow) -> Value {
+fn object_metadata(row: &ObjectRow) -> Value {
     let metadata = json!({ "name": row.name, "resourceVersion": row.version.to_string() });
     json!({ "kind": METADATA_ONLY, "apiVersion": "meta.k8s.io/v1", "metadata": metadata })
 }
 
-fn shown(row: &ObjectRow) -> Response {
+fn object_response(row: &ObjectRow) -> Response {
     Json(with_version(row)).into_response()
 }
 
-fn refused(refusal: ChangeRefusal) -> Response {
+fn refusal_response(refusal: ChangeRefusal) -> Response {
     let (code, reason) = match refusal {
         ChangeRefusal::Conflict => (StatusCode::CONFLICT, "Conflict"),
         ChangeRefusal::Absent => (StatusCode::NOT_FOUND, "NotFound"),
--- a/crates/rudder-standins/src/platform/state.rs
+++ b/crates/rudder-standins/src/platform/state.rs
@@ -61,8 +61,8 @@
         result
     }
 
-    pub(crate) fn slices(&self, service: &str) -> Value {
-        self.lock().instances.slices(service, Instant::now())
+    pub(crate) fn endpoint_slices(&self, service: &str) -> Value {
+        self.lock().instances.endpoint_slices(service, Instant::now())
     }
 
     pub(crate) fn set_instances(&self, entries: Vec<StandinInstance>, lag: Duration) {
@@ -80,7 +80,7 @@
     }
 
     /// Whether the answer to a change that took effect is lost; uses one up.
-    pub(crate) fn take_lost_answer(&self) -> bool {
+    pub(crate) fn take_lost_response(&self) -> bool {
         take_one(&mut self.lock().faults.lost_answers)
     }
 
--- a/crates/rudder-standins/src/trial/caller.rs
+++ b/crates/rudder-standins/src/trial/caller.rs
@@ -15,16 +15,16 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 /// Rows that the callers share.
-const ROWS: u64 = 6;
+const ROW_COUNT: u64 = 6;
 
 /// A request without an answer after this long is given up by the caller.
-const REQUEST_BOUND: Duration = Duration::from_secs(6);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(8);
+const REQUEST_PAUSE: Duration = Duration::from_millis(8);
 
 /// Tries of a request with a key, the first included.
-const KEY_TRIES: u32 = 6;
+const KEY_ATTEMPTS_MAX: u32 = 6;
 
 /// What all callers of a run share.
 pub(super) struct TrialShared {
@@ -78,7 +78,7 @@
     rng: StdRng,
     session: SessionId,
     /// Whether the session is carried by its token, rather than named by its id only.
-    carries_token: bool,
+    sends_token: bool,
     /// Whether its reads accept no age at all.
     strict: bool,
     token: Option<String>,
@@ -94,7 +94,7 @@
             shared,
             rng: StdRng::seed_from_u64(seed.wrapping_mul(1000).wrapping_add(index as u64)),
             session: format!("s{index}").parse().expect("the id has only allowed characters"),
-            carries_token: index.is_multiple_of(2),
+            sends_token: index.is_multiple_of(2),
             strict: index.is_multiple_of(3),
             token: None,
             client: None,
@@ -110,7 +110,7 @@
                 self.client = None;
             }
             if !self.connect().await {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(REQUEST_PAUSE).await;
                 continue;
             }
             match self.rng.random_range(0..10) {
@@ -118,7 +118,7 @@
                 3 => self.write_with_key().await,
                 _ => self.read().await,
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(REQUEST_PAUSE).await;
         }
         self.record
     }
@@ -130,16 +130,16 @@
         let Some(address) = self.shared.proxy(&mut self.rng) else { return false };
         let user = if self.strict { "auditor" } else { "copyist" };
         let session = match &self.token {
-            Some(token) if self.carries_token => format!("-c rudder.session={token}"),
+            Some(token) if self.sends_token => format!("-c rudder.session={token}"),
             _ => format!("-c rudder.session_id={}", self.session),
         };
-        let words = format!(
+        let config = format!(
             "host={} port={} user={user} dbname={} sslmode=disable options='{session}'",
             address.ip(),
             address.port(),
             self.shared.service
         );
-        let connected = timeout(REQUEST_BOUND, tokio_postgres::connect(&words, NoTls)).await;
+        let connected = timeout(REQUEST_TIMEOUT, tokio_postgres::connect(&config, NoTls)).await;
         let Ok(Ok((client, connection))) = connected else { return false };
         tokio::spawn(connection);
         self.client = Some(client);
@@ -147,47 +147,47 @@
     }
 
     async fn write(&mut self) {
-        let stored = self.next_stored();
-        let text = insert_of(&stored);
+        let stored = self.new_value();
+        let text = insert_statement(&stored);
         let invoked = self.shared.started.elapsed();
         let outcome = self.send(&text).await;
-        self.note_write(stored, invoked, None, outcome).await;
+        self.record_write(stored, invoked, None, outcome).await;
     }
 
     /// Sends a request with a key until its outcome is known, at whichever proxy. Every try adds a
     /// value of its own, so that the end shows which one ran.
     async fn write_with_key(&mut self) {
-        let first = self.next_stored();
+        let first = self.new_value();
         let key: RequestKey =
             format!("k{}", first.value).parse().expect("the key has only allowed characters");
         let mut stored = first;
-        for _ in 0..KEY_TRIES {
-            let text = format!("/* rudder:key={key} */ {}", insert_of(&stored));
+        for _ in 0..KEY_ATTEMPTS_MAX {
+            let text = format!("/* rudder:key={key} */ {}", insert_statement(&stored));
             let invoked = self.shared.started.elapsed();
             self.already_run = false;
             let outcome = if self.connect().await { self.send(&text).await } else { None };
             let ran = matches!(outcome, Some((WriteOutcome::Acknowledged, _)));
-            self.note_write(stored, invoked, Some(key.clone()), outcome).await;
+            self.record_write(stored, invoked, Some(key.clone()), outcome).await;
             if ran || self.already_run {
                 return;
             }
             self.client = None;
-            stored = self.next_stored();
+            stored = self.new_value();
         }
     }
 
-    fn next_stored(&mut self) -> StoredValue {
+    fn new_value(&mut self) -> StoredValue {
         let value = self.shared.next_value.fetch_add(1, Ordering::Relaxed);
-        StoredValue { row: format!("r{}", self.rng.random_range(0..ROWS)), value }
+        StoredValue { row: format!("r{}", self.rng.random_range(0..ROW_COUNT)), value }
     }
 
     /// Sends a statement; `None` if the connection ended without an answer.
     async fn send(&mut self, text: &str) -> Option<(WriteOutcome, Vec<SimpleQueryMessage>)> {
         let client = self.client.as_ref()?;
-        match timeout(REQUEST_BOUND, client.simple_query(text)).await {
+        match timeout(REQUEST_TIMEOUT, client.simple_query(text)).await {
             Ok(Ok(messages)) => Some((WriteOutcome::Acknowledged, messages)),
             Ok(Err(error)) => {
-                let class = class_of(&error);
+                let class = outcome_class(&error);
                 if class.is_none() {
                     self.client = None;
                 }
@@ -201,7 +201,7 @@
         }
     }
 
-    async fn note_write(
+    async fn record_write(
         &mut self,
         stored: StoredValue,
         invoked: Duration,
@@ -217,7 +217,7 @@
         let returned = self.shared.started.elapsed();
         let session = self.session.clone();
         self.record.writes.push(WriteRecord { session, invoked, returned, stored, key, outcome });
-        if outcome == WriteOutcome::Acknowledged && self.carries_token {
+        if outcome == WriteOutcome::Acknowledged && self.sends_token {
             self.fetch_token().await;
         }
     }
@@ -233,12 +233,12 @@
             Some(token) => self.token = Some(token),
             // The acknowledgement came, its token did not: from now on the session can only be
             // named.
-            None => self.carries_token = false,
+            None => self.sends_token = false,
         }
     }
 
     async fn read(&mut self) {
-        let row = format!("r{}", self.rng.random_range(0..ROWS));
+        let row = format!("r{}", self.rng.random_range(0..ROW_COUNT));
         let invoked = self.shared.started.elapsed();
         let text = format!("SELECT value FROM entries WHERE row = '{row}'");
         let Some((WriteOutcome::Acknowledged, messages)) = self.send(&text).await else {
@@ -255,12 +255,12 @@
     }
 }
 
-fn insert_of(stored: &StoredValue) -> String {
+fn insert_statement(stored: &StoredValue) -> String {
     format!("INSERT INTO entries VALUES ('{}', {})", stored.row, stored.value)
 }
 
 /// The class that the proxy gave an error, by its detail; none if the connection ended.
-fn class_of(error: &tokio_postgres::Error) -> Option<OutcomeClass> {
+fn outcome_class(error: &tokio_postgres::Error) -> Option<OutcomeClass> {
     let error = error.as_db_error()?;
     match error.detail() {
         Some("outcome: not_run") => Some(OutcomeClass::NotRun),
--- a/crates/rudder-standins/src/trial/mod.rs
+++ b/crates/rudder-standins/src/trial/mod.rs
@@ -16,10 +16,10 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 /// Callers of one run.
-const CALLERS: usize = 12;
+const CALLER_COUNT: usize = 12;
 
 /// How long the group is given to take writes again once every fault is over.
-const RECOVERY_BOUND: Duration = Duration::from_secs(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 const SETTINGS: &str = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"2s\"\n\
                         queue_wait = \"2s\"\nin_flight_max = 400\n\
@@ -55,32 +55,36 @@
 /// ```
 pub async fn run_trial(schedule: &TrialSchedule) -> Result<TrialReport, DeploymentError> {
     let mut plan = DeploymentPlan { extra: SETTINGS.to_owned(), ..DeploymentPlan::small(3) };
-    plan.groups = vec![GroupSettings::loopback(own_service())];
+    plan.groups = vec![GroupSettings::loopback(unique_service_name())];
     let mut deployment = Deployment::start(plan).await?;
     create_tables(&deployment).await;
     let shared = Arc::new(TrialShared::new(&deployment, schedule));
     let mut callers = JoinSet::new();
-    for index in 0..CALLERS {
+    for index in 0..CALLER_COUNT {
         callers.spawn(TrialCaller::new(Arc::clone(&shared), index, schedule.seed).run());
     }
-    schedule.bring_about(&mut deployment, &shared).await;
+    schedule.run_faults(&mut deployment, &shared).await;
     shared.stop();
     let records = callers.join_all().await;
     let recovered = await_recovery(&deployment).await;
     let stored = read_primary(&deployment).await;
-    Ok(report(records, stored, recovered))
+    Ok(build_report(records, stored, recovered))
 }
 
 /// A service name that no other run uses. Guards against callers of another run in the same machine:
 /// the port of a proxy that died may be given to a proxy of that run, and they would write here.
-fn own_service() -> ServiceName {
-    static RUNS: AtomicU64 = AtomicU64::new(0);
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
+fn unique_service_name() -> ServiceName {
+    static RUN_COUNT: AtomicU64 = AtomicU64::new(0);
+    let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("trial-{}-{run}", std::process::id());
     name.parse().expect("the name has only allowed characters")
 }
 
-fn report(records: Vec<CallerRecord>, stored: Vec<StoredValue>, recovered: bool) -> TrialReport {
+fn build_report(
+    records: Vec<CallerRecord>,
+    stored: Vec<StoredValue>,
+    recovered: bool,
+) -> TrialReport {
     let mut log = HistoryLog { stored, ..HistoryLog::default() };
     let mut unanswered = 0;
     for record in records {
@@ -107,7 +111,7 @@
 /// Writes through a proxy until one is acknowledged.
 async fn await_recovery(deployment: &Deployment) -> bool {
     let started = Instant::now();
-    while started.elapsed() < RECOVERY_BOUND {
+    while started.elapsed() < RECOVERY_TIMEOUT {
         let address = deployment
             .proxies
             .iter()
@@ -139,10 +143,10 @@
     };
     tokio::spawn(connection);
     let messages = client.simple_query("SELECT row, value FROM entries").await.unwrap_or_default();
-    messages.iter().filter_map(stored_of).collect()
+    messages.iter().filter_map(parse_stored_value).collect()
 }
 
-fn stored_of(message: &SimpleQueryMessage) -> Option<StoredValue> {
+fn parse_stored_value(message: &SimpleQueryMessage) -> Option<StoredValue> {
     match message {
         SimpleQueryMessage::Row(row) => {
             Some(StoredValue { row: row.get(0)?.to_owned(), value: row.get(1)?.parse().ok()? })
--- a/crates/rudder-standins/src/trial/schedule.rs
+++ b/crates/rudder-standins/src/trial/schedule.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// How long after the last fault is over callers still run.
-const CALM: Duration = Duration::from_millis(800);
+const SETTLE_TIME: Duration = Duration::from_millis(800);
 
 /// A fault that the trial can bring about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
 }
 
 impl TrialSchedule {
-    /// A single fault that comes after 0.4 s and stays for `stay`.
+    /// A single fault that comes after 0.4 s and stays for `duration`.
     ///
     /// ```
     /// use rudder_standins::{FaultKind, TrialSchedule};
@@ -102,11 +102,11 @@
     /// assert_eq!(schedule.faults.len(), 1);
     /// ```
     #[must_use]
-    pub fn single(kind: FaultKind, stay: Duration, seed: u64) -> Self {
+    pub fn single(kind: FaultKind, duration: Duration, seed: u64) -> Self {
         let from = Duration::from_millis(400);
-        let until = from + stay;
+        let until = from + duration;
         let faults = vec![TimedFault { kind, from, until, proxy: 0 }];
-        Self { faults, length: until + CALM, seed }
+        Self { faults, length: until + SETTLE_TIME, seed }
     }
 
     /// Two faults at the same time.
@@ -119,8 +119,8 @@
     /// assert_eq!(schedule.faults.len(), 2);
     /// ```
     #[must_use]
-    pub fn pair(kinds: [FaultKind; 2], stay: Duration, seed: u64) -> Self {
-        let mut schedule = Self::single(kinds[0], stay, seed);
+    pub fn pair(kinds: [FaultKind; 2], duration: Duration, seed: u64) -> Self {
+        let mut schedule = Self::single(kinds[0], duration, seed);
         let first = schedule.faults[0];
         schedule.faults.push(TimedFault { kind: kinds[1], proxy: 1, ..first });
         schedule
@@ -139,17 +139,17 @@
         let faults: Vec<TimedFault> = (0..count)
             .map(|_| {
                 let from = Duration::from_millis(rng.random_range(200..2_000));
-                let stay = Duration::from_millis(rng.random_range(200..2_500));
+                let duration = Duration::from_millis(rng.random_range(200..2_500));
                 let kind = ALL_FAULTS[rng.random_range(0..ALL_FAULTS.len())];
-                TimedFault { kind, from, until: from + stay, proxy: rng.random_range(0..3) }
+                TimedFault { kind, from, until: from + duration, proxy: rng.random_range(0..3) }
             })
             .collect();
         let end = faults.iter().map(|fault| fault.until).max().unwrap_or_default();
-        Self { faults, length: end + CALM, seed }
+        Self { faults, length: end + SETTLE_TIME, seed }
     }
 
     /// Brings the faults about and ends them, then waits for the end of the run.
-    pub(super) async fn bring_about(&self, deployment: &mut Deployment, shared: &TrialShared) {
+    pub(super) async fn run_faults(&self, deployment: &mut Deployment, shared: &TrialShared) {
         let started = Instant::now();
         let mut steps: Vec<(Duration, TimedFault, bool)> = Vec::new();
         for fault in &self.faults {
@@ -157,16 +157,16 @@
             steps.push((fault.until, *fault, false));
         }
         steps.sort_by_key(|(at, _, _)| *at);
-        let mut struck: Vec<(TimedFault, usize)> = Vec::new();
+        let mut active: Vec<(TimedFault, usize)> = Vec::new();
         for (at, fault, begins) in steps {
             sleep_until(started + at).await;
             if begins {
                 let member = primary_index(deployment);
-                struck.push((fault, member));
-                begin(deployment, shared, fault, member).await;
-            } else if let Some(index) = struck.iter().position(|(known, _)| *known == fault) {
-                let (_, member) = struck.remove(index);
-                end(deployment, shared, fault, member).await;
+                active.push((fault, member));
+                start_fault(deployment, shared, fault, member).await;
+            } else if let Some(index) = active.iter().position(|(known, _)| *known == fault) {
+                let (_, member) = active.remove(index);
+                end_fault(deployment, shared, fault, member).await;
             }
         }
         sleep_until(started + self.length).await;
@@ -182,7 +182,7 @@
     terms.max().map_or(0, |(_, index)| index)
 }
 
-async fn begin(
+async fn start_fault(
     deployment: &mut Deployment,
     shared: &TrialShared,
     fault: TimedFault,
@@ -190,10 +190,10 @@
 ) {
     let replica = (member + 1) % 3;
     match fault.kind {
-        FaultKind::KillPrimary => turn(deployment, member, MemberKnob::Kill),
-        FaultKind::FreezePrimary => turn(deployment, member, MemberKnob::Frozen(true)),
+        FaultKind::KillPrimary => set_knob(deployment, member, MemberKnob::Kill),
+        FaultKind::FreezePrimary => set_knob(deployment, member, MemberKnob::Frozen(true)),
         FaultKind::CutPrimary => {
-            turn(deployment, member, MemberKnob::Cut(true));
+            set_knob(deployment, member, MemberKnob::Cut(true));
             deployment.links.iter().for_each(|links| links.members[0][member].cut());
         }
         FaultKind::CutLink => deployment.links[fault.proxy].members[0][member].cut(),
@@ -209,10 +209,10 @@
         }
         FaultKind::ReplicaLag => {
             let lag = MemberKnob::ApplyLag(Duration::from_millis(600));
-            turn(deployment, replica, lag);
-            turn(deployment, (member + 2) % 3, lag);
+            set_knob(deployment, replica, lag);
+            set_knob(deployment, (member + 2) % 3, lag);
         }
-        FaultKind::PausedReplica => turn(deployment, replica, MemberKnob::Paused(true)),
+        FaultKind::PausedReplica => set_knob(deployment, replica, MemberKnob::Paused(true)),
         FaultKind::PlatformHangs => set_outage(deployment, PlatformOutage::Hanging),
         FaultKind::PlatformGone => set_outage(deployment, PlatformOutage::Refused),
         FaultKind::PlatformSlow => {
@@ -227,27 +227,32 @@
             deployment.proxies[fault.proxy] = None;
             shared.replace_proxy(fault.proxy, None);
         }
-        FaultKind::RacingOperators => race(deployment).await,
+        FaultKind::RacingOperators => submit_conflicting_files(deployment).await,
     }
 }
 
-async fn end(deployment: &mut Deployment, shared: &TrialShared, fault: TimedFault, member: usize) {
+async fn end_fault(
+    deployment: &mut Deployment,
+    shared: &TrialShared,
+    fault: TimedFault,
+    member: usize,
+) {
     let replica = (member + 1) % 3;
     match fault.kind {
-        FaultKind::KillPrimary => turn(deployment, member, MemberKnob::Restart),
-        FaultKind::FreezePrimary => turn(deployment, member, MemberKnob::Frozen(false)),
+        FaultKind::KillPrimary => set_knob(deployment, member, MemberKnob::Restart),
+        FaultKind::FreezePrimary => set_knob(deployment, member, MemberKnob::Frozen(false)),
         FaultKind::CutPrimary => {
-            turn(deployment, member, MemberKnob::Cut(false));
+            set_knob(deployment, member, MemberKnob::Cut(false));
             deployment.links.iter().for_each(|links| links.members[0][member].heal());
         }
         FaultKind::CutLink | FaultKind::DeafLink => {
             deployment.links[fault.proxy].members[0][member].heal();
         }
         FaultKind::ReplicaLag => {
-            turn(deployment, replica, MemberKnob::ApplyLag(Duration::ZERO));
-            turn(deployment, (member + 2) % 3, MemberKnob::ApplyLag(Duration::ZERO));
+            set_knob(deployment, replica, MemberKnob::ApplyLag(Duration::ZERO));
+            set_knob(deployment, (member + 2) % 3, MemberKnob::ApplyLag(Duration::ZERO));
         }
-        FaultKind::PausedReplica => turn(deployment, replica, MemberKnob::Paused(false)),
+        FaultKind::PausedReplica => set_knob(deployment, replica, MemberKnob::Paused(false)),
         FaultKind::PlatformHangs
         | FaultKind::PlatformGone
         | FaultKind::PlatformSlow
@@ -264,7 +269,7 @@
     }
 }
 
-fn turn(deployment: &Deployment, member: usize, knob: MemberKnob) {
+fn set_knob(deployment: &Deployment, member: usize, knob: MemberKnob) {
     let name: Option<MemberName> =
         deployment.groups[0].members().nth(member).map(|(name, _)| name.clone());
     if let Some(name) = name {
@@ -279,7 +284,7 @@
 }
 
 /// Two files that give one value differently; both are accepted in some order, or refused.
-async fn race(deployment: &Deployment) {
+async fn submit_conflicting_files(deployment: &Deployment) {
     let file = |wait: &str| format!("[timing]\nread_wait = \"{wait}\"\n");
     let (first, second) = (file("40ms"), file("60ms"));
     let _ = tokio::join!(
