--- a/crates/rudder-standins/src/deployment/links.rs
+++ b/crates/rudder-standins/src/deployment/links.rs
@@ -1,4 +1,4 @@
-//! The links between a proxy and what it talks to.
+//! Links from a proxy to the platform and the members.
 
 use super::{Deployment, DeploymentError};
 use crate::link::{LinkSettings, LinkStandin};
@@ -6,27 +6,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a message travels one way.
+/// One-way delays of a proxy's links.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkDelays {
-    /// To a member in the same failure domain.
+    /// Delay to a member in the same failure domain.
     pub near: Duration,
-    /// To a member in another one.
+    /// Delay to a member in another failure domain.
     pub far: Duration,
-    /// To the platform.
+    /// Delay to the platform.
     pub platform: Duration,
 }
 
-/// One proxy's links. Each can be slowed, cut and healed on its own.
+/// Links of one proxy. Each can be slowed, cut and healed independently.
 pub struct ProxyLinks {
-    /// To the platform.
+    /// Link to the platform.
     pub platform: LinkStandin,
-    /// To the members, by group and member in the order of the plan.
+    /// Links to the members, by group and member in the order of the plan.
     pub members: Vec<Vec<LinkStandin>>,
 }
 
 impl ProxyLinks {
-    /// Opens the links of a proxy that stands in the failure domain of index `domain`.
+    /// Opens the links of a proxy in the failure domain of index `domain`.
     pub(super) async fn start(
         deployment: &Deployment,
         domain: usize,
@@ -45,7 +45,7 @@
         Ok(Self { platform, members })
     }
 
-    /// The process settings that send the proxy over these links.
+    /// Returns the process settings that make the proxy connect to members over these links.
     pub(super) fn route_settings(&self, deployment: &Deployment) -> String {
         let mut text = String::new();
         for (group, links) in deployment.groups.iter().zip(&self.members) {
--- a/crates/rudder-standins/src/deployment/mod.rs
+++ b/crates/rudder-standins/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: groups, platform, and proxies inside one process.
+//! A complete deployment on loopback: database groups, platform and proxies in one process.
 
 mod links;
 mod settings;
@@ -17,13 +17,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a starting deployment looks whether its proxies are ready.
+/// Interval at which a starting deployment polls whether its proxies are ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks at most; a deployment that is not ready by then is broken.
+/// Maximum number of polls; a deployment that is not ready by then has failed to start.
 const READY_POLLS_MAX: u32 = 500;
 
-/// Why a deployment did not start.
+/// Reason why a deployment did not start.
 #[derive(Debug, Display)]
 #[ignore_extra_doc_attributes]
 pub enum DeploymentError {
@@ -65,28 +65,29 @@
     }
 }
 
-/// What a deployment consists of.
+/// Configuration of a deployment.
 #[derive(Clone)]
 pub struct DeploymentPlan {
-    /// The failure domains, each in a region of its own name. Members and proxies take them in
-    /// turn.
+    /// Failure domains, each in a region of the same name. Members and proxies are assigned to
+    /// them round-robin.
     pub domains: Vec<DomainName>,
-    /// The groups.
+    /// Database groups.
     pub groups: Vec<GroupSettings>,
-    /// How many proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Further settings in TOML: kinds of caller, timing.
+    /// Additional settings in TOML, such as kinds of caller and timing.
     pub extra: String,
-    /// Further process settings of each proxy in TOML: TLS, passwords, bounds.
+    /// Additional process settings of each proxy in TOML, such as TLS, passwords and bounds.
     pub process: String,
-    /// How long messages travel.
+    /// One-way delays of the proxies' links.
     pub delays: LinkDelays,
-    /// The rules by which the proxies decide.
+    /// Decision policies of the proxies.
     pub policies: ProxyPolicies,
 }
 
 impl DeploymentPlan {
-    /// One group of three members in three failure domains, and `proxies` proxies.
+    /// Returns a plan with one group of three members in three failure domains, and `proxies`
+    /// proxies.
     ///
     /// ```
     /// let plan = rudder_standins::DeploymentPlan::small(2);
@@ -108,15 +109,15 @@
     }
 }
 
-/// A running deployment; dropping it ends everything.
+/// A running deployment. Dropping it stops all its parts.
 pub struct Deployment {
-    /// The groups, in the order of the plan.
+    /// Database groups, in the order of the plan.
     pub groups: Vec<GroupStandin>,
-    /// The platform.
+    /// Platform stand-in.
     pub platform: PlatformStandin,
-    /// The proxies; one that was taken out to leave or to be killed leaves none behind.
+    /// Proxies by index; `None` for a proxy that was taken out to leave or to be killed.
     pub proxies: Vec<Option<ProxyInstance>>,
-    /// The links of each proxy to the platform and the members.
+    /// Links of each proxy to the platform and the members.
     pub links: Vec<ProxyLinks>,
     domains: Vec<DomainName>,
     process: String,
@@ -125,11 +126,11 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until each proxy has the settings in force.
+    /// Starts all parts and waits until the settings are in force at each proxy.
     ///
     /// # Errors
     ///
-    /// [`DeploymentError`] when a part does not start.
+    /// Returns a [`DeploymentError`] if a part does not start.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -168,7 +169,7 @@
     ///
     /// # Errors
     ///
-    /// [`DeploymentError`] when it is refused.
+    /// Returns a [`DeploymentError`] if the platform is unreachable or the file is rejected.
     pub async fn submit(&self, name: &str, text: &str) -> Result<(), DeploymentError> {
         let store = KubeStore::connect(PlatformOptions::at(&self.platform.url()))?;
         let name = name.parse().expect("the file name has only allowed characters");
@@ -177,11 +178,11 @@
         Ok(())
     }
 
-    /// Starts one more proxy, in the next failure domain, and answers its index.
+    /// Starts one more proxy in the next failure domain and returns its index.
     ///
     /// # Errors
     ///
-    /// [`DeploymentError`] when it does not start.
+    /// Returns a [`DeploymentError`] if the proxy does not start.
     pub async fn add_proxy(&mut self) -> Result<usize, DeploymentError> {
         let index = self.proxies.len();
         let seeds: Vec<String> = self
@@ -209,17 +210,17 @@
         Ok(index)
     }
 
-    /// A running proxy.
+    /// Returns a running proxy.
     ///
     /// # Panics
     ///
-    /// If the proxy was taken out.
+    /// Panics if the proxy was taken out.
     #[must_use]
     pub fn proxy(&self, index: usize) -> &ProxyInstance {
         self.proxies[index].as_ref().expect("the proxy was not taken out")
     }
 
-    /// How a client connects to a proxy, in the words of client libraries.
+    /// Returns the `libpq`-style connection string of a proxy for `user`.
     #[must_use]
     pub fn client_string(&self, index: usize, user: &str) -> String {
         let address = self.proxy(index).listen_address();
--- a/crates/rudder-standins/src/deployment/settings.rs
+++ b/crates/rudder-standins/src/deployment/settings.rs
@@ -1,10 +1,11 @@
-//! The settings file of a deployment.
+//! Generates the settings file of a deployment.
 
 use super::DeploymentPlan;
 use crate::group::GroupStandin;
 use std::fmt::Write;
 
-/// The settings of a plan whose groups run already.
+/// Returns the settings of a plan in TOML. The groups run already, as their addresses are part of
+/// the settings.
 pub(super) fn plan_settings(plan: &DeploymentPlan, groups: &[GroupStandin]) -> String {
     let mut text = String::new();
     for domain in &plan.domains {
--- a/crates/rudder-standins/src/lib.rs
+++ b/crates/rudder-standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what surrounds the proxy, for tests, examples and measurements.
+//! Simulated surroundings of the proxy for tests, examples and measurements: database groups,
+//! platform APIs and network links, with faults on request.
 
 mod deployment;
 mod group;
--- a/crates/rudder-standins/src/lines/client.rs
+++ b/crates/rudder-standins/src/lines/client.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks lines.
+//! Client of the line protocol.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,31 +6,32 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// One answer.
+/// Response to one statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineReply {
-    /// The rows.
+    /// Rows, in the order received.
     pub rows: Vec<String>,
-    /// `COMPLETE` with its proof, or `ERROR` with code and text.
+    /// `COMPLETE` with its proof (member id and request id), or `ERROR` with code and text.
     pub outcome: String,
-    /// `READY` with state and position.
+    /// `READY` with session state and log position.
     pub ready: String,
 }
 
 impl LineReply {
-    /// Whether the statement was served.
+    /// Returns whether the statement succeeded.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.outcome.starts_with("COMPLETE")
     }
 
-    /// The state of the session after it: `I`, `T` or `E`.
+    /// Returns the session's state after the statement: `I` (idle), `T` (in a transaction) or `E`
+    /// (failed transaction).
     #[must_use]
     pub fn state(&self) -> &str {
         self.ready.split(' ').nth(1).unwrap_or("")
     }
 
-    /// The code of an error; empty if there is none.
+    /// Returns the error code, or an empty string if the statement succeeded.
     #[must_use]
     pub fn code(&self) -> &str {
         match self.outcome.strip_prefix("ERROR ") {
@@ -39,25 +40,25 @@
         }
     }
 
-    /// The data of the only row, without the session values that the stand-in adds.
+    /// Returns the data of the first row without the session values that the stand-in appends.
     #[must_use]
     pub fn data(&self) -> &str {
         self.rows.first().and_then(|row| row.split('|').next()).unwrap_or("")
     }
 }
 
-/// An open session.
+/// An open client session.
 pub struct LineClient {
     lines: Lines<BufReader<OwnedReadHalf>>,
     writer: OwnedWriteHalf,
 }
 
 impl LineClient {
-    /// Connects and names a database; the answer is the first line.
+    /// Connects, sends `STARTUP` with the given arguments and returns the first response line.
     ///
     /// # Errors
     ///
-    /// When nobody listens there, or the connection ends without a line.
+    /// Returns an error if the connection is refused or closed before a line is received.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -85,25 +86,25 @@
     ///
     /// # Errors
     ///
-    /// When the connection is broken.
+    /// Returns an error if the connection is broken.
     pub async fn send(&mut self, line: &str) -> io::Result<()> {
         self.writer.write_all(format!("{line}\r\n").as_bytes()).await
     }
 
-    /// The next line; none at the end.
+    /// Receives the next line; `None` at the end of the stream.
     ///
     /// # Errors
     ///
-    /// When the connection breaks.
+    /// Returns an error if the connection breaks.
     pub async fn line(&mut self) -> io::Result<Option<String>> {
         self.lines.next_line().await
     }
 
-    /// Sends a query and reads its answer.
+    /// Sends a query and receives its response.
     ///
     /// # Errors
     ///
-    /// When the connection breaks before the answer is whole.
+    /// Returns an error if the connection breaks before the response is complete.
     ///
     /// See the example of [`LineClient::connect`].
     pub async fn query(&mut self, id: &str, text: &str) -> io::Result<LineReply> {
@@ -111,11 +112,11 @@
         self.reply().await
     }
 
-    /// Reads one answer.
+    /// Receives one response.
     ///
     /// # Errors
     ///
-    /// When the connection breaks before the answer is whole.
+    /// Returns an error if the connection breaks before the response is complete.
     pub async fn reply(&mut self) -> io::Result<LineReply> {
         let mut rows = Vec::new();
         loop {
--- a/crates/rudder-standins/src/lines/fleet.rs
+++ b/crates/rudder-standins/src/lines/fleet.rs
@@ -1,4 +1,5 @@
-//! A small deployment of the users' platform: store, group, and what both say of each other.
+//! A small deployment of the users' platform: object store, database group, and the objects that
+//! describe members and settings.
 
 use super::group::{LineGroup, LineMember};
 use crate::objects::ObjectsStandin;
@@ -9,92 +10,92 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The variable that names an instance's settings file.
+/// Name of the environment variable that holds the path of an instance's settings file.
 pub const BOOT_VARIABLE: &str = "ARBUTUSRUDDER_BOOT";
 
-/// Failure domains, each in a region of its own.
+/// Failure domains, each in its own region.
 const DOMAINS: [&str; 3] = ["north", "south", "west"];
 
 const CALLER_PORT: u16 = 6432;
 const READY_PORT: u16 = 6433;
 const PEER_PORT: u16 = 6434;
 
-/// When the members started, in milliseconds since 1970.
+/// Start time of the members in milliseconds since 1970.
 const MEMBER_START_MS: u64 = 1_700_000_000_000;
 
 static ADDRESS_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// What the reads of a database must see.
+/// Consistency level of a database's reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// Every acknowledged commit.
+    /// Reads see every acknowledged commit.
     Strict,
-    /// Every commit that was acknowledged 1.5 s ago.
+    /// Reads see every commit acknowledged at least 1.5 s ago.
     Bounded,
-    /// Every commit that was acknowledged 2.5 s ago, and those of the session.
+    /// Reads see every commit acknowledged at least 2.5 s ago, and all commits of their session.
     OwnWrites,
 }
 
-/// One database of the settings.
+/// A database declared in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineDatabase {
-    /// Its name.
+    /// Name of the database.
     pub name: String,
-    /// What its reads must see.
+    /// Consistency level of its reads.
     pub kind: LineKind,
-    /// Whether callers need no key.
+    /// Whether callers may connect without an API key.
     pub public: bool,
 }
 
-/// One client account of the settings.
+/// A client account declared in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LineAccount {
-    /// Its name.
+    /// Name of the account.
     pub name: String,
-    /// Its keys.
+    /// API keys of the account.
     pub keys: Vec<String>,
-    /// Operations a second, and at once beyond them; none if that is not limited.
+    /// Rate limit in operations per second and burst size; `None` if unlimited.
     pub limit: Option<(f64, f64)>,
 }
 
-/// A member's entry in the store.
+/// A member's registration in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineEntry {
-    /// The member's number, which gives its failure domain.
+    /// Index of the member, which selects its failure domain.
     pub number: usize,
-    /// The member.
+    /// Member to register.
     pub member: LineMember,
-    /// Where instances reach it.
+    /// Address at which instances reach the member.
     pub address: SocketAddr,
-    /// Whether it says that it is leaving.
+    /// Whether the member is registered as draining.
     pub leaving: bool,
 }
 
-/// Where one instance listens, and what it is told.
+/// Index and listen address of one proxy instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineSeat {
-    /// Its number, which gives its name and failure domain.
+    /// Index of the instance, which selects its name and failure domain.
     pub number: usize,
-    /// Where it listens for callers.
+    /// Address on which the instance accepts callers.
     pub callers: SocketAddr,
 }
 
-/// Store and group of one service.
+/// Object store and database group of one service.
 pub struct LineFleet {
-    /// The store.
+    /// Object store.
     pub store: ObjectsStandin,
-    /// The group.
+    /// Database group.
     pub group: LineGroup,
     service: String,
     accounts: Mutex<Option<Vec<LineAccount>>>,
 }
 
 impl LineFleet {
-    /// Starts a group of three members and a store that promotes them.
+    /// Starts a group of three members and a store that forwards promotions to them.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// Returns an error if no port is available.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -120,7 +121,7 @@
         Ok(Self { store, group, service: service.to_owned(), accounts: Mutex::default() })
     }
 
-    /// Writes the members' entries as the members would.
+    /// Writes the members' registrations as the members would.
     pub fn publish_members(&self, entries: &[LineEntry]) {
         for entry in entries {
             let state = if entry.leaving { "draining" } else { "ready" };
@@ -135,12 +136,12 @@
         }
     }
 
-    /// Sets the client accounts that the next versions of the settings declare.
+    /// Sets the client accounts declared by later versions of the settings.
     pub fn set_accounts(&self, accounts: Vec<LineAccount>) {
         *self.accounts.lock().unwrap_or_else(PoisonError::into_inner) = Some(accounts);
     }
 
-    /// Writes a version of the settings as the operator would.
+    /// Writes a version of the settings as an operator would.
     pub fn publish_settings(&self, version: u64, databases: &[LineDatabase]) {
         let routes: Vec<Value> = databases.iter().map(|database| self.route(database)).collect();
         let services = json!([{"name": self.service, "maxConnections": 40, "syncReplicas": 0}]);
@@ -167,8 +168,8 @@
         })
     }
 
-    /// A place for one more instance, at a loopback address that nothing else of this machine's
-    /// tests uses: a free port could be taken by another test before the instance binds it.
+    /// Returns an unused loopback address for one more instance. The address is specific to this
+    /// process and call, as another test could take a free port before the instance binds it.
     #[must_use]
     pub fn seat(number: usize) -> LineSeat {
         let count = ADDRESS_COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/rudder-standins/src/lines/group.rs
+++ b/crates/rudder-standins/src/lines/group.rs
@@ -1,4 +1,4 @@
-//! Members, logs, terms and replication of the stand-in.
+//! Members, logs, terms and replication of the line-protocol group.
 
 use super::session::serve_connection;
 use std::net::SocketAddr;
@@ -7,46 +7,47 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How long a superseded primary goes on after a promotion, unless it is told to step down.
+/// Time for which a superseded primary continues to act as primary after a promotion, unless it
+/// receives `STEPDOWN`.
 const SUPERSEDED_TIME: Duration = Duration::from_secs(1);
 
-/// Connections that a member takes.
+/// Maximum number of connections to a member.
 const CONNECTIONS_MAX: usize = 60;
 
-/// One committed change of a member's log.
+/// A committed entry in a member's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineCommit {
-    /// The term of the primary that committed it.
+    /// Term of the primary that committed it.
     pub term: u64,
-    /// Its number in the log.
+    /// Sequence number in the log.
     pub number: u64,
-    /// The writes, in order: request id, item, data.
+    /// Writes in order, each with request id, item and data.
     pub writes: Vec<(String, String, String)>,
-    /// When it was committed.
+    /// Time of the commit.
     pub at: Instant,
 }
 
-/// A statement of a caller that a member was asked to run.
+/// A caller's statement that a member received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineRun {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// Who connected.
+    /// User that connected.
     pub user: String,
-    /// Whether it is a statement outside of transactions, or the first one of a transaction.
+    /// Whether the statement is outside a transaction or the first one in a transaction.
     pub begins: bool,
-    /// When it came.
+    /// Time at which the member received it.
     pub at: Instant,
 }
 
-/// A member, as tests see it.
+/// Public view of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineMember {
-    /// Its id.
+    /// Id of the member.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the member listens.
     pub address: SocketAddr,
-    /// Whether it believes that it leads.
+    /// Whether the member acts as primary; a superseded primary still may.
     pub is_primary: bool,
 }
 
@@ -58,7 +59,7 @@
     pub(super) term: u64,
     pub(super) log: Vec<LineCommit>,
     pub(super) connections: usize,
-    /// Whether it answers; tells its connections when that ends.
+    /// Whether the member runs; its connections end when this becomes false.
     pub(super) running: watch::Sender<bool>,
 }
 
@@ -66,12 +67,12 @@
 pub(super) struct GroupState {
     pub(super) service: String,
     pub(super) members: Vec<MemberState>,
-    /// The member that replicas follow.
+    /// Index of the member that was promoted last, which the replicas follow.
     primary: usize,
     lag: Duration,
     tokens: Vec<u64>,
     promoted_at: Option<Instant>,
-    /// Ids of the writes that promotions have cut back.
+    /// Ids of the writes that promotions rolled back.
     cut_back: Vec<String>,
     runs: Vec<LineRun>,
 }
@@ -81,7 +82,7 @@
         self.runs.push(run);
     }
 
-    /// Brings a replica's log to where it is by now.
+    /// Applies the primary's commits that are older than the replication lag to a replica's log.
     pub(super) fn catch_up(&mut self, index: usize) {
         self.demote_superseded(index);
         let primary = &self.members[self.primary];
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A superseded primary learns of its successor and follows it.
+    /// Demotes a superseded primary once [`SUPERSEDED_TIME`] has passed since the promotion.
     fn demote_superseded(&mut self, index: usize) {
         let must_step_down = self.promoted_at.is_some_and(|at| at.elapsed() >= SUPERSEDED_TIME);
         if must_step_down {
@@ -113,7 +114,7 @@
         member.log.push(LineCommit { term: member.term, number, writes, at: Instant::now() });
     }
 
-    /// Makes a superseded primary a replica.
+    /// Demotes a superseded primary to a replica with an empty log.
     pub(super) fn step_down(&mut self, index: usize) {
         if index != self.primary && self.members[index].is_primary {
             self.members[index].is_primary = false;
@@ -142,7 +143,7 @@
         self.primary = index;
         let primary_log = self.members[index].log.clone();
         for member in self.members.iter_mut().filter(|member| !member.is_primary) {
-            // What the new primary lacks is rolled back.
+            // Commits that the new primary has not received are rolled back.
             let same = member.log.iter().zip(&primary_log).take_while(|(a, b)| a == b).count();
             member.log.truncate(same);
         }
@@ -150,18 +151,18 @@
     }
 }
 
-/// A running group. It ends with the runtime that started it.
+/// A running group. It stops with the runtime that started it.
 #[derive(Clone)]
 pub struct LineGroup {
     state: Arc<Mutex<GroupState>>,
 }
 
 impl LineGroup {
-    /// Starts `count` members on free ports of loopback; the first one leads.
+    /// Starts `count` members on free loopback ports; the first one is the primary.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// Returns an error if no port is available.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -211,7 +212,7 @@
         lock(&self.state)
     }
 
-    /// The members, in the order of their start.
+    /// Returns the members in the order of their start.
     #[must_use]
     pub fn members(&self) -> Vec<LineMember> {
         let view = |member: &MemberState| LineMember {
@@ -222,7 +223,8 @@
         self.state().members.iter().map(view).collect()
     }
 
-    /// Makes a member lead the next term, with what it has received; false if it is down.
+    /// Promotes a member to primary of the next term with the log that it has received. Returns
+    /// false if the member is stopped or unknown.
     #[must_use]
     pub fn promote(&self, id: &str, token: u64) -> bool {
         let mut state = self.state();
@@ -230,56 +232,56 @@
         state.promote(id)
     }
 
-    /// The fencing tokens of all promotions, in the order in which they came.
+    /// Returns the fencing tokens of all promotion requests, in the order received.
     #[must_use]
     pub fn tokens(&self) -> Vec<u64> {
         self.state().tokens.clone()
     }
 
-    /// Ends a member: its connections break and it refuses new ones. Its log stays.
+    /// Stops a member: its connections are closed and new ones are refused. Its log is kept.
     pub fn stop(&self, index: usize) {
         let mut state = self.state();
         state.members[index].running.send_replace(false);
         state.members[index].connections = 0;
     }
 
-    /// Starts a member again that was stopped, with the log that it had.
+    /// Restarts a stopped member with the log that it had.
     pub fn resume(&self, index: usize) {
         self.state().members[index].running.send_replace(true);
     }
 
-    /// Whether a member runs.
+    /// Returns whether a member runs.
     #[must_use]
     pub fn is_up(&self, index: usize) -> bool {
         *self.state().members[index].running.borrow()
     }
 
-    /// Ids of the writes that promotions have cut back: the member that was promoted had not
-    /// received them.
+    /// Returns the ids of the writes that promotions rolled back because the promoted member had
+    /// not received them.
     #[must_use]
     pub fn cut_back(&self) -> Vec<String> {
         self.state().cut_back.clone()
     }
 
-    /// The callers' statements that members were asked to run, in the order in which they came.
+    /// Returns the callers' statements that members received, in the order received.
     #[must_use]
     pub fn runs(&self) -> Vec<LineRun> {
         self.state().runs.clone()
     }
 
-    /// Sets how far behind the replicas are from now on.
+    /// Sets the replication lag.
     pub fn set_lag(&self, lag: Duration) {
         self.state().lag = lag;
     }
 
-    /// The log of the member that was promoted last.
+    /// Returns the log of the member that was promoted last.
     #[must_use]
     pub fn commits(&self) -> Vec<LineCommit> {
         let state = self.state();
         state.members[state.primary].log.clone()
     }
 
-    /// The log of a member.
+    /// Returns the log of a member.
     #[must_use]
     pub fn commits_at(&self, index: usize) -> Vec<LineCommit> {
         self.state().members[index].log.clone()
--- a/crates/rudder-standins/src/lines/mod.rs
+++ b/crates/rudder-standins/src/lines/mod.rs
@@ -1,4 +1,5 @@
-//! A database group that speaks the users' line protocol, in memory, with a caller and a deployment.
+//! An in-memory database group that speaks the users' line protocol, with a client and a
+//! deployment.
 
 mod client;
 mod fleet;
--- a/crates/rudder-standins/src/lines/session.rs
+++ b/crates/rudder-standins/src/lines/session.rs
@@ -1,4 +1,4 @@
-//! One connection to a member of the stand-in.
+//! Server side of one connection to a member.
 
 use super::group::{GroupState, LineCommit, LineRun, lock};
 use std::sync::Mutex;
@@ -6,20 +6,20 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// What a connection holds between statements.
+/// State of a connection between statements.
 #[derive(Default)]
 struct SessionState {
-    /// Who connected.
+    /// User that connected.
     user: String,
-    /// Values by name, in the order in which they were set.
+    /// Session values by name, in the order in which they were set.
     values: Vec<(String, String)>,
-    /// Prepared names with their shapes.
+    /// Names and texts of the prepared statements.
     names: Vec<(String, String)>,
     transaction: Option<OpenTransaction>,
 }
 
 struct OpenTransaction {
-    /// Whether no statement has come yet.
+    /// Whether no statement has been received yet.
     first: bool,
     read_only: bool,
     failed: bool,
@@ -27,13 +27,13 @@
 }
 
 impl OpenTransaction {
-    /// Whether the statement that comes now is the first one.
+    /// Returns whether the present statement is the first one, and clears the flag.
     fn take_first_statement(&mut self) -> bool {
         std::mem::take(&mut self.first)
     }
 }
 
-/// What a statement is answered with.
+/// Response to a statement: rows and proof, or the text of an error.
 enum LineResponse {
     Done(Vec<String>, String),
     Error(String),
@@ -234,7 +234,7 @@
     let log = group.members[index].log.iter().flat_map(|commit: &LineCommit| &commit.writes);
     let found = log.chain(own).rfind(|(_, known, _)| known == item);
     let data = found.map_or("none", |(_, _, data)| data.as_str());
-    // The values of the session come with the row, so that a test sees whose they are.
+    // The row includes the session values, so that a test can check which session served it.
     let mut values: Vec<String> =
         session.values.iter().map(|(name, value)| format!("{name}={value}")).collect();
     values.sort();
--- a/crates/rudder-standins/src/link/conditions.rs
+++ b/crates/rudder-standins/src/link/conditions.rs
@@ -1,4 +1,4 @@
-//! What a link does to the traffic that passes it, and the knobs that change it.
+//! Delay, jitter, loss and faults of a link, shared by its handle and its tasks.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,48 +9,48 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A way through a link.
+/// Direction of traffic through a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
-    /// From the side that connects to the target.
+    /// From the connecting side to the target.
     Forward,
-    /// From the target to the side that connects.
+    /// From the target to the connecting side.
     Backward,
 }
 
-/// What a link does with traffic of one direction.
+/// Fault of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Traffic passes, delayed as set.
+    /// Traffic is forwarded with the configured delay.
     #[default]
     None,
-    /// Traffic is dropped without a word. A connection that lost bytes stays silent for good,
-    /// also after the link is healed; new connections work then.
+    /// Traffic is dropped silently. A connection that lost bytes stays silent permanently, even
+    /// after the link is healed; new connections work then.
     Swallow,
-    /// Traffic waits until the link is healed, as if every packet were sent again and again.
+    /// Traffic is held until the link is healed, as if every packet were retransmitted.
     Hold,
 }
 
 rudder_core::plain_data! {
-    /// A link to one target.
+    /// Settings of a link to one target.
     pub struct LinkSettings {
-        /// Where the link listens; port 0 takes a free one.
+        /// Listen address; port 0 selects a free port.
         pub listen: SocketAddr,
-        /// Where traffic is forwarded to.
+        /// Address to which traffic is forwarded.
         pub target: SocketAddr,
-        /// Delay of one way.
+        /// One-way delay.
         pub delay: Duration,
-        /// Greatest addition to the delay, drawn anew for each chunk or datagram.
+        /// Maximum random addition to the delay, drawn for each chunk or datagram.
         pub jitter: Duration,
-        /// Share of datagrams that are lost, in percent. Streams lose nothing but by a fault.
+        /// Share of datagrams that are lost, in percent. Streams lose bytes only by a fault.
         pub loss_percent: u32,
-        /// Seed of jitter and loss.
+        /// Random seed of jitter and loss.
         pub seed: u64,
     }
 }
 
 impl LinkSettings {
-    /// A link from a free loopback port to `target`, without delay.
+    /// Returns the settings of a link from a free loopback port to `target` without delay.
     ///
     /// ```
     /// use rudder_standins::LinkSettings;
@@ -79,7 +79,7 @@
     generator: StdRng,
 }
 
-/// The present conditions of a link, shared by its handle and its tasks.
+/// Current conditions of a link.
 #[derive(Debug)]
 pub(crate) struct LinkConditions {
     timing: Mutex<LinkTiming>,
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Counts a chunk or datagram that a fault swallowed.
+    /// Counts a dropped datagram, or a stream direction that lost bytes.
     pub(crate) fn count_dropped(&self) {
         self.dropped_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// How many chunks or datagrams faults swallowed.
+    /// Returns the number of dropped datagrams, or of stream directions that lost bytes.
     pub(crate) fn dropped_count(&self) -> u64 {
         self.dropped_count.load(Ordering::Acquire)
     }
@@ -117,16 +117,15 @@
         self.timing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When traffic that enters now comes out.
+    /// Returns the time at which traffic received now is forwarded.
     pub(crate) fn due_time(&self) -> Instant {
         let mut timing = self.timing();
         let factor: f64 = timing.generator.random();
         Instant::now() + timing.delay + timing.jitter.mul_f64(factor)
     }
 
-    /// Whether the next datagram is lost.
+    /// Draws whether the next datagram is lost.
     pub(crate) fn draws_loss(&self) -> bool {
-        /// Loss is given in percent.
         const PERCENT_MAX: u32 = 100;
         let mut timing = self.timing();
         timing.loss_percent > 0
@@ -150,7 +149,7 @@
         }
     }
 
-    /// The fault of a direction at present.
+    /// Returns the current fault of a direction.
     pub(crate) fn fault(&self, direction: LinkDirection) -> LinkFault {
         *self.sender(direction).borrow()
     }
@@ -159,15 +158,16 @@
         self.sender(direction).send_replace(fault);
     }
 
-    /// Waits until traffic of a direction is no longer held, and tells what happens to it then.
+    /// Waits until traffic of a direction is no longer held and returns the fault that applies to
+    /// it then.
     pub(crate) async fn wait_until_released(&self, direction: LinkDirection) -> LinkFault {
         let mut faults = self.sender(direction).subscribe();
-        // The sender lives as long as `self`, so the wait ends by a change only.
+        // The sender cannot be dropped before `self`, so only a change ends the wait.
         let fault = faults.wait_for(|fault| *fault != LinkFault::Hold).await;
         fault.map_or(LinkFault::Swallow, |fault| *fault)
     }
 
-    /// Waits until a direction carries traffic.
+    /// Waits until a direction has no fault.
     pub(crate) async fn wait_until_healed(&self, direction: LinkDirection) {
         let mut faults = self.sender(direction).subscribe();
         let _ = faults.wait_for(|fault| *fault == LinkFault::None).await;
--- a/crates/rudder-standins/src/link/tcp.rs
+++ b/crates/rudder-standins/src/link/tcp.rs
@@ -1,4 +1,4 @@
-//! A link for streams.
+//! Link for TCP streams.
 
 use super::conditions::{LinkConditions, LinkDirection, LinkFault, LinkSettings};
 use bytes::{Bytes, BytesMut};
@@ -12,24 +12,25 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Bytes read at a time.
+/// Maximum number of bytes read at a time.
 const CHUNK_BYTES: usize = 64 << 10;
 
-/// Chunks on their way in one direction of a connection; they bound memory like a TCP window.
+/// Maximum number of chunks in flight in one direction of a connection. It bounds memory like a
+/// TCP window.
 const CHUNKS_IN_FLIGHT: usize = 256;
 
-/// How long a failed accept waits before the next.
+/// Delay after a failed accept before the next attempt.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// A TCP forwarder that delays, swallows or holds what passes. It stops when dropped.
+/// A TCP forwarder that delays, drops or holds traffic. It stops when dropped.
 ///
-/// The delay is one way: bytes that enter within a delay of each other travel together, so
-/// throughput is not bounded by one chunk per delay. Timers are exact to about a millisecond.
+/// Several chunks can be in flight within one one-way delay, so throughput is not bounded by one
+/// chunk per delay. Timers are accurate to about a millisecond.
 #[derive(Debug)]
 pub struct LinkStandin {
     address: SocketAddr,
     conditions: Arc<LinkConditions>,
-    /// Ends the connections that exist now; replaced by each reset.
+    /// Resets the existing connections when cancelled; replaced by each reset.
     connections: Arc<Mutex<CancellationToken>>,
     stop: CancellationToken,
 }
@@ -39,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// Returns an error if the listen address cannot be bound.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -72,7 +73,7 @@
         Ok(link)
     }
 
-    /// Where the link listens.
+    /// Returns the address on which the link listens.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -103,7 +104,7 @@
         self.conditions.set_delay(delay, jitter);
     }
 
-    /// Swallows or holds one direction, or heals it.
+    /// Sets the fault of one direction; [`LinkFault::None`] heals it.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -118,7 +119,7 @@
         self.conditions.set_fault(direction, fault);
     }
 
-    /// Swallows both directions.
+    /// Drops traffic in both directions.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -133,7 +134,7 @@
         self.set_fault(LinkDirection::Backward, LinkFault::Swallow);
     }
 
-    /// Ends the faults of both directions.
+    /// Clears the faults of both directions.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -148,7 +149,7 @@
         self.set_fault(LinkDirection::Backward, LinkFault::None);
     }
 
-    /// How many connections lost bytes by a fault, each direction counted on its own.
+    /// Returns how many connections lost bytes by a fault, counting each direction separately.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -163,7 +164,7 @@
         self.conditions.dropped_count()
     }
 
-    /// Resets all connections at both ends.
+    /// Resets all existing connections at both ends.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -207,7 +208,7 @@
     }
 }
 
-/// Carries one connection until both ends closed it or it is reset.
+/// Forwards one connection until both ends have closed it or it is reset.
 async fn forward_connection(
     inbound: TcpStream,
     target: SocketAddr,
@@ -224,11 +225,11 @@
         outbound = connecting => outbound.ok(),
     };
     let Some(outbound) = outbound else {
-        // A target that refuses shows at the near end as a reset.
+        // A refused connection to the target appears to the caller as a reset.
         let _ = inbound.set_zero_linger();
         return;
     };
-    // Without this, small messages wait for acknowledgements on top of the delay.
+    // Otherwise small messages would wait for acknowledgements in addition to the delay.
     let _ = inbound.set_nodelay(true);
     let _ = outbound.set_nodelay(true);
     let (mut inbound, mut outbound) = (inbound, outbound);
@@ -249,7 +250,7 @@
     }
 }
 
-/// Passes one direction on, each chunk after its delay and in order.
+/// Forwards one direction, each chunk after its delay and in order.
 async fn forward_direction(
     reader: impl AsyncRead + Unpin,
     writer: impl AsyncWrite + Unpin,
@@ -262,7 +263,7 @@
     tokio::try_join!(reading, writing).map(drop)
 }
 
-/// Reads chunks and notes when each comes out. The end of the stream is an empty chunk.
+/// Reads chunks and queues each with its due time. An empty chunk marks the end of the stream.
 async fn read_chunks(
     mut reader: impl AsyncRead + Unpin,
     sender: mpsc::Sender<(Instant, Bytes)>,
@@ -273,7 +274,7 @@
     loop {
         buffer.reserve(CHUNK_BYTES);
         let count = reader.read_buf(&mut buffer).await?;
-        // A stream keeps its order, whatever the jitter.
+        // Jitter must not reorder a stream.
         last = last.max(conditions.due_time());
         let sent = sender.send((last, buffer.split().freeze())).await;
         if count == 0 || sent.is_err() {
@@ -282,7 +283,7 @@
     }
 }
 
-/// Writes chunks when they are due.
+/// Writes each chunk when it is due.
 async fn write_chunks(
     mut writer: impl AsyncWrite + Unpin,
     mut receiver: mpsc::Receiver<(Instant, Bytes)>,
@@ -294,8 +295,8 @@
             tokio::time::sleep_until(due).await;
         }
         if conditions.wait_until_released(direction).await == LinkFault::Swallow {
-            // What came after lost bytes would make no sense to the receiver, so the connection
-            // stays silent; it ends by a reset only.
+            // The receiver could not parse bytes that follow lost ones, so the connection stays
+            // silent until it is reset.
             conditions.count_dropped();
             return std::future::pending().await;
         }
--- a/crates/rudder-standins/src/link/udp.rs
+++ b/crates/rudder-standins/src/link/udp.rs
@@ -1,4 +1,4 @@
-//! A link for datagrams.
+//! Link for UDP datagrams.
 
 use super::conditions::{LinkConditions, LinkDirection, LinkFault, LinkSettings};
 use bytes::Bytes;
@@ -9,12 +9,13 @@
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
 
-/// The greatest datagram.
+/// Maximum size of a datagram.
 const DATAGRAM_BYTES: usize = 64 << 10;
 
-/// A UDP forwarder with delay, jitter (which reorders), loss and cuts. It stops when dropped.
+/// A UDP forwarder with delay, jitter (which reorders datagrams), loss and faults. It stops when
+/// dropped.
 ///
-/// Each sender gets a socket of its own towards the target, so answers find their way back.
+/// Each sender gets its own socket to the target, so responses can be returned to that sender.
 #[derive(Debug)]
 pub struct DatagramLinkStandin {
     address: SocketAddr,
@@ -27,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// Returns an error if the listen address cannot be bound.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -59,7 +60,7 @@
         Ok(link)
     }
 
-    /// Where the link listens.
+    /// Returns the address on which the link listens.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -74,7 +75,7 @@
         self.address
     }
 
-    /// Changes delay, jitter and the share of lost datagrams in percent.
+    /// Sets delay, jitter and the share of lost datagrams in percent.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -91,7 +92,7 @@
         self.conditions.set_loss(loss_percent);
     }
 
-    /// Swallows or holds one direction, or heals it.
+    /// Sets the fault of one direction; [`LinkFault::None`] heals it.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Opens a sender's own socket towards the target and carries the answers back.
+    /// Opens a socket to the target for one sender and starts to forward the responses to it.
     async fn open_socket(&self, sender: SocketAddr) -> io::Result<Arc<UdpSocket>> {
         let outbound =
             Arc::new(UdpSocket::bind(SocketAddr::new(self.inbound.local_addr()?.ip(), 0)).await?);
@@ -193,7 +194,7 @@
         let sending = async move {
             tokio::time::sleep_until(due).await;
             if conditions.wait_until_released(direction).await == LinkFault::None {
-                // A datagram that cannot be sent is lost, as on any link.
+                // A datagram that cannot be sent is lost, as on a real link.
                 let _ = socket.send_to(&datagram, target).await;
             }
         };
@@ -206,7 +207,8 @@
     }
 }
 
-/// A refused earlier datagram shows as an error of the next receive; the loop must not spin.
+/// Pauses after a receive error, as the next receive fails if an earlier datagram was refused and
+/// the loop must not spin.
 async fn pause_after_error() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
--- a/crates/rudder-standins/src/objects/mod.rs
+++ b/crates/rudder-standins/src/objects/mod.rs
@@ -1,4 +1,4 @@
-//! The objects API of the users' platform, and its promotion call, in memory.
+//! In-memory stand-in for the objects API of the users' platform and its promotion call.
 
 mod routes;
 mod state;
--- a/crates/rudder-standins/src/objects/routes.rs
+++ b/crates/rudder-standins/src/objects/routes.rs
@@ -1,4 +1,4 @@
-//! The stand-in's HTTP interface.
+//! HTTP interface of the object store.
 
 use super::state::{ObjectEvent, ObjectRow, ObjectsCall, ObjectsFault, ObjectsShared};
 use axum::body::Bytes;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Objects on one page.
+/// Maximum number of objects on one page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// How long a lost answer takes to be given up by whoever waits for it.
+/// Delay of a lost response; longer than any caller waits.
 const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(3600);
 
 type Shared = State<Arc<ObjectsShared>>;
@@ -118,7 +118,7 @@
     respond_to_write(shared, row.to_json()).await
 }
 
-/// Answers a write that was done, unless its answer is to be lost.
+/// Responds to a completed write, unless the fault loses the response.
 async fn respond_to_write(shared: &ObjectsShared, object: Value) -> Response {
     shared.notify_watchers();
     if shared.state().fault == Some(ObjectsFault::LostWrites) {
--- a/crates/rudder-standins/src/objects/state.rs
+++ b/crates/rudder-standins/src/objects/state.rs
@@ -1,4 +1,4 @@
-//! Objects, revisions and faults of the stand-in.
+//! Objects, revisions and faults of the object store.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -6,33 +6,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Who is told of promotions: the service, the member, the fencing token. Returns whether the
-/// member runs.
+/// Callback for promotions with service, member and fencing token. Returns whether the member
+/// accepted the promotion.
 pub type PromotionSink = Arc<dyn Fn(&str, &str, u64) -> bool + Send + Sync>;
 
-/// What is wrong with the store.
+/// Fault of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObjectsFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It turns everybody away and does nothing.
+    /// Rejects every call as unavailable, without effect.
     Busy,
-    /// It does every write and answers none.
+    /// Carries out every write but sends no response to it.
     LostWrites,
 }
 
-/// What a call to the store was.
+/// Kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObjectsCall {
-    /// All objects of a kind, as they are.
+    /// Lists all objects of a kind, up to date.
     List,
-    /// The same, as they may have been some seconds ago.
+    /// Lists all objects of a kind; the caller accepts a result that is some seconds old.
     CachedList,
-    /// Changes of a kind are waited for.
+    /// Waits for changes of a kind.
     Watch,
-    /// One object is read.
+    /// Reads one object.
     Get,
-    /// One object is created, replaced or removed.
+    /// Creates, replaces or removes one object.
     Write,
 }
 
@@ -63,12 +63,12 @@
 
 #[derive(Default)]
 pub(super) struct ObjectsState {
-    /// Sorted by kind and name.
+    /// Objects, sorted by kind and name.
     pub(super) rows: Vec<ObjectRow>,
     pub(super) events: Vec<ObjectEvent>,
     pub(super) revision: u64,
     pub(super) fault: Option<ObjectsFault>,
-    /// How often the store was called, by what the call was.
+    /// Number of calls, sorted by kind of call.
     pub(super) calls: Vec<(ObjectsCall, u64)>,
 }
 
@@ -84,7 +84,7 @@
         self.rows.binary_search_by(|row| (row.kind.as_str(), row.name.as_str()).cmp(&(kind, name)))
     }
 
-    /// Creates or replaces an object; one that stays the same keeps its revision.
+    /// Creates or replaces an object. An unchanged object keeps its revision.
     pub(super) fn put(&mut self, kind: &str, name: &str, spec: Value) -> ObjectRow {
         let found = self.find(kind, name);
         if let Ok(index) = found
@@ -114,7 +114,7 @@
     }
 }
 
-/// A running stand-in. It ends with the runtime that started it.
+/// A running object store. It stops with the runtime that started it.
 #[derive(Clone)]
 pub struct ObjectsStandin {
     address: SocketAddr,
@@ -123,7 +123,7 @@
 
 pub(super) struct ObjectsShared {
     pub(super) state: Mutex<ObjectsState>,
-    /// The newest revision, for those that wait.
+    /// Notifies watchers of the newest revision.
     pub(super) changed: watch::Sender<u64>,
     pub(super) promotions: PromotionSink,
 }
@@ -140,11 +140,11 @@
 }
 
 impl ObjectsStandin {
-    /// Starts on a free port of loopback.
+    /// Starts the store on a free loopback port.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// Returns an error if no port is available.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -172,13 +172,13 @@
         Ok(Self { address, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the store listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes an object as the operator or a member would.
+    /// Writes an object as an operator or a member would.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.shared.state().put(kind, name, spec);
         self.shared.notify_watchers();
@@ -190,14 +190,14 @@
         self.shared.notify_watchers();
     }
 
-    /// An object's content.
+    /// Returns the content of an object.
     #[must_use]
     pub fn get(&self, kind: &str, name: &str) -> Option<Value> {
         let state = self.shared.state();
         state.find(kind, name).ok().map(|index| state.rows[index].spec.clone())
     }
 
-    /// How often it was called so, whatever came of it.
+    /// Returns the number of calls of a kind, failed ones included.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -215,7 +215,7 @@
         found.map_or(0, |index| state.calls[index].1)
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the fault of the store.
     pub fn set_fault(&self, fault: ObjectsFault) {
         self.shared.state().fault = Some(fault);
     }
--- a/crates/rudder-standins/src/platform/faults.rs
+++ b/crates/rudder-standins/src/platform/faults.rs
@@ -1,36 +1,36 @@
-//! The faults that the stand-in can be told to show.
+//! Faults that the platform stand-in can simulate.
 
 use rudder_core::plain_data;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How the platform is out of service.
+/// Kind of platform outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlatformOutage {
-    /// In service.
+    /// No outage.
     #[default]
     None,
-    /// Nobody listens; open connections break.
+    /// New connections are refused and open ones are reset at their next request.
     Refused,
-    /// Connections are accepted and nothing is answered.
+    /// Connections are accepted, but requests get no response.
     Hanging,
 }
 
 plain_data! {
-    /// The faults in force.
+    /// Active faults of the platform.
     #[derive(Default, Serialize, Deserialize)]
     #[serde(default)]
     pub struct PlatformFaults {
-        /// Time added to each call, half before its effect and half after.
+        /// Latency added to each call, half before its effect and half after.
         pub latency_ms: u64,
-        /// Whether the platform is out of service.
+        /// Present outage, if any.
         pub outage: PlatformOutage,
-        /// How many of the next changes take effect without their answer arriving.
+        /// Number of following changes that take effect although their response is lost.
         pub lost_answers: u32,
-        /// How many of the next changes take effect and are answered by a gateway's timeout.
+        /// Number of following changes that take effect although the response is a gateway timeout.
         pub gateway_timeouts: u32,
-        /// How many changes of their own kind of object reads are behind.
+        /// Number of changes of the same kind of object by which reads lag.
         pub stale_by: usize,
     }
 }
@@ -42,16 +42,16 @@
 }
 
 plain_data! {
-    /// The calls that the stand-in answered or cut, since its start.
+    /// Number of calls served or cut since the start of the stand-in.
     #[derive(Copy, Default, Serialize)]
     pub struct CallCounts {
-        /// Calls that change nothing.
+        /// Read calls.
         pub reads: u64,
-        /// Calls that change something, refused ones included.
+        /// Write calls, rejected ones included.
         pub writes: u64,
-        /// Bytes that came, headers included.
+        /// Bytes received, headers included.
         pub received_bytes: u64,
-        /// Bytes that were answered, headers included.
+        /// Bytes sent, headers included.
         pub sent_bytes: u64,
     }
 }
--- a/crates/rudder-standins/src/platform/instances.rs
+++ b/crates/rudder-standins/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances, which shows a change only after its lag.
+//! The platform's instance list, in which changes become visible after a lag.
 
 use rudder_core::{InstanceName, plain_data};
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,20 @@
 use std::time::{Duration, Instant};
 
 plain_data! {
-    /// One instance as the platform's list shows it.
+    /// An instance in the platform's list.
     #[derive(Serialize, Deserialize)]
     pub struct StandinInstance {
-        /// Its name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Its IP number.
+        /// IP address of the instance.
         pub address: IpAddr,
-        /// Whether it is leaving.
+        /// Whether the instance is leaving.
         #[serde(default)]
         pub leaving: bool,
     }
 }
 
-/// The list as it is shown, and as it will be shown.
+/// Currently visible list, and pending lists with the time at which each becomes visible.
 #[derive(Default)]
 pub(crate) struct InstanceList {
     visible: Vec<StandinInstance>,
@@ -28,12 +28,12 @@
 }
 
 impl InstanceList {
-    /// Replaces the list; it is shown `lag` after `now`.
+    /// Replaces the list; the change becomes visible `lag` after `now`.
     pub(crate) fn set(&mut self, entries: Vec<StandinInstance>, now: Instant, lag: Duration) {
         self.pending.push((now + lag, entries));
     }
 
-    /// The list as the API writes it, at `now`.
+    /// Returns the list visible at `now` as an `EndpointSliceList`.
     pub(crate) fn endpoint_slices(&mut self, service: &str, now: Instant) -> Value {
         let due = self.pending.iter().take_while(|(visible_at, _)| *visible_at <= now).count();
         if let Some((_, entries)) = self.pending.drain(..due).next_back() {
--- a/crates/rudder-standins/src/platform/listener.rs
+++ b/crates/rudder-standins/src/platform/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that stops listening during an outage, and connections that can be cut.
+//! A listener that closes its socket during an outage, and connections that can be cut.
 
 use super::faults::PlatformOutage;
 use axum::extract::connect_info::Connected;
@@ -15,10 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long to wait before binding the address or accepting is tried again.
+/// Delay before binding or accepting is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Breaks one connection from inside a request's handler.
+/// Resets one connection from within a request handler.
 #[derive(Clone, Default)]
 pub(crate) struct ConnectionCut {
     state: Arc<CutState>,
@@ -31,7 +31,7 @@
 }
 
 impl ConnectionCut {
-    /// Breaks the connection; the handler that calls this is dropped with it.
+    /// Resets the connection. The calling handler is dropped with it.
     pub(crate) async fn cut(&self) -> ! {
         self.state.cut.store(true, Ordering::Release);
         self.state.waker.wake();
@@ -53,14 +53,14 @@
     }
 }
 
-/// The bytes of all connections.
+/// Byte counters over all connections.
 #[derive(Default)]
 pub(crate) struct WireCounters {
     pub(crate) received: AtomicU64,
     pub(crate) sent: AtomicU64,
 }
 
-/// A connection that [`ConnectionCut`] can break.
+/// A connection that [`ConnectionCut`] can reset.
 pub(crate) struct CuttableStream {
     stream: TcpStream,
     cut: ConnectionCut,
--- a/crates/rudder-standins/src/platform/mod.rs
+++ b/crates/rudder-standins/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! A small object API in the platform's place: versions, conflicts, faults on demand.
+//! In-memory stand-in for the platform's Kubernetes-style object API, with versions, conflicts and
+//! faults on request.
 
 mod faults;
 mod instances;
@@ -19,7 +20,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// A running stand-in; it ends when this is dropped.
+/// A running platform stand-in. It stops when dropped.
 pub struct PlatformStandin {
     address: SocketAddr,
     state: Arc<StandinState>,
@@ -27,7 +28,7 @@
 }
 
 impl PlatformStandin {
-    /// Starts a stand-in that listens at `listen`; port 0 takes a free one.
+    /// Starts a stand-in that listens at `listen`; port 0 selects a free port.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -39,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn start(listen: SocketAddr) -> io::Result<Self> {
         let (sender, receiver) = watch::channel(PlatformOutage::None);
         let counters = Arc::new(WireCounters::default());
@@ -52,7 +53,7 @@
         Ok(Self { address, state, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the stand-in listens.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -66,7 +67,7 @@
         self.address
     }
 
-    /// Its address as the platform's client wants it.
+    /// Returns the base URL for the platform's client.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -80,7 +81,7 @@
         format!("http://{}", self.address)
     }
 
-    /// Puts exactly these faults in force.
+    /// Replaces the active faults.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -95,7 +96,7 @@
         self.state.set_faults(faults);
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -109,7 +110,7 @@
         self.state.faults()
     }
 
-    /// Replaces the list of instances; it is shown after `lag`.
+    /// Replaces the list of instances; the change becomes visible after `lag`.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -122,7 +123,7 @@
         self.state.set_instances(entries, lag);
     }
 
-    /// How many calls came, cut ones included.
+    /// Returns the number of calls received, including those that were cut.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -139,7 +140,8 @@
 
 impl Drop for PlatformStandin {
     fn drop(&mut self) {
-        // Connections outlive the listener's task; the outage cuts them at their next request.
+        // Aborting the listener's task closes no connections; the outage cuts them at their next
+        // request.
         let outage = PlatformOutage::Refused;
         self.state.set_faults(PlatformFaults { outage, ..PlatformFaults::default() });
         self.server.abort();
--- a/crates/rudder-standins/src/platform/objects.rs
+++ b/crates/rudder-standins/src/platform/objects.rs
@@ -1,8 +1,8 @@
-//! The stand-in's objects: one growing version counter, conditional changes.
+//! Objects of the platform stand-in, with one increasing version counter and conditional changes.
 
 use serde_json::Value;
 
-/// One object of any kind.
+/// A stored object of any kind.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ObjectRow {
     pub(crate) plural: String,
@@ -11,12 +11,12 @@
     pub(crate) body: Value,
 }
 
-/// Why a change was refused.
+/// Reason why a change was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeRefusal {
-    /// Another version stands, or the name is taken.
+    /// The object has another version, or the name already exists.
     Conflict,
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
 }
 
--- a/crates/rudder-standins/src/platform/routes.rs
+++ b/crates/rudder-standins/src/platform/routes.rs
@@ -1,4 +1,5 @@
-//! The stand-in's HTTP interface: objects by the conventions of Kubernetes, and the fault switches.
+//! HTTP interface of the platform stand-in: objects by the conventions of Kubernetes, and control
+//! of faults.
 
 use super::faults::{PlatformFaults, PlatformOutage};
 use super::instances::StandinInstance;
@@ -20,13 +21,13 @@
 const OBJECT: &str = "/apis/arbutusrudder.dev/v1/namespaces/{namespace}/{plural}/{name}";
 const SLICES: &str = "/apis/discovery.k8s.io/v1/namespaces/{namespace}/endpointslices";
 
-/// The kind of answer that leaves an object's content out.
+/// Kind of a response that omits the object's content.
 const METADATA_ONLY: &str = "PartialObjectMetadata";
 
 type Shared = State<Arc<StandinState>>;
 type Connection = ConnectInfo<ConnectionCut>;
 
-/// All routes over one state.
+/// Returns the router with all routes.
 pub(crate) fn router(state: Arc<StandinState>) -> Router {
     Router::new()
         .route(OBJECTS, get(list_objects).post(create_object))
@@ -147,7 +148,8 @@
 
 #[derive(Deserialize)]
 struct FaultQuery {
-    /// After this time the faults end by themselves; the way out of a refusing outage.
+    /// Time after which the faults are cleared. It is the only way to end a refusing outage over
+    /// HTTP.
     for_ms: Option<u64>,
 }
 
@@ -185,7 +187,7 @@
     Json(state.calls()).into_response()
 }
 
-/// Counts the call and shows the faults that come before its effect.
+/// Counts the call and applies the faults that precede its effect.
 async fn begin_call(state: &StandinState, cut: &ConnectionCut, writes: bool) {
     state.count(writes);
     let faults = state.faults();
@@ -196,11 +198,12 @@
     }
 }
 
-/// Shows the faults that come after the effect.
+/// Applies the latency that follows the effect of a call.
 async fn delay_response(state: &StandinState) {
     tokio::time::sleep(state.faults().half_latency()).await;
 }
 
+/// Cuts the connection if the response to a completed change is to be lost, or delays it.
 async fn finish_change(state: &StandinState, cut: &ConnectionCut, changed: bool) {
     if changed && state.take_lost_response() {
         cut.cut().await;
@@ -221,7 +224,7 @@
     }
 }
 
-/// Kinds of different namespaces are kept apart by this prefix.
+/// Prefixes a kind with its namespace, which separates the objects of different namespaces.
 fn scoped_plural(namespace: &str, plural: &str) -> String {
     format!("{namespace}/{plural}")
 }
--- a/crates/rudder-standins/src/platform/state.rs
+++ b/crates/rudder-standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the stand-in's requests share.
+//! State shared by the request handlers of the platform stand-in.
 
 use super::faults::{CallCounts, PlatformFaults, PlatformOutage};
 use super::instances::{InstanceList, StandinInstance};
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How many changes reads can be behind.
+/// Maximum number of changes by which reads can lag.
 const HISTORY_MAX: usize = 64;
 
-/// Objects, instances, faults and counters behind one lock.
+/// Objects, instances, faults and counters, protected by one lock.
 pub(crate) struct StandinState {
     inner: Mutex<StandinInner>,
     outage: watch::Sender<PlatformOutage>,
@@ -23,14 +23,14 @@
 #[derive(Default)]
 struct StandinInner {
     table: ObjectTable,
-    /// The last changes, oldest first, for stale reads.
+    /// Latest changes, oldest first, for stale reads.
     history: Vec<PastChange>,
     instances: InstanceList,
     faults: PlatformFaults,
     calls: CallCounts,
 }
 
-/// The kind of object that was changed, and the state before.
+/// Kind of the changed object and the table before the change.
 struct PastChange {
     plural: String,
     before: ObjectTable,
@@ -41,7 +41,7 @@
         Self { inner: Mutex::default(), outage, counters }
     }
 
-    /// Reads objects of a kind, as they are or as many changes of that kind ago as is set.
+    /// Reads objects of a kind, lagging by the configured number of changes of that kind.
     pub(crate) fn read<T>(&self, plural: &str, view: impl FnOnce(&ObjectTable) -> T) -> T {
         let inner = self.lock();
         let changes = inner.history.iter().rev().filter(|change| change.plural == plural);
@@ -79,12 +79,13 @@
         self.outage.send_replace(outage);
     }
 
-    /// Whether the answer to a change that took effect is lost; uses one up.
+    /// Returns whether the response to a completed change is lost, and decrements the number left.
     pub(crate) fn take_lost_response(&self) -> bool {
         take_one(&mut self.lock().faults.lost_answers)
     }
 
-    /// Whether a change that took effect is answered by a gateway's timeout; uses one up.
+    /// Returns whether the response to a completed change is a gateway timeout, and decrements the
+    /// number left.
     pub(crate) fn take_gateway_timeout(&self) -> bool {
         take_one(&mut self.lock().faults.gateway_timeouts)
     }
@@ -107,7 +108,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, StandinInner> {
-        // A handler that panicked leaves whole rows behind, so its lock may be taken over.
+        // A handler that panics leaves only complete rows, so a poisoned lock can be used.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/rudder-standins/src/trial/caller.rs
+++ b/crates/rudder-standins/src/trial/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes, reads, repeats under a key, and moves between proxies.
+//! A caller that writes, reads, retries requests with an idempotency key, and switches proxies.
 
 use super::schedule::TrialSchedule;
 use crate::deployment::Deployment;
@@ -14,19 +14,19 @@
 use tokio::time::timeout;
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// Rows that the callers share.
+/// Number of rows that the callers share.
 const ROW_COUNT: u64 = 6;
 
-/// A request without an answer after this long is given up by the caller.
+/// Timeout after which a caller gives up on a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Pause between two requests of one caller.
 const REQUEST_PAUSE: Duration = Duration::from_millis(8);
 
-/// Tries of a request with a key, the first included.
+/// Maximum number of attempts of a request with a key, the first included.
 const KEY_ATTEMPTS_MAX: u32 = 6;
 
-/// What all callers of a run share.
+/// State shared by all callers of a run.
 pub(super) struct TrialShared {
     service: String,
     proxies: Mutex<Vec<Option<SocketAddr>>>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Tells callers that a proxy is gone or where its successor is.
+    /// Sets the address of a replaced proxy; `None` if it is stopped.
     pub(super) fn replace_proxy(&self, index: usize, address: Option<SocketAddr>) {
         self.proxies.lock().expect("no holder of this lock panics")[index] = address;
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// What one caller saw.
+/// Requests and outcomes of one caller.
 #[derive(Default)]
 pub(super) struct CallerRecord {
     pub(super) writes: Vec<WriteRecord>,
@@ -72,18 +72,18 @@
     pub(super) unanswered: usize,
 }
 
-/// One caller and its session.
+/// A caller and its session.
 pub(super) struct TrialCaller {
     shared: Arc<TrialShared>,
     rng: StdRng,
     session: SessionId,
-    /// Whether the session is carried by its token, rather than named by its id only.
+    /// Whether the caller sends the session's token when it connects, rather than only its id.
     sends_token: bool,
-    /// Whether its reads accept no age at all.
+    /// Whether its reads accept no staleness.
     strict: bool,
     token: Option<String>,
     client: Option<Client>,
-    /// Whether the last answer said that a request with the key ran before.
+    /// Whether the last response said that a request with the key had already run.
     already_run: bool,
     record: CallerRecord,
 }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Runs until the trial is over.
+    /// Sends requests until the run is stopped.
     pub(super) async fn run(mut self) -> CallerRecord {
         while !self.shared.stopped.load(Ordering::Relaxed) {
             if self.rng.random_ratio(1, 12) {
@@ -154,8 +154,8 @@
         self.record_write(stored, invoked, None, outcome).await;
     }
 
-    /// Sends a request with a key until its outcome is known, at whichever proxy. Every try adds a
-    /// value of its own, so that the end shows which one ran.
+    /// Retries a request with an idempotency key at any proxy until its outcome is known. Each
+    /// attempt inserts a different value, so that the stored data shows which one ran.
     async fn write_with_key(&mut self) {
         let first = self.new_value();
         let key: RequestKey =
@@ -181,7 +181,7 @@
         StoredValue { row: format!("r{}", self.rng.random_range(0..ROW_COUNT)), value }
     }
 
-    /// Sends a statement; `None` if the connection ended without an answer.
+    /// Sends a statement; `None` if there was no response, as the connection ended or timed out.
     async fn send(&mut self, text: &str) -> Option<(WriteOutcome, Vec<SimpleQueryMessage>)> {
         let client = self.client.as_ref()?;
         match timeout(REQUEST_TIMEOUT, client.simple_query(text)).await {
@@ -212,7 +212,7 @@
         if answered.is_none() {
             self.record.unanswered += 1;
         }
-        // Without an answer nobody can tell, which is what `Unknown` says.
+        // Without a response it is unknown whether the write took effect.
         let outcome = answered.unwrap_or(WriteOutcome::Refused(OutcomeClass::Unknown));
         let returned = self.shared.started.elapsed();
         let session = self.session.clone();
@@ -231,8 +231,8 @@
         });
         match token {
             Some(token) => self.token = Some(token),
-            // The acknowledgement came, its token did not: from now on the session can only be
-            // named.
+            // The write was acknowledged, but its token could not be fetched, so the session can
+            // only be identified by its id from now on.
             None => self.sends_token = false,
         }
     }
@@ -259,14 +259,15 @@
     format!("INSERT INTO entries VALUES ('{}', {})", stored.row, stored.value)
 }
 
-/// The class that the proxy gave an error, by its detail; none if the connection ended.
+/// Returns the outcome class of an error by its DETAIL; `None` if the connection ended.
 fn outcome_class(error: &tokio_postgres::Error) -> Option<OutcomeClass> {
     let error = error.as_db_error()?;
     match error.detail() {
         Some("outcome: not_run") => Some(OutcomeClass::NotRun),
-        // The key's change may be that of this very try, made before its answer was lost.
+        // The change recorded under the key may be that of this attempt, made before its response
+        // was lost.
         Some("outcome: unknown" | "outcome: already_run") => Some(OutcomeClass::Unknown),
-        // The connection was refused or told to go elsewhere before the request ran.
+        // The proxy refused the connection, or closed it before the request ran.
         _ if error.code().code().starts_with("57P") => Some(OutcomeClass::NotRun),
         _ => Some(OutcomeClass::Failed),
     }
--- a/crates/rudder-standins/src/trial/mod.rs
+++ b/crates/rudder-standins/src/trial/mod.rs
@@ -1,4 +1,5 @@
-//! Concurrent runs of a whole deployment under generated faults, recorded for the history checker.
+//! Runs a complete deployment with concurrent callers under generated faults and records the
+//! history for the checker.
 
 mod caller;
 mod schedule;
@@ -15,10 +16,10 @@
 use tokio::task::JoinSet;
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// Callers of one run.
+/// Number of callers of a run.
 const CALLER_COUNT: usize = 12;
 
-/// How long the group is given to take writes again once every fault is over.
+/// Time within which the group must accept writes again after the last fault has ended.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 const SETTINGS: &str = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"2s\"\n\
@@ -26,22 +27,22 @@
                         [callers.auditor]\nusers = [\"auditor\"]\nstaleness = \"0ms\"\n\
                         queue_wait = \"2s\"\nin_flight_max = 400\n";
 
-/// What a run showed.
+/// Result of a run.
 pub struct TrialReport {
-    /// What callers were told, and what the primary holds at the end.
+    /// Outcomes reported to the callers, and the primary's data at the end.
     pub log: HistoryLog,
-    /// Requests that ended in no answer that the checker knows, such as a broken connection.
+    /// Number of requests without a response, for example because the connection broke.
     pub unanswered: usize,
-    /// Whether the group took writes again after the last fault was over.
+    /// Whether the group accepted writes again after the last fault had ended.
     pub recovered: bool,
 }
 
-/// Runs callers against three proxies and a group of three, while the faults of `schedule` come
-/// and go.
+/// Runs callers against three proxies and a group of three members, while the faults of `schedule`
+/// start and end.
 ///
 /// # Errors
 ///
-/// [`DeploymentError`] when the deployment does not start.
+/// Returns a [`DeploymentError`] if the deployment does not start.
 ///
 /// ```
 /// # tokio::runtime::Runtime::new()?.block_on(async {
@@ -71,8 +72,8 @@
     Ok(build_report(records, stored, recovered))
 }
 
-/// A service name that no other run uses. Guards against callers of another run in the same machine:
-/// the port of a proxy that died may be given to a proxy of that run, and they would write here.
+/// Returns a service name that no other run on this machine uses. A proxy of this run may get the
+/// port of a killed proxy of another run, whose callers would otherwise write to this run's group.
 fn unique_service_name() -> ServiceName {
     static RUN_COUNT: AtomicU64 = AtomicU64::new(0);
     let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
@@ -108,7 +109,7 @@
         .expect("a fresh deployment takes writes");
 }
 
-/// Writes through a proxy until one is acknowledged.
+/// Retries a write through a proxy until it is acknowledged or [`RECOVERY_TIMEOUT`] has passed.
 async fn await_recovery(deployment: &Deployment) -> bool {
     let started = Instant::now();
     while started.elapsed() < RECOVERY_TIMEOUT {
@@ -129,7 +130,7 @@
     false
 }
 
-/// Everything that the real primary holds, asked of the member itself.
+/// Reads all stored values directly from the primary with the latest accepted position.
 async fn read_primary(deployment: &Deployment) -> Vec<StoredValue> {
     let group = &deployment.groups[0];
     let primaries = group.members().filter_map(|(name, address)| {
--- a/crates/rudder-standins/src/trial/schedule.rs
+++ b/crates/rudder-standins/src/trial/schedule.rs
@@ -1,4 +1,4 @@
-//! Faults and when they come and go, generated from a seed.
+//! Faults with their start and end times, generated from a seed.
 
 use super::caller::TrialShared;
 use crate::deployment::Deployment;
@@ -11,43 +11,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long after the last fault is over callers still run.
+/// Time for which callers still run after the last fault has ended.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
 
-/// A fault that the trial can bring about.
+/// Kind of a simulated fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The primary dies; it comes back as a replica of nobody when the fault is over.
+    /// The primary is killed; it restarts as a replica without a primary when the fault ends.
     KillPrimary,
-    /// The primary stops answering and wakes when the fault is over.
+    /// The primary stops responding and resumes when the fault ends.
     FreezePrimary,
-    /// The primary is cut off from members and proxies, but lives.
+    /// The primary keeps running, but is partitioned from members and proxies.
     CutPrimary,
-    /// One proxy loses its link to the primary, in both directions.
+    /// One proxy loses its link to the primary in both directions.
     CutLink,
-    /// One proxy still reaches the primary, but hears no answers.
+    /// One proxy can send to the primary, but receives no responses.
     DeafLink,
-    /// The connections of every proxy to one member go silent for good; new ones work.
+    /// The present connections of every proxy to the primary become silent permanently; new ones
+    /// work.
     SilentConnections,
-    /// The replicas apply late.
+    /// The replicas apply commits late.
     ReplicaLag,
-    /// One replica receives nothing.
+    /// One replica receives no commits.
     PausedReplica,
-    /// The platform hangs.
+    /// The platform accepts connections, but sends no responses.
     PlatformHangs,
-    /// Nobody listens at the platform.
+    /// The platform refuses connections.
     PlatformGone,
-    /// The platform takes half a second for each call.
+    /// Each call to the platform takes half a second.
     PlatformSlow,
-    /// The next changes take effect at the platform without an answer.
+    /// The next changes take effect at the platform, but their responses are lost.
     LostAnswers,
-    /// A proxy dies and another takes its place when the fault is over.
+    /// A proxy is killed and replaced when the fault ends.
     KillProxy,
     /// Two operators submit conflicting files at the same moment.
     RacingOperators,
 }
 
-/// Every fault, for generated schedules.
+/// All kinds of fault, for generated schedules.
 const ALL_FAULTS: [FaultKind; 14] = [
     FaultKind::KillPrimary,
     FaultKind::FreezePrimary,
@@ -66,34 +67,34 @@
 ];
 
 plain_data! {
-    /// A fault with its times, counted from the start of the run.
+    /// A fault with its start and end, relative to the start of the run.
     #[derive(Copy)]
     pub struct TimedFault {
-        /// What.
+        /// Kind of the fault.
         pub kind: FaultKind,
-        /// When it comes.
+        /// Start of the fault.
         pub from: Duration,
-        /// When it is over.
+        /// End of the fault.
         pub until: Duration,
-        /// Which proxy it strikes, where it strikes one.
+        /// Index of the affected proxy, for faults that affect a single one.
         pub proxy: usize,
     }
 }
 
 plain_data! {
-    /// The faults of one run.
+    /// Schedule of faults of one run.
     pub struct TrialSchedule {
-        /// The faults, in any order.
+        /// Faults in any order.
         pub faults: Vec<TimedFault>,
-        /// How long callers run.
+        /// Time for which callers run.
         pub length: Duration,
-        /// Seed of the callers' choices.
+        /// Random seed of the callers.
         pub seed: u64,
     }
 }
 
 impl TrialSchedule {
-    /// A single fault that comes after 0.4 s and stays for `duration`.
+    /// Returns a schedule with a single fault that starts after 0.4 s and lasts for `duration`.
     ///
     /// ```
     /// use rudder_standins::{FaultKind, TrialSchedule};
@@ -109,7 +110,7 @@
         Self { faults, length: until + SETTLE_TIME, seed }
     }
 
-    /// Two faults at the same time.
+    /// Returns a schedule with two simultaneous faults.
     ///
     /// ```
     /// use rudder_standins::{FaultKind, TrialSchedule};
@@ -126,7 +127,7 @@
         schedule
     }
 
-    /// Two to four faults of any kind, which may overlap.
+    /// Generates two to four faults of any kind, which may overlap.
     ///
     /// ```
     /// use rudder_standins::TrialSchedule;
@@ -148,7 +149,7 @@
         Self { faults, length: end + SETTLE_TIME, seed }
     }
 
-    /// Brings the faults about and ends them, then waits for the end of the run.
+    /// Starts and ends the faults at their times, then waits for the end of the run.
     pub(super) async fn run_faults(&self, deployment: &mut Deployment, shared: &TrialShared) {
         let started = Instant::now();
         let mut steps: Vec<(Duration, TimedFault, bool)> = Vec::new();
@@ -203,7 +204,7 @@
             for links in &deployment.links {
                 links.members[0][member].cut();
             }
-            // What was under way in this moment is lost for good; what comes after is not.
+            // Traffic sent during this interval is lost permanently; later traffic is not.
             tokio::time::sleep(Duration::from_millis(30)).await;
             deployment.links.iter().for_each(|links| links.members[0][member].heal());
         }
@@ -273,7 +274,8 @@
     let name: Option<MemberName> =
         deployment.groups[0].members().nth(member).map(|(name, _)| name.clone());
     if let Some(name) = name {
-        // A knob may not fit what an overlapping fault left behind; the run goes on without it.
+        // A change may not apply to the state left by an overlapping fault; the run continues
+        // without it.
         let _ = deployment.groups[0].turn(&name, knob);
     }
 }
@@ -283,7 +285,8 @@
     deployment.platform.set_faults(faults);
 }
 
-/// Two files that give one value differently; both are accepted in some order, or refused.
+/// Submits two files with different values for one key concurrently. Either result is valid: the
+/// platform accepts both in some order, or refuses them.
 async fn submit_conflicting_files(deployment: &Deployment) {
     let file = |wait: &str| format!("[timing]\nread_wait = \"{wait}\"\n");
     let (first, second) = (file("40ms"), file("60ms"));
