--- a/crates/rudder-standins/src/deployment/mod.rs
+++ b/crates/rudder-standins/src/deployment/mod.rs
@@ -29,9 +29,9 @@
 pub enum DeploymentError {
     /// a socket could not be opened: {0}
     Socket(std::io::Error),
-    /// the platform stand-in gave no answer: {0}
+    /// the platform stand-in did not respond: {0}
     Platform(StoreError),
-    /// the settings were not accepted: {0}
+    /// the settings were rejected: {0}
     Settings(SubmitError),
     /// a proxy did not start: {0}
     Proxy(ProxyError),
--- a/crates/rudder-standins/src/objects/state.rs
+++ b/crates/rudder-standins/src/objects/state.rs
@@ -166,7 +166,7 @@
         let router = super::routes::router(Arc::clone(&shared));
         tokio::spawn(async move {
             if let Err(error) = axum::serve(listener, router).await {
-                log::error!(reason:% = error; "the objects stand-in ended");
+                log::error!(reason:% = error; "the objects stand-in stopped");
             }
         });
         Ok(Self { address, shared })
