--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -13,7 +13,9 @@
     relay_batch,
 };
 use crate::group::{ConfirmOutcome, GroupState};
-use rudder_core::{MemberRole, MemberStatus, ReadNeed, ReadVerdict, RefusalNotice, judge_read};
+use rudder_core::{
+    MemberRole, MemberStatus, ReadDecision, ReadRequirement, RefusalNotice, decide_read,
+};
 use rudder_decisions::{ReadDemand, ReadRoute, RouteChoice, RouteReason, WorkClass};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -228,12 +230,12 @@
     let group = &attempt.group;
     let bound = session.bound();
     let unknown = session.knowledge != FloorKnowledge::Known;
-    let need = ReadNeed { floor: session.floor(), bound, as_of: group.board.now() };
-    let verdict = group.board.with_ledger(|ledger| judge_read(status, &need, ledger));
-    match verdict {
-        ReadVerdict::Serve => !unknown || confirm_leadership(attempt, status, arrived).await,
-        ReadVerdict::TooOldForSession => false,
-        ReadVerdict::TooOldForBound => confirm_leadership(attempt, status, arrived).await,
+    let requirement = ReadRequirement { floor: session.floor(), bound, as_of: group.board.now() };
+    let decision = group.board.with_ledger(|ledger| decide_read(status, &requirement, ledger));
+    match decision {
+        ReadDecision::Serve => !unknown || confirm_leadership(attempt, status, arrived).await,
+        ReadDecision::TooOldForSession => false,
+        ReadDecision::TooOldForBound => confirm_leadership(attempt, status, arrived).await,
     }
 }
 
--- a/crates/arbutusrudder/src/group/confirm.rs
+++ b/crates/arbutusrudder/src/group/confirm.rs
@@ -5,7 +5,7 @@
 
 use super::state::GroupState;
 use rudder_core::{
-    AckVerdict, LogStamp, LogTerm, MemberName, MemberStatus, judge_commit, judge_term,
+    AckDecision, LogStamp, LogTerm, MemberName, MemberStatus, decide_commit, decide_term,
 };
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -53,7 +53,7 @@
         within: Duration,
     ) -> ConfirmOutcome {
         let members = self.members.len();
-        let decide = |reports: &[_]| judge_commit(commit, members, reports);
+        let decide = |reports: &[_]| decide_commit(commit, members, reports);
         let outcome = self.confirm(Duration::ZERO, within, decide).await;
         if outcome == ConfirmOutcome::Acknowledged {
             self.record_acknowledged_term(commit.term);
@@ -70,19 +70,19 @@
         within: Duration,
     ) -> ConfirmOutcome {
         let members = self.members.len();
-        self.confirm(since, within, |reports| judge_term(term, members, reports)).await
+        self.confirm(since, within, |reports| decide_term(term, members, reports)).await
     }
 
     async fn confirm(
         &self,
         since: Duration,
         within: Duration,
-        decide: impl Fn(&[(MemberName, MemberStatus)]) -> AckVerdict,
+        decide: impl Fn(&[(MemberName, MemberStatus)]) -> AckDecision,
     ) -> ConfirmOutcome {
         let decide_now = || match decide(&self.reports_since(since)) {
-            AckVerdict::Acknowledged => Some(ConfirmOutcome::Acknowledged),
-            AckVerdict::Superseded => Some(ConfirmOutcome::Superseded),
-            AckVerdict::Waiting => None,
+            AckDecision::Acknowledged => Some(ConfirmOutcome::Acknowledged),
+            AckDecision::Superseded => Some(ConfirmOutcome::Superseded),
+            AckDecision::Waiting => None,
         };
         if let Some(outcome) = decide_now() {
             return outcome;
--- a/crates/arbutusrudder/src/keeper/group_keeper.rs
+++ b/crates/arbutusrudder/src/keeper/group_keeper.rs
@@ -240,8 +240,8 @@
         }
         let condition = self.reports.condition(since);
         match &condition {
-            GroupCondition::Led { .. } => {}
-            GroupCondition::Leaderless { .. } | GroupCondition::Unheard => {
+            GroupCondition::HasPrimary { .. } => {}
+            GroupCondition::NoPrimary { .. } | GroupCondition::NoReports => {
                 self.detector.note_failure(self.elapsed());
             }
         }
@@ -283,7 +283,8 @@
     ) {
         self.reports.record(member, requested_at, status);
         self.record_accepted_term(self.reports.greatest_accepted_term());
-        if let GroupCondition::Led { primary, .. } = self.reports.condition(self.window_start)
+        if let GroupCondition::HasPrimary { primary, .. } =
+            self.reports.condition(self.window_start)
             && let Some(requested_at) = self.reports.requested_at(&primary)
             && requested_at > self.primary_seen_at
         {
@@ -295,7 +296,9 @@
     /// Points members to the primary that do not follow it: members of a lower term, all members
     /// when this keeper first sees a term, and members whose log makes no progress.
     fn repair(&mut self, condition: &GroupCondition) {
-        let GroupCondition::Led { primary, term, strays, .. } = condition else { return };
+        let GroupCondition::HasPrimary { primary, term, members_behind, .. } = condition else {
+            return;
+        };
         let reports = self.reports.requested_since(self.window_start);
         let Some((_, primary_status)) = reports.iter().find(|(member, _)| member == primary) else {
             return;
@@ -308,7 +311,7 @@
         for (member, status) in reports.iter().filter(|(member, _)| member != primary) {
             let stalled =
                 self.stall.note(member, *status, primary_status.received, now, stall_timeout);
-            if is_new || stalled || strays.contains(member) {
+            if is_new || stalled || members_behind.contains(member) {
                 to_repoint.push(member.clone());
             }
         }
--- a/crates/arbutusrudder/src/keeper/report_table.rs
+++ b/crates/arbutusrudder/src/keeper/report_table.rs
@@ -3,7 +3,7 @@
 use super::view::{GroupView, MemberReport};
 use rudder_core::{FreshSample, GroupCondition};
 use rudder_core::{
-    LogTerm, MemberName, MemberStatus, ServiceName, TimedReport, confirm_sample, judge_group,
+    LogTerm, MemberName, MemberStatus, ServiceName, TimedReport, assess_group, confirm_sample,
 };
 use std::time::Duration;
 use tokio::time::Instant;
@@ -65,18 +65,17 @@
     }
 
     pub(super) fn condition(&self, since: Instant) -> GroupCondition {
-        judge_group(self.reports.len(), &self.requested_since(since))
+        assess_group(self.reports.len(), &self.requested_since(since))
     }
 
     pub(super) fn view(&self, service: &ServiceName, term: LogTerm, since: Instant) -> GroupView {
-        let (term, primary) = match self.condition(since) {
-            GroupCondition::Led { primary, term: primary_term, confirmed: true, .. }
-                if primary_term >= term =>
-            {
-                (primary_term, Some(primary))
-            }
-            _ => (term, None),
-        };
+        let (term, primary) =
+            match self.condition(since) {
+                GroupCondition::HasPrimary {
+                    primary, term: primary_term, confirmed: true, ..
+                } if primary_term >= term => (primary_term, Some(primary)),
+                _ => (term, None),
+            };
         let sample = primary.as_ref().and_then(|_| self.sample(since));
         GroupView {
             service: service.clone(),
--- a/crates/arbutusrudder/src/keeper/tests/fixture.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fixture.rs
@@ -7,8 +7,8 @@
 use crate::keeper::view::GroupView;
 use crate::keeper::{KeeperConfig, KeeperMember, KeeperRanking};
 use rudder_core::{
-    AckVerdict, HistoryLog, OutcomeClass, PlanMember, ServiceName, StoredValue, WriteOutcome,
-    WriteRecord, judge_commit,
+    AckDecision, HistoryLog, OutcomeClass, PlanMember, ServiceName, StoredValue, WriteOutcome,
+    WriteRecord, decide_commit,
 };
 use rudder_settings::TimingSettings;
 use std::pin::pin;
@@ -215,10 +215,10 @@
         let model = group.model();
         let up = model.members.iter().filter(|member| member.up);
         let reports: Vec<_> = up.map(|member| (member.name.clone(), member.status())).collect();
-        match judge_commit(commit, model.members.len(), &reports) {
-            AckVerdict::Acknowledged => return WriteOutcome::Acknowledged,
-            AckVerdict::Superseded => break,
-            AckVerdict::Waiting => {}
+        match decide_commit(commit, model.members.len(), &reports) {
+            AckDecision::Acknowledged => return WriteOutcome::Acknowledged,
+            AckDecision::Superseded => break,
+            AckDecision::Waiting => {}
         }
     }
     WriteOutcome::Refused(OutcomeClass::Unknown)
--- a/crates/rudder-core/src/ack.rs
+++ b/crates/rudder-core/src/ack.rs
@@ -12,7 +12,7 @@
 
 /// The decision on a commit from the reports received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AckVerdict {
+pub enum AckDecision {
     /// A majority reports the commit at the commit's own term.
     Acknowledged,
     /// Too few members have reported the commit so far, and none reported a greater term.
@@ -37,26 +37,26 @@
 /// `reports` holds the latest report of each member that was requested after the commit.
 ///
 /// ```
-/// use rudder_core::{AckVerdict, LogStamp, judge_commit};
-/// assert_eq!(judge_commit(LogStamp::new(1, 9), 3, &[]), AckVerdict::Waiting);
+/// use rudder_core::{AckDecision, LogStamp, decide_commit};
+/// assert_eq!(decide_commit(LogStamp::new(1, 9), 3, &[]), AckDecision::Waiting);
 /// ```
 #[must_use]
-pub fn judge_commit(
+pub fn decide_commit(
     commit: LogStamp,
     members: usize,
     reports: &[(MemberName, MemberStatus)],
-) -> AckVerdict {
+) -> AckDecision {
     // Without this check, an isolated primary that does not know of its successor would
     // acknowledge writes that the successor never receives.
     if reports.iter().any(|(_, status)| status.accepted > commit.term) {
-        return AckVerdict::Superseded;
+        return AckDecision::Superseded;
     }
     let holds = |status: &MemberStatus| status.accepted == commit.term && status.received >= commit;
     let accepting_count = reports.iter().filter(|(_, status)| holds(status)).count();
     if accepting_count >= majority_of(members) {
-        AckVerdict::Acknowledged
+        AckDecision::Acknowledged
     } else {
-        AckVerdict::Waiting
+        AckDecision::Waiting
     }
 }
 
@@ -86,23 +86,23 @@
 /// see the newest data. `reports` holds reports that were requested after the read arrived.
 ///
 /// ```
-/// use rudder_core::{AckVerdict, LogTerm, judge_term};
-/// assert_eq!(judge_term(LogTerm(1), 3, &[]), AckVerdict::Waiting);
+/// use rudder_core::{AckDecision, LogTerm, decide_term};
+/// assert_eq!(decide_term(LogTerm(1), 3, &[]), AckDecision::Waiting);
 /// ```
 #[must_use]
-pub fn judge_term(
+pub fn decide_term(
     term: LogTerm,
     members: usize,
     reports: &[(MemberName, MemberStatus)],
-) -> AckVerdict {
+) -> AckDecision {
     // Without this check, an isolated primary would serve outdated data as current.
     if reports.iter().any(|(_, status)| status.accepted > term) {
-        return AckVerdict::Superseded;
+        return AckDecision::Superseded;
     }
     let accepting_count = reports.iter().filter(|(_, status)| status.accepted == term).count();
     if accepting_count >= majority_of(members) {
-        AckVerdict::Acknowledged
+        AckDecision::Acknowledged
     } else {
-        AckVerdict::Waiting
+        AckDecision::Waiting
     }
 }
--- a/crates/rudder-core/src/freshness/mod.rs
+++ b/crates/rudder-core/src/freshness/mod.rs
@@ -6,5 +6,5 @@
 mod sample;
 
 pub use ledger::AgeLedger;
-pub use read::{ReadNeed, ReadVerdict, judge_read};
+pub use read::{ReadDecision, ReadRequirement, decide_read};
 pub use sample::{FreshSample, TimedReport, confirm_sample};
--- a/crates/rudder-core/src/freshness/read.rs
+++ b/crates/rudder-core/src/freshness/read.rs
@@ -9,7 +9,7 @@
 plain_data! {
     /// The consistency requirements of a read.
     #[derive(Copy)]
-    pub struct ReadNeed {
+    pub struct ReadRequirement {
         /// The minimum stamp for its session; `None` if the session has written nothing.
         pub floor: Option<LogStamp>,
         /// Maximum age of the data that the kind of caller accepts.
@@ -22,7 +22,7 @@
 
 /// The decision on a read at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadVerdict {
+pub enum ReadDecision {
     /// The result may be returned to the caller.
     Serve,
     /// The member has not applied the minimum stamp of the session.
@@ -36,27 +36,34 @@
 /// the status reports.
 ///
 /// ```
-/// use rudder_core::{AgeLedger, LogStamp, LogTerm, MemberRole, MemberStatus, ReadNeed, ReadVerdict};
+/// use rudder_core::{
+///     AgeLedger, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision, ReadRequirement,
+/// };
 /// use std::time::Duration;
 /// let applied = LogStamp::new(1, 4);
 /// let role = MemberRole::Replica;
 /// let status = MemberStatus { role, accepted: LogTerm(1), received: applied, applied };
 /// let floor = Some(LogStamp::new(1, 5));
-/// let need = ReadNeed { floor, bound: Duration::from_secs(1), as_of: Duration::ZERO };
-/// let verdict = rudder_core::judge_read(&status, &need, &AgeLedger::default());
-/// assert_eq!(verdict, ReadVerdict::TooOldForSession);
+/// let bound = Duration::from_secs(1);
+/// let requirement = ReadRequirement { floor, bound, as_of: Duration::ZERO };
+/// let decision = rudder_core::decide_read(&status, &requirement, &AgeLedger::default());
+/// assert_eq!(decision, ReadDecision::TooOldForSession);
 /// ```
 #[must_use]
-pub fn judge_read(status: &MemberStatus, need: &ReadNeed, ledger: &AgeLedger) -> ReadVerdict {
+pub fn decide_read(
+    status: &MemberStatus,
+    requirement: &ReadRequirement,
+    ledger: &AgeLedger,
+) -> ReadDecision {
     // Otherwise a session could miss its own write at a lagging member. Stamps compare by term
     // first: a member with a longer log of an older term may lack the write.
-    if need.floor.is_some_and(|floor| status.applied < floor) {
-        return ReadVerdict::TooOldForSession;
+    if requirement.floor.is_some_and(|floor| status.applied < floor) {
+        return ReadDecision::TooOldForSession;
     }
     // Otherwise a lagging replica or an isolated primary could serve outdated data as current.
     // Without a confirmed sample the age is unknown, which is treated as too old.
-    match ledger.age_of(status.applied, need.as_of) {
-        Some(age) if age <= need.bound => ReadVerdict::Serve,
-        _ => ReadVerdict::TooOldForBound,
+    match ledger.age_of(status.applied, requirement.as_of) {
+        Some(age) if age <= requirement.bound => ReadDecision::Serve,
+        _ => ReadDecision::TooOldForBound,
     }
 }
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -17,11 +17,11 @@
 mod succession;
 mod unit;
 
-pub use ack::{AckVerdict, judge_commit, judge_term, majority_of, stamp_of_commit};
+pub use ack::{AckDecision, decide_commit, decide_term, majority_of, stamp_of_commit};
 pub use control::{ControlStatement, STATUS_COLUMNS, TERM_REFUSED_SQLSTATE};
 pub use error::ParseError;
 pub use freshness::{
-    AgeLedger, FreshSample, ReadNeed, ReadVerdict, TimedReport, confirm_sample, judge_read,
+    AgeLedger, FreshSample, ReadDecision, ReadRequirement, TimedReport, confirm_sample, decide_read,
 };
 pub use history::{
     HistoryFault, HistoryLog, ReadRecord, StoredValue, WriteOutcome, WriteRecord, check_history,
@@ -36,6 +36,6 @@
 pub use succession::{
     GrantError, GroupCondition, KeeperSeat, ObserverVote, PlanBounds, PlanMember, PlanReply,
     PlanRequest, PlanState, StallWatch, SuccessionGrant, SuccessionPlan, SuspicionTally,
-    SwitchOrder, TermPurse, TermReservation, VoteKind, WriterMark, choose_candidate, judge_group,
+    SwitchOrder, TermPurse, TermReservation, VoteKind, WriterMark, assess_group, choose_candidate,
 };
 pub use unit::{ByteSize, ConnectionCount, MemberSpeed, RequestRate, SlotCount};
--- a/crates/rudder-core/src/succession/mod.rs
+++ b/crates/rudder-core/src/succession/mod.rs
@@ -19,7 +19,7 @@
 mod tally;
 
 pub use candidate::choose_candidate;
-pub use condition::{GroupCondition, judge_group};
+pub use condition::{GroupCondition, assess_group};
 pub use grant::{GrantError, SuccessionGrant};
 pub use order::SwitchOrder;
 pub use plan::SuccessionPlan;
--- a/crates/rudder-core/tests/ack.rs
+++ b/crates/rudder-core/tests/ack.rs
@@ -1,7 +1,7 @@
 //! Tests of the decision whether a commit may be acknowledged.
 
 use rudder_core::{
-    AckVerdict, LogStamp, LogTerm, MemberName, MemberRole, MemberStatus, judge_commit,
+    AckDecision, LogStamp, LogTerm, MemberName, MemberRole, MemberStatus, decide_commit,
     stamp_of_commit,
 };
 
@@ -17,9 +17,9 @@
 fn majority_that_holds_the_commit_acknowledges_it() {
     let reports = [report("m0", 2, COMMIT), report("m1", 2, LogStamp::new(2, 10))];
 
-    let verdict = judge_commit(COMMIT, 3, &reports);
+    let decision = decide_commit(COMMIT, 3, &reports);
 
-    assert_eq!(verdict, AckVerdict::Acknowledged);
+    assert_eq!(decision, AckDecision::Acknowledged);
 }
 
 // An isolated primary accepts a write after its successor was promoted. The caller must not wait for
@@ -28,9 +28,9 @@
 fn greater_accepted_term_supersedes_the_commit() {
     let reports = [report("m0", 2, COMMIT), report("m1", 3, LogStamp::new(2, 8))];
 
-    let verdict = judge_commit(COMMIT, 3, &reports);
+    let decision = decide_commit(COMMIT, 3, &reports);
 
-    assert_eq!(verdict, AckVerdict::Superseded);
+    assert_eq!(decision, AckDecision::Superseded);
 }
 
 // A member that has not accepted the primary's term can still be fenced by a lower term, and its log
@@ -39,9 +39,9 @@
 fn report_of_a_lower_term_does_not_count() {
     let reports = [report("m0", 2, COMMIT), report("m1", 1, COMMIT)];
 
-    let verdict = judge_commit(COMMIT, 3, &reports);
+    let decision = decide_commit(COMMIT, 3, &reports);
 
-    assert_eq!(verdict, AckVerdict::Waiting);
+    assert_eq!(decision, AckDecision::Waiting);
 }
 
 fn status(role: MemberRole, accepted: u64, received: LogStamp) -> MemberStatus {
--- a/crates/rudder-core/tests/freshness.rs
+++ b/crates/rudder-core/tests/freshness.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rudder_core::{
-    AgeLedger, FreshSample, LogStamp, LogTerm, MemberRole, MemberStatus, ReadNeed, ReadVerdict,
-    TimedReport, confirm_sample, judge_read,
+    AgeLedger, FreshSample, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision,
+    ReadRequirement, TimedReport, confirm_sample, decide_read,
 };
 use std::time::Duration;
 
@@ -80,14 +80,15 @@
     let mut ledger = AgeLedger::default();
     ledger.note(FreshSample { sent_at: secs(10), stamp: LogStamp::new(2, 5) });
     ledger.note(FreshSample { sent_at: secs(20), stamp: LogStamp::new(2, 9) });
-    let need = |bound| ReadNeed { floor: None, bound: secs(bound), as_of: secs(22) };
-    let judge =
-        |position, bound| judge_read(&replica(LogStamp::new(2, position)), &need(bound), &ledger);
+    let requirement = |bound| ReadRequirement { floor: None, bound: secs(bound), as_of: secs(22) };
+    let decide = |position, bound| {
+        decide_read(&replica(LogStamp::new(2, position)), &requirement(bound), &ledger)
+    };
 
-    let verdicts = [judge(9, 2), judge(9, 1), judge(8, 5), judge(8, 12), judge(4, 9_999)];
+    let decisions = [decide(9, 2), decide(9, 1), decide(8, 5), decide(8, 12), decide(4, 9_999)];
 
-    let (serve, too_old) = (ReadVerdict::Serve, ReadVerdict::TooOldForBound);
-    assert_eq!(verdicts, [serve, too_old, too_old, serve, too_old]);
+    let (serve, too_old) = (ReadDecision::Serve, ReadDecision::TooOldForBound);
+    assert_eq!(decisions, [serve, too_old, too_old, serve, too_old]);
 }
 
 // A session wrote at term 2 and reads from a member that is still at term 1 with a longer log.
@@ -96,14 +97,16 @@
 fn session_floor_compares_terms_first() {
     let mut ledger = AgeLedger::default();
     ledger.note(FreshSample { sent_at: secs(10), stamp: LogStamp::new(1, 1) });
-    let need = ReadNeed { floor: Some(LogStamp::new(2, 5)), bound: secs(60), as_of: secs(11) };
-    let judge =
-        |term, position| judge_read(&replica(LogStamp::new(term, position)), &need, &ledger);
+    let requirement =
+        ReadRequirement { floor: Some(LogStamp::new(2, 5)), bound: secs(60), as_of: secs(11) };
+    let decide = |term, position| {
+        decide_read(&replica(LogStamp::new(term, position)), &requirement, &ledger)
+    };
 
-    let verdicts = [judge(1, 90), judge(2, 4), judge(2, 5)];
+    let decisions = [decide(1, 90), decide(2, 4), decide(2, 5)];
 
-    let too_old = ReadVerdict::TooOldForSession;
-    assert_eq!(verdicts, [too_old, too_old, ReadVerdict::Serve]);
+    let too_old = ReadDecision::TooOldForSession;
+    assert_eq!(decisions, [too_old, too_old, ReadDecision::Serve]);
 }
 
 // A primary is isolated from its group but still responds to this proxy. Its log may no longer be
--- a/crates/rudder-core/tests/succession/faults.rs
+++ b/crates/rudder-core/tests/succession/faults.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rudder_core::{
-    AckVerdict, ControlStatement, GroupCondition, LogStamp, LogTerm, MemberName, MemberRole,
-    MemberStatus, PlanBounds, PlanMember, PlanReply, PlanState, SuccessionPlan, judge_commit,
-    judge_group, majority_of,
+    AckDecision, ControlStatement, GroupCondition, LogStamp, LogTerm, MemberName, MemberRole,
+    MemberStatus, PlanBounds, PlanMember, PlanReply, PlanState, SuccessionPlan, assess_group,
+    decide_commit, majority_of,
 };
 use std::time::Duration;
 
@@ -144,8 +144,8 @@
         let write = &mut self.writes[index];
         write.reports.retain(|(known, _)| *known != name);
         write.reports.push((name, status));
-        let verdict = judge_commit(write.commit, size, &write.reports);
-        write.acknowledged |= verdict == AckVerdict::Acknowledged;
+        let decision = decide_commit(write.commit, size, &write.reports);
+        write.acknowledged |= decision == AckDecision::Acknowledged;
     }
 
     fn begin(&mut self, promoter: usize, target: Option<MemberName>) {
@@ -226,8 +226,8 @@
             members.filter(|(index, member)| member.up && visible >> index & 1 == 1);
         let reports: Vec<_> =
             visible_members.map(|(_, member)| (member.name.clone(), member.status())).collect();
-        let condition = judge_group(self.size(), &reports);
-        let GroupCondition::Led { primary, term, .. } = condition else { return };
+        let condition = assess_group(self.size(), &reports);
+        let GroupCondition::HasPrimary { primary, term, .. } = condition else { return };
         for (member, _) in reports.into_iter().filter(|(member, _)| *member != primary) {
             let statement = ControlStatement::Follow(term, primary.clone());
             self.messages.push(Message { promoter: None, term, member, statement });
--- a/crates/rudder-core/tests/succession/suspicion.rs
+++ b/crates/rudder-core/tests/succession/suspicion.rs
@@ -2,7 +2,7 @@
 
 use rudder_core::{
     GroupCondition, LogStamp, LogTerm, MemberRole, MemberStatus, ObserverVote, StallWatch,
-    SuspicionTally, VoteKind, judge_group,
+    SuspicionTally, VoteKind, assess_group,
 };
 use std::time::Duration;
 
@@ -139,12 +139,13 @@
         report("m2", MemberRole::Replica, 2),
     ];
 
-    let condition = judge_group(3, &reports);
+    let condition = assess_group(3, &reports);
 
     let primary = "m1".parse().expect("a valid name");
-    let strays = vec!["m0".parse().expect("a valid name")];
-    let led = GroupCondition::Led { primary, term: LogTerm(2), confirmed: true, strays };
-    assert_eq!(condition, led);
+    let members_behind = vec!["m0".parse().expect("a valid name")];
+    let expected =
+        GroupCondition::HasPrimary { primary, term: LogTerm(2), confirmed: true, members_behind };
+    assert_eq!(condition, expected);
 }
 
 // A promoter failed after fencing. The old primary responds, but members already reject its writes.
@@ -156,9 +157,9 @@
         report("m2", MemberRole::Replica, 2),
     ];
 
-    let condition = judge_group(3, &reports);
+    let condition = assess_group(3, &reports);
 
-    assert_eq!(condition, GroupCondition::Leaderless { term: LogTerm(2) });
+    assert_eq!(condition, GroupCondition::NoPrimary { term: LogTerm(2) });
 }
 
 #[test]
--- a/crates/rudder-standins/src/group/replication/tests/succession.rs
+++ b/crates/rudder-standins/src/group/replication/tests/succession.rs
@@ -6,8 +6,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rudder_core::{
-    AckVerdict, ControlStatement, LogPosition, LogStamp, LogTerm, MemberName, MemberStatus,
-    judge_commit, majority_of,
+    AckDecision, ControlStatement, LogPosition, LogStamp, LogTerm, MemberName, MemberStatus,
+    decide_commit, majority_of,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,11 +101,11 @@
             commit.statuses.push((member.name.clone(), status));
         }
         let count = self.members.len();
-        let decision = |commit: &PendingCommit| judge_commit(commit.stamp, count, &commit.statuses);
+        let decision = |commit: &PendingCommit| decide_commit(commit.stamp, count, &commit.statuses);
         let done =
-            self.commits.iter().filter(|commit| decision(commit) == AckVerdict::Acknowledged);
+            self.commits.iter().filter(|commit| decision(commit) == AckDecision::Acknowledged);
         self.acknowledged.extend(done.map(|commit| commit.stamp));
-        self.commits.retain(|commit| decision(commit) == AckVerdict::Waiting);
+        self.commits.retain(|commit| decision(commit) == AckDecision::Waiting);
     }
 
     fn toggle_cut(&mut self) {
