--- a/crates/arbutusrudder/src/keeper/grant_client.rs
+++ b/crates/arbutusrudder/src/keeper/grant_client.rs
@@ -2,7 +2,7 @@
 
 use displaydoc::Display;
 use rudder_core::{
-    InstanceName, KeeperSeat, LogTerm, MemberName, ServiceName, SuccessionGrant, WriterMark,
+    InstanceName, KeeperRun, LogTerm, MemberName, ServiceName, SuccessionGrant, WriterMark,
 };
 use rudder_store::{ObjectKind, ObjectVersion, PlatformStore, StoreError};
 use std::sync::Arc;
@@ -54,9 +54,12 @@
         Self { store, service, instance }
     }
 
-    /// Takes the next term by a conditional update. `accepted` is the greatest term that members
-    /// are known to have accepted.
-    pub(super) async fn take_term(&self, accepted: LogTerm) -> Result<LogTerm, GrantClientError> {
+    /// Grants this instance the next term by a conditional update. `accepted` is the greatest term
+    /// that members are known to have accepted.
+    pub(super) async fn grant_next_term(
+        &self,
+        accepted: LogTerm,
+    ) -> Result<LogTerm, GrantClientError> {
         let mark = WriterMark::random();
         for _ in 0..UPDATE_ATTEMPTS_MAX {
             let (version, grant) = self.read_or_create(accepted).await?;
@@ -66,9 +69,9 @@
             if *grant.mark() == mark {
                 return Ok(grant.term());
             }
-            let taken = grant.take(self.instance.clone(), accepted, mark.clone());
-            match self.put(Some(&version), &taken).await {
-                Ok(()) => return Ok(taken.term()),
+            let granted = grant.grant_next_term(self.instance.clone(), accepted, mark.clone());
+            match self.put(Some(&version), &granted).await {
+                Ok(()) => return Ok(granted.term()),
                 Err(GrantClientError::Store(StoreError::Conflict | StoreError::Unresolved)) => {}
                 Err(error) => return Err(error),
             }
@@ -76,14 +79,14 @@
         Err(GrantClientError::Contended)
     }
 
-    /// Reserves a term for this run unless the grant already has one, and returns the grant.
-    pub(super) async fn reserve_term(
+    /// Reserves terms for this run unless the grant already has enough, and returns the grant.
+    pub(super) async fn reserve_terms(
         &self,
-        seat: &KeeperSeat,
+        run: &KeeperRun,
         keepers: &[InstanceName],
         accepted: LogTerm,
     ) -> Result<SuccessionGrant, GrantClientError> {
-        self.change(accepted, |grant| grant.enrol(seat, keepers, accepted)).await
+        self.change(accepted, |grant| grant.reserve_terms(run, keepers, accepted)).await
     }
 
     /// Records the confirmed primary in the grant, and returns the grant.
@@ -92,7 +95,7 @@
         primary: &MemberName,
         term: LogTerm,
     ) -> Result<SuccessionGrant, GrantClientError> {
-        self.change(term, |grant| grant.settle(primary, term)).await
+        self.change(term, |grant| grant.record_primary(primary, term)).await
     }
 
     /// Applies an idempotent change, retrying on conflicts, until the stored grant needs no further
--- a/crates/arbutusrudder/src/keeper/group_keeper.rs
+++ b/crates/arbutusrudder/src/keeper/group_keeper.rs
@@ -15,7 +15,7 @@
 use super::view::GroupView;
 use rudder_core::{
     ControlStatement, GroupCondition, LogTerm, MemberName, MemberStatus, ObserverVote, StallWatch,
-    SuspicionTally, TermPurse, VoteKind, WriterMark,
+    SuspicionTally, TermReserve, VoteKind, WriterMark,
 };
 use rudder_endpoint::ControlError;
 use std::sync::Arc;
@@ -73,7 +73,7 @@
     pub(super) platform_calls: JoinSet<PlatformResult>,
     pub(super) reports: ReportTable,
     pub(super) detector: SuspicionTally,
-    pub(super) reserved_terms: TermPurse,
+    pub(super) reserved_terms: TermReserve,
     pub(super) stall: StallWatch,
     pub(super) schedule: PromotionSchedule,
     pub(super) ranking: KeeperRanking,
@@ -130,7 +130,7 @@
             detector,
             // The mark identifies this task, not the process: a restarted keeper must not reuse a
             // reserved term that its predecessor may have used.
-            reserved_terms: TermPurse::new(WriterMark::random()),
+            reserved_terms: TermReserve::new(WriterMark::random()),
             stall: StallWatch::default(),
             schedule: PromotionSchedule::default(),
             ranking,
--- a/crates/arbutusrudder/src/keeper/platform_calls.rs
+++ b/crates/arbutusrudder/src/keeper/platform_calls.rs
@@ -10,7 +10,7 @@
     GRANT_REFRESH_INTERVAL, GRANT_RETRY_INTERVAL, ORDER_POLL_INTERVAL, PLATFORM_CALL_TIMEOUT,
     PLATFORM_CALLS_MAX,
 };
-use rudder_core::{KeeperSeat, LogTerm, SuccessionGrant, SwitchOrder};
+use rudder_core::{KeeperRun, LogTerm, SuccessionGrant, SwitchOrder};
 use rudder_store::ObjectVersion;
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
     pub(super) fn take_call_result(&mut self, result: PlatformResult) {
         match result {
             PlatformResult::Grant(Ok(grant)) => {
-                self.reserved_terms.refill(&grant);
+                self.reserved_terms.update(&grant);
                 self.recorded_term = grant.primary().map_or(LogTerm(0), |(_, term)| term);
             }
             PlatformResult::Grant(Err(error)) => {
@@ -80,7 +80,7 @@
     /// Reserves a term for this run in the platform, and records a newly confirmed primary there.
     fn spawn_reservation(&mut self) {
         let client = self.client.clone();
-        let seat = KeeperSeat {
+        let run = KeeperRun {
             instance: self.config.instance.clone(),
             incarnation: self.reserved_terms.incarnation().clone(),
         };
@@ -95,7 +95,7 @@
             {
                 return PlatformResult::Grant(Err(error));
             }
-            PlatformResult::Grant(client.reserve_term(&seat, &keepers, accepted).await)
+            PlatformResult::Grant(client.reserve_terms(&run, &keepers, accepted).await)
         });
     }
 
--- a/crates/arbutusrudder/src/keeper/promotion.rs
+++ b/crates/arbutusrudder/src/keeper/promotion.rs
@@ -63,9 +63,11 @@
     /// Returns the next term: one granted by the platform, or the reserved one if the platform does
     /// not respond in time. No other run gets the same term.
     async fn next_term(&mut self) -> Option<LogTerm> {
-        let granted =
-            tokio::time::timeout(GRANT_CALL_TIMEOUT, self.client.take_term(self.accepted_term))
-                .await;
+        let granted = tokio::time::timeout(
+            GRANT_CALL_TIMEOUT,
+            self.client.grant_next_term(self.accepted_term),
+        )
+        .await;
         match granted {
             Ok(Ok(term)) => {
                 self.record_decision(DecisionReason::TermGranted, term, None);
@@ -73,7 +75,7 @@
             }
             Ok(Err(GrantClientError::Contended)) => None,
             Ok(Err(_)) | Err(_) => {
-                let term = self.reserved_terms.spend(self.accepted_term)?;
+                let term = self.reserved_terms.use_next(self.accepted_term)?;
                 self.record_decision(DecisionReason::TermReserved, term, None);
                 Some(term)
             }
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -34,8 +34,9 @@
 pub use stamp::{LogPosition, LogStamp, LogTerm};
 pub use status::{MemberRole, MemberStatus};
 pub use succession::{
-    GrantError, GroupCondition, KeeperSeat, ObserverVote, PlanBounds, PlanMember, PlanReply,
+    GrantError, GroupCondition, KeeperRun, ObserverVote, PlanBounds, PlanMember, PlanReply,
     PlanRequest, PlanState, StallWatch, SuccessionGrant, SuccessionPlan, SuspicionTally,
-    SwitchOrder, TermPurse, TermReservation, VoteKind, WriterMark, assess_group, choose_candidate,
+    SwitchOrder, TermReservation, TermReserve, VoteKind, WriterMark, assess_group,
+    choose_candidate,
 };
 pub use unit::{ByteSize, ConnectionCount, MemberSpeed, RequestRate, SlotCount};
--- a/crates/rudder-core/src/succession/grant.rs
+++ b/crates/rudder-core/src/succession/grant.rs
@@ -5,7 +5,7 @@
 //! in the earlier versions. Terms of different runs therefore differ, even if one run uses an old
 //! copy of the object during an outage of the platform.
 
-use super::reservation::{KeeperSeat, TermReservation, WriterMark};
+use super::reservation::{KeeperRun, TermReservation, WriterMark};
 use crate::ident::{InstanceName, MemberName};
 use crate::plain_data;
 use crate::stamp::LogTerm;
@@ -121,7 +121,7 @@
     pub fn reserved_for(&self, incarnation: &WriterMark) -> Option<&TermReservation> {
         // The mark of the run is compared, not the instance name: a restarted instance must not
         // reuse a term that its earlier run has used.
-        self.reserved.iter().find(|entry| entry.seat.incarnation == *incarnation)
+        self.reserved.iter().find(|entry| entry.run.incarnation == *incarnation)
     }
 
     /// Returns the greatest term anywhere in the grant.
@@ -144,12 +144,17 @@
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
     /// let grant = SuccessionGrant::first("inst-1".parse()?, LogTerm(3), WriterMark::random());
-    /// let taken = grant.take("inst-2".parse()?, LogTerm(5), WriterMark::random());
-    /// assert_eq!(taken.term(), LogTerm(6));
+    /// let granted = grant.grant_next_term("inst-2".parse()?, LogTerm(5), WriterMark::random());
+    /// assert_eq!(granted.term(), LogTerm(6));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn take(&self, holder: InstanceName, accepted: LogTerm, mark: WriterMark) -> Self {
+    pub fn grant_next_term(
+        &self,
+        holder: InstanceName,
+        accepted: LogTerm,
+        mark: WriterMark,
+    ) -> Self {
         let mut next = self.clone();
         next.term = LogTerm(self.highest_term().max(accepted).0 + 1);
         next.holder = holder;
@@ -158,35 +163,35 @@
         next
     }
 
-    /// Returns the grant in which the run `seat` has enough usable terms and only instances in
+    /// Returns the grant in which `run` has enough usable terms and only instances in
     /// `keepers` have reservations, or `None` if this grant already satisfies both. `accepted` is
     /// the greatest term that members are known to have accepted; members reject reserved terms up
     /// to it, so these are not usable.
     ///
     /// ```
-    /// use rudder_core::{KeeperSeat, LogTerm, SuccessionGrant, WriterMark};
+    /// use rudder_core::{KeeperRun, LogTerm, SuccessionGrant, WriterMark};
     /// let grant = SuccessionGrant::first("inst-1".parse()?, LogTerm(3), WriterMark::random());
-    /// let seat = KeeperSeat { instance: "inst-2".parse()?, incarnation: WriterMark::random() };
-    /// let keepers = [seat.instance.clone()];
-    /// let grant = grant.enrol(&seat, &keepers, LogTerm(3)).unwrap();
+    /// let run = KeeperRun { instance: "inst-2".parse()?, incarnation: WriterMark::random() };
+    /// let keepers = [run.instance.clone()];
+    /// let grant = grant.reserve_terms(&run, &keepers, LogTerm(3)).unwrap();
     /// assert_eq!(grant.reserved()[0].first, LogTerm(4));
-    /// assert!(grant.enrol(&seat, &keepers, LogTerm(3)).is_none());
+    /// assert!(grant.reserve_terms(&run, &keepers, LogTerm(3)).is_none());
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn enrol(
+    pub fn reserve_terms(
         &self,
-        seat: &KeeperSeat,
+        run: &KeeperRun,
         keepers: &[InstanceName],
         accepted: LogTerm,
     ) -> Option<Self> {
         let mut next = self.clone();
-        next.reserved.retain(|entry| keepers.contains(&entry.seat.instance));
+        next.reserved.retain(|entry| keepers.contains(&entry.run.instance));
         let has_enough = |entry: &TermReservation| {
-            entry.seat == *seat && entry.usable_count(accepted) >= USABLE_MIN
+            entry.run == *run && entry.usable_count(accepted) >= USABLE_MIN
         };
-        if keepers.contains(&seat.instance) && !next.reserved.iter().any(has_enough) {
-            next.set_reservation(seat.clone());
+        if keepers.contains(&run.instance) && !next.reserved.iter().any(has_enough) {
+            next.set_reservation(run.clone());
             next.reserve_new_terms(self.highest_term().max(accepted));
         }
         (next.reserved != self.reserved).then_some(next)
@@ -198,12 +203,12 @@
     /// ```
     /// use rudder_core::{LogTerm, SuccessionGrant, WriterMark};
     /// let grant = SuccessionGrant::first("inst-1".parse()?, LogTerm(3), WriterMark::random());
-    /// let grant = grant.settle(&"scores-2".parse()?, LogTerm(3)).unwrap();
+    /// let grant = grant.record_primary(&"scores-2".parse()?, LogTerm(3)).unwrap();
     /// assert_eq!(grant.primary().unwrap().1, LogTerm(3));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn settle(&self, primary: &MemberName, term: LogTerm) -> Option<Self> {
+    pub fn record_primary(&self, primary: &MemberName, term: LogTerm) -> Option<Self> {
         if self.primary.is_some() && term <= self.primary_term {
             return None;
         }
@@ -216,9 +221,9 @@
         Some(next)
     }
 
-    fn set_reservation(&mut self, seat: KeeperSeat) {
-        let entry = TermReservation { first: LogTerm(0), step: 1, count: 0, seat };
-        let order = |known: &TermReservation| known.seat.instance.cmp(&entry.seat.instance);
+    fn set_reservation(&mut self, run: KeeperRun) {
+        let entry = TermReservation { first: LogTerm(0), step: 1, count: 0, run };
+        let order = |known: &TermReservation| known.run.instance.cmp(&entry.run.instance);
         match self.reserved.binary_search_by(order) {
             Ok(index) => self.reserved[index] = entry,
             Err(index) => self.reserved.insert(index, entry),
@@ -268,7 +273,7 @@
             return Err(GrantError::GrantedAndReserved(record.term));
         }
         let mut reserved = record.reserved;
-        reserved.sort_by(|left, right| left.seat.instance.cmp(&right.seat.instance));
+        reserved.sort_by(|left, right| left.run.instance.cmp(&right.run.instance));
         Ok(Self {
             term: record.term,
             holder: record.holder,
--- a/crates/rudder-core/src/succession/reservation.rs
+++ b/crates/rudder-core/src/succession/reservation.rs
@@ -29,7 +29,7 @@
 plain_data! {
     /// One run of an instance that supervises a group and can replace its primary.
     #[derive(Serialize, Deserialize)]
-    pub struct KeeperSeat {
+    pub struct KeeperRun {
         /// The instance.
         pub instance: InstanceName,
         /// The mark of its current run; a restart changes it.
@@ -51,7 +51,8 @@
         /// The number of terms.
         pub count: u32,
         /// The run that may use them.
-        pub seat: KeeperSeat,
+        #[serde(rename = "seat")]
+        pub run: KeeperRun,
     }
 }
 
@@ -59,9 +60,9 @@
     /// Returns the reserved terms, in ascending order.
     ///
     /// ```
-    /// use rudder_core::{KeeperSeat, LogTerm, TermReservation, WriterMark};
-    /// let seat = KeeperSeat { instance: "inst-1".parse()?, incarnation: WriterMark::random() };
-    /// let reservation = TermReservation { first: LogTerm(4), step: 3, count: 2, seat };
+    /// use rudder_core::{KeeperRun, LogTerm, TermReservation, WriterMark};
+    /// let run = KeeperRun { instance: "inst-1".parse()?, incarnation: WriterMark::random() };
+    /// let reservation = TermReservation { first: LogTerm(4), step: 3, count: 2, run };
     /// assert_eq!(reservation.terms().collect::<Vec<_>>(), [LogTerm(4), LogTerm(7)]);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
@@ -73,9 +74,9 @@
     /// Returns the number of terms that are greater than `accepted`.
     ///
     /// ```
-    /// use rudder_core::{KeeperSeat, LogTerm, TermReservation, WriterMark};
-    /// let seat = KeeperSeat { instance: "inst-1".parse()?, incarnation: WriterMark::random() };
-    /// let reservation = TermReservation { first: LogTerm(4), step: 3, count: 2, seat };
+    /// use rudder_core::{KeeperRun, LogTerm, TermReservation, WriterMark};
+    /// let run = KeeperRun { instance: "inst-1".parse()?, incarnation: WriterMark::random() };
+    /// let reservation = TermReservation { first: LogTerm(4), step: 3, count: 2, run };
     /// assert_eq!(reservation.usable_count(LogTerm(4)), 1);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
--- a/crates/rudder-core/src/succession/purse.rs
+++ b/crates/rudder-core/src/succession/term_reserve.rs
@@ -7,20 +7,20 @@
 
 plain_data! {
     /// The terms reserved for one run of an instance, and the last one that it used.
-    pub struct TermPurse {
+    pub struct TermReserve {
         incarnation: WriterMark,
         reserved: Option<TermReservation>,
         last_used: LogTerm,
     }
 }
 
-impl TermPurse {
-    /// Creates an empty purse for the run with the mark `incarnation`.
+impl TermReserve {
+    /// Creates an empty reserve for the run with the mark `incarnation`.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, TermPurse, WriterMark};
-    /// let mut purse = TermPurse::new(WriterMark::random());
-    /// assert_eq!(purse.spend(LogTerm(4)), None);
+    /// use rudder_core::{LogTerm, TermReserve, WriterMark};
+    /// let mut reserve = TermReserve::new(WriterMark::random());
+    /// assert_eq!(reserve.use_next(LogTerm(4)), None);
     /// ```
     #[must_use]
     pub const fn new(incarnation: WriterMark) -> Self {
@@ -36,20 +36,20 @@
     /// Stores the terms that a grant reserves for this run.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, SuccessionGrant, TermPurse, WriterMark};
-    /// let mut purse = TermPurse::new(WriterMark::random());
+    /// use rudder_core::{LogTerm, SuccessionGrant, TermReserve, WriterMark};
+    /// let mut reserve = TermReserve::new(WriterMark::random());
     /// let grant = SuccessionGrant::first("inst-1".parse()?, LogTerm(1), WriterMark::random());
-    /// let seat = rudder_core::KeeperSeat {
+    /// let run = rudder_core::KeeperRun {
     ///     instance: "inst-1".parse()?,
-    ///     incarnation: purse.incarnation().clone(),
+    ///     incarnation: reserve.incarnation().clone(),
     /// };
-    /// let grant = grant.enrol(&seat, &["inst-1".parse()?], LogTerm(1)).unwrap();
-    /// purse.refill(&grant);
-    /// assert_eq!(purse.spend(LogTerm(1)), Some(LogTerm(2)));
-    /// assert_eq!(purse.spend(LogTerm(1)), Some(LogTerm(3)));
+    /// let grant = grant.reserve_terms(&run, &["inst-1".parse()?], LogTerm(1)).unwrap();
+    /// reserve.update(&grant);
+    /// assert_eq!(reserve.use_next(LogTerm(1)), Some(LogTerm(2)));
+    /// assert_eq!(reserve.use_next(LogTerm(1)), Some(LogTerm(3)));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn refill(&mut self, grant: &SuccessionGrant) {
+    pub fn update(&mut self, grant: &SuccessionGrant) {
         let Some(entry) = grant.reserved_for(&self.incarnation) else { return };
         // A stale read of the grant contains an earlier, lower reservation, which is ignored.
         if self.reserved.as_ref().is_none_or(|reserved| reserved.first < entry.first) {
@@ -61,10 +61,10 @@
     /// that members are known to have accepted, and marks it as used.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, TermPurse, WriterMark};
-    /// assert!(TermPurse::new(WriterMark::random()).spend(LogTerm(0)).is_none());
+    /// use rudder_core::{LogTerm, TermReserve, WriterMark};
+    /// assert!(TermReserve::new(WriterMark::random()).use_next(LogTerm(0)).is_none());
     /// ```
-    pub fn spend(&mut self, accepted: LogTerm) -> Option<LogTerm> {
+    pub fn use_next(&mut self, accepted: LogTerm) -> Option<LogTerm> {
         // Two plans must not share a term: an unanswered promotion of the first plan may still
         // take effect after the second one has promoted another member.
         let floor = accepted.max(self.last_used);
@@ -76,8 +76,8 @@
     /// Returns whether an unused reserved term is available that members would accept.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, TermPurse, WriterMark};
-    /// assert!(!TermPurse::new(WriterMark::random()).is_usable(LogTerm(0)));
+    /// use rudder_core::{LogTerm, TermReserve, WriterMark};
+    /// assert!(!TermReserve::new(WriterMark::random()).is_usable(LogTerm(0)));
     /// ```
     #[must_use]
     pub fn is_usable(&self, accepted: LogTerm) -> bool {
--- a/crates/rudder-core/tests/succession/grant.rs
+++ b/crates/rudder-core/tests/succession/grant.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rudder_core::{InstanceName, KeeperSeat, LogTerm, SuccessionGrant, TermPurse, WriterMark};
+use rudder_core::{InstanceName, KeeperRun, LogTerm, SuccessionGrant, TermReserve, WriterMark};
 
 const KEEPERS: usize = 3;
 
@@ -10,16 +10,16 @@
 enum GrantStep {
     /// Reads the object; the keeper bases its changes on this version until its next read.
     Read(usize),
-    Take(usize),
-    Enrol(usize),
-    Settle(usize),
-    Spend(usize),
+    GrantNextTerm(usize),
+    ReserveTerms(usize),
+    RecordPrimary(usize),
+    UseNext(usize),
     Restart(usize),
 }
 
 struct Keeper {
-    seat: KeeperSeat,
-    purse: TermPurse,
+    run: KeeperRun,
+    reserve: TermReserve,
     read_version: usize,
 }
 
@@ -36,8 +36,8 @@
 
 fn keeper(index: usize) -> Keeper {
     let incarnation = WriterMark::random();
-    let seat = KeeperSeat { instance: instance(index), incarnation: incarnation.clone() };
-    Keeper { seat, purse: TermPurse::new(incarnation), read_version: 0 }
+    let run = KeeperRun { instance: instance(index), incarnation: incarnation.clone() };
+    Keeper { run, reserve: TermReserve::new(incarnation), read_version: 0 }
 }
 
 impl GrantSimulation {
@@ -65,30 +65,32 @@
             GrantStep::Read(index) => {
                 let keeper = &mut self.keepers[index];
                 keeper.read_version = self.versions.len() - 1;
-                keeper.purse.refill(&self.versions[keeper.read_version]);
+                keeper.reserve.update(&self.versions[keeper.read_version]);
             }
-            GrantStep::Take(index) => {
+            GrantStep::GrantNextTerm(index) => {
                 let grant = read_grant(self, index);
-                let taken = grant.take(instance(index), self.accepted, WriterMark::random());
-                let term = taken.term();
-                if self.put(index, Some(taken)) {
+                let granted =
+                    grant.grant_next_term(instance(index), self.accepted, WriterMark::random());
+                let term = granted.term();
+                if self.put(index, Some(granted)) {
                     self.used_terms.push(term);
                 }
             }
-            GrantStep::Enrol(index) => {
+            GrantStep::ReserveTerms(index) => {
                 let keeper = &self.keepers[index];
-                let grant = read_grant(self, index).enrol(&keeper.seat, &names, self.accepted);
+                let grant =
+                    read_grant(self, index).reserve_terms(&keeper.run, &names, self.accepted);
                 self.put(index, grant);
             }
-            GrantStep::Settle(index) => {
+            GrantStep::RecordPrimary(index) => {
                 let Some(term) = self.used_terms.iter().copied().max() else { return };
                 let primary = "m1".parse().expect("a valid name");
-                let grant = read_grant(self, index).settle(&primary, term);
+                let grant = read_grant(self, index).record_primary(&primary, term);
                 self.accepted = self.accepted.max(term);
                 self.put(index, grant);
             }
-            GrantStep::Spend(index) => {
-                let term = self.keepers[index].purse.spend(self.accepted);
+            GrantStep::UseNext(index) => {
+                let term = self.keepers[index].reserve.use_next(self.accepted);
                 self.used_terms.extend(term);
             }
             GrantStep::Restart(index) => self.keepers[index] = keeper(index),
@@ -100,10 +102,10 @@
     let keeper = || 0..KEEPERS;
     prop_oneof![
         6 => keeper().prop_map(GrantStep::Read),
-        2 => keeper().prop_map(GrantStep::Take),
-        4 => keeper().prop_map(GrantStep::Enrol),
-        2 => keeper().prop_map(GrantStep::Settle),
-        3 => keeper().prop_map(GrantStep::Spend),
+        2 => keeper().prop_map(GrantStep::GrantNextTerm),
+        4 => keeper().prop_map(GrantStep::ReserveTerms),
+        2 => keeper().prop_map(GrantStep::RecordPrimary),
+        3 => keeper().prop_map(GrantStep::UseNext),
         1 => keeper().prop_map(GrantStep::Restart),
     ]
 }
@@ -138,23 +140,23 @@
 fn restarted_keeper_gets_a_reservation_of_its_own() {
     let names = [instance(0)];
     let grant = SuccessionGrant::first(instance(0), LogTerm(1), WriterMark::random());
-    let grant = grant.enrol(&keeper(0).seat, &names, LogTerm(1)).expect("a change");
+    let grant = grant.reserve_terms(&keeper(0).run, &names, LogTerm(1)).expect("a change");
     let restarted = keeper(0);
 
-    let grant = grant.enrol(&restarted.seat, &names, LogTerm(1)).expect("a change");
+    let grant = grant.reserve_terms(&restarted.run, &names, LogTerm(1)).expect("a change");
 
-    let reserved = grant.reserved_for(&restarted.seat.incarnation).map(|entry| entry.first);
+    let reserved = grant.reserved_for(&restarted.run.incarnation).map(|entry| entry.first);
     assert_eq!(reserved, Some(LogTerm(10)));
-    assert!(grant.enrol(&restarted.seat, &names, LogTerm(13)).is_none());
-    assert!(grant.enrol(&restarted.seat, &names, LogTerm(14)).is_some());
+    assert!(grant.reserve_terms(&restarted.run, &names, LogTerm(13)).is_none());
+    assert!(grant.reserve_terms(&restarted.run, &names, LogTerm(14)).is_some());
     assert_eq!(grant.reserved().len(), 1);
 }
 
 fn grant_of_two() -> SuccessionGrant {
     let names = [instance(0), instance(1)];
     let grant = SuccessionGrant::first(instance(0), LogTerm(1), WriterMark::random());
-    let grant = grant.enrol(&keeper(0).seat, &names, LogTerm(1)).expect("a change");
-    grant.enrol(&keeper(1).seat, &names, LogTerm(1)).expect("a change")
+    let grant = grant.reserve_terms(&keeper(0).run, &names, LogTerm(1)).expect("a change");
+    grant.reserve_terms(&keeper(1).run, &names, LogTerm(1)).expect("a change")
 }
 
 // One keeper used most of its terms during an outage, and recording its primary reserves new terms
@@ -164,9 +166,10 @@
     let grant = grant_of_two();
     let highest_term = grant.highest_term();
 
-    let settled = grant.settle(&"m1".parse().expect("a valid name"), LogTerm(highest_term.0 - 2));
+    let recorded =
+        grant.record_primary(&"m1".parse().expect("a valid name"), LogTerm(highest_term.0 - 2));
 
-    let firsts = settled.expect("a change").reserved().iter().map(|entry| entry.first).min();
+    let firsts = recorded.expect("a change").reserved().iter().map(|entry| entry.first).min();
     assert!(firsts > Some(highest_term), "{firsts:?}, {highest_term}");
 }
 
