--- a/crates/arbutusrudder/src/duty/exchange.rs
+++ b/crates/arbutusrudder/src/duty/exchange.rs
@@ -36,7 +36,7 @@
         if vote.observer == self.instance {
             return;
         }
-        let kind = if vote.suspected { VoteKind::Unheard } else { VoteKind::Heard };
+        let kind = if vote.suspected { VoteKind::Unreachable } else { VoteKind::Reachable };
         let observed = ObserverVote {
             observer: vote.observer.clone(),
             domain: vote.domain.clone(),
@@ -63,7 +63,7 @@
             domain: self.domain.clone(),
             term: LogTerm(0),
             number: self.next_number.fetch_add(1, Ordering::Relaxed),
-            suspected: vote == VoteKind::Unheard,
+            suspected: vote == VoteKind::Unreachable,
         });
         let mesh = Arc::clone(&self.mesh);
         tokio::spawn(async move { mesh.tell(&others, hint).await });
--- a/crates/arbutusrudder/src/keeper/group_keeper.rs
+++ b/crates/arbutusrudder/src/keeper/group_keeper.rs
@@ -14,8 +14,8 @@
 use super::traffic::TrafficReport;
 use super::view::GroupView;
 use rudder_core::{
-    ControlStatement, GroupCondition, LogTerm, MemberName, MemberStatus, ObserverVote, StallWatch,
-    SuspicionTally, TermReserve, VoteKind, WriterMark,
+    ControlStatement, FailureDetector, GroupCondition, LogTerm, MemberName, MemberStatus,
+    ObserverVote, StallDetector, TermReserve, VoteKind, WriterMark,
 };
 use rudder_endpoint::ControlError;
 use std::sync::Arc;
@@ -72,9 +72,9 @@
     pub(super) client: GrantClient,
     pub(super) platform_calls: JoinSet<PlatformResult>,
     pub(super) reports: ReportTable,
-    pub(super) detector: SuspicionTally,
+    pub(super) detector: FailureDetector,
     pub(super) reserved_terms: TermReserve,
-    pub(super) stall: StallWatch,
+    pub(super) stall: StallDetector,
     pub(super) schedule: PromotionSchedule,
     pub(super) ranking: KeeperRanking,
     /// Greatest term that any member is known to have accepted.
@@ -112,7 +112,7 @@
             watch::channel(Arc::new(reports.view(&config.service, LogTerm(0), now)));
         let ranking = config.exchange.ranking(&config.service);
         let domains = ranking.domain_count();
-        let detector = SuspicionTally::new(
+        let detector = FailureDetector::new(
             config.timing.suspect_after,
             config.domain.clone(),
             domains,
@@ -131,7 +131,7 @@
             // The mark identifies this task, not the process: a restarted keeper must not reuse a
             // reserved term that its predecessor may have used.
             reserved_terms: TermReserve::new(WriterMark::random()),
-            stall: StallWatch::default(),
+            stall: StallDetector::default(),
             schedule: PromotionSchedule::default(),
             ranking,
             accepted_term: LogTerm(0),
@@ -140,7 +140,7 @@
             primary_seen_at: now,
             round_started_at: now,
             window_start: now,
-            vote: VoteKind::Heard,
+            vote: VoteKind::Reachable,
             vote_sent_at: None,
             grant_due_at: now,
             order_due_at: now,
@@ -181,10 +181,10 @@
 
     fn refresh_ranking(&mut self) {
         self.ranking = self.config.exchange.ranking(&self.config.service);
-        self.detector.expect_domains(self.ranking.domain_count());
+        self.detector.set_domains_expected(self.ranking.domain_count());
         // A vote without suspicion is sent only in reply to a keeper that suspects the primary.
         // Sent in every round, such votes of healthy groups would use up the peers' send budget.
-        if self.vote == VoteKind::Unheard && self.may_resend_vote() {
+        if self.vote == VoteKind::Unreachable && self.may_resend_vote() {
             self.send_vote();
         }
     }
@@ -206,8 +206,8 @@
         let at = self.elapsed();
         let mut others_suspect = false;
         for vote in self.config.exchange.take_votes(&self.config.service) {
-            others_suspect |= vote.kind == VoteKind::Unheard;
-            self.detector.note_vote(ObserverVote { at, ..vote });
+            others_suspect |= vote.kind == VoteKind::Unreachable;
+            self.detector.record_vote(ObserverVote { at, ..vote });
         }
         let vote = self.detector.own_vote(at);
         // Replies to a keeper that suspects the primary. Without replies, a keeper that has lost
@@ -242,7 +242,7 @@
         match &condition {
             GroupCondition::HasPrimary { .. } => {}
             GroupCondition::NoPrimary { .. } | GroupCondition::NoReports => {
-                self.detector.note_failure(self.elapsed());
+                self.detector.record_failure(self.elapsed());
             }
         }
         self.repair(&condition);
@@ -289,7 +289,7 @@
             && requested_at > self.primary_seen_at
         {
             self.primary_seen_at = requested_at;
-            self.detector.note_answer(requested_at - self.origin);
+            self.detector.record_response(requested_at - self.origin);
         }
     }
 
@@ -310,7 +310,7 @@
         let mut to_repoint = Vec::new();
         for (member, status) in reports.iter().filter(|(member, _)| member != primary) {
             let stalled =
-                self.stall.note(member, *status, primary_status.received, now, stall_timeout);
+                self.stall.record(member, *status, primary_status.received, now, stall_timeout);
             if is_new || stalled || members_behind.contains(member) {
                 to_repoint.push(member.clone());
             }
@@ -361,7 +361,8 @@
         let suspicion_at = self.detector.deadline().map(|deadline| self.origin + deadline);
         let now = Instant::now();
         let suspicion_at = suspicion_at.filter(|at| *at > now);
-        let is_waiting = self.vote == VoteKind::Unheard && self.schedule.suspected_since.is_none();
+        let is_waiting =
+            self.vote == VoteKind::Unreachable && self.schedule.suspected_since.is_none();
         let vote_poll_at = is_waiting.then(|| now + vote_poll_interval(&self.config.timing));
         [suspicion_at, vote_poll_at, self.due_at()].into_iter().flatten().min()
     }
--- a/crates/arbutusrudder/src/keeper/promotion.rs
+++ b/crates/arbutusrudder/src/keeper/promotion.rs
@@ -53,7 +53,7 @@
         self.record_decision(DecisionReason::Promoted, term, Some(primary));
         self.repointed_term = term;
         self.schedule = PromotionSchedule::default();
-        self.detector.note_promotion(self.elapsed());
+        self.detector.reset(self.elapsed());
         self.primary_seen_at = Instant::now();
         self.round_started_at = self.primary_seen_at;
         self.grant_due_at = self.primary_seen_at;
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -34,9 +34,8 @@
 pub use stamp::{LogPosition, LogStamp, LogTerm};
 pub use status::{MemberRole, MemberStatus};
 pub use succession::{
-    GrantError, GroupCondition, KeeperRun, ObserverVote, PlanBounds, PlanMember, PlanReply,
-    PlanRequest, PlanState, StallWatch, SuccessionGrant, SuccessionPlan, SuspicionTally,
-    SwitchOrder, TermReservation, TermReserve, VoteKind, WriterMark, assess_group,
-    choose_candidate,
+    FailureDetector, GrantError, GroupCondition, KeeperRun, ObserverVote, PlanBounds, PlanMember,
+    PlanReply, PlanRequest, PlanState, StallDetector, SuccessionGrant, SuccessionPlan, SwitchOrder,
+    TermReservation, TermReserve, VoteKind, WriterMark, assess_group, choose_candidate,
 };
 pub use unit::{ByteSize, ConnectionCount, MemberSpeed, RequestRate, SlotCount};
--- a/crates/rudder-core/src/succession/tally.rs
+++ b/crates/rudder-core/src/succession/failure_detector.rs
@@ -19,12 +19,13 @@
 
 /// An observer's vote on a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum VoteKind {
     /// The primary responded recently.
-    Heard,
+    #[serde(rename = "heard")]
+    Reachable,
     /// The primary has not responded for too long.
-    Unheard,
+    #[serde(rename = "unheard")]
+    Unreachable,
 }
 
 plain_data! {
@@ -44,7 +45,7 @@
 plain_data! {
     /// One observer's failure detector for one primary. Times count from an origin chosen by the
     /// owner.
-    pub struct SuspicionTally {
+    pub struct FailureDetector {
         suspect_after: Duration,
         domain: DomainName,
         domains_expected: usize,
@@ -52,23 +53,23 @@
         last_failure_at: Duration,
         failures: u32,
         responses: u32,
-        unheard: bool,
+        unreachable: bool,
         votes: Vec<ObserverVote>,
     }
 }
 
-impl SuspicionTally {
-    /// Creates a tally for a primary that has responded just now.
+impl FailureDetector {
+    /// Creates a detector for a primary that has responded just now.
     ///
     /// `domains_expected` is the number of failure domains that have an observer, including this
     /// observer's own.
     ///
     /// ```
-    /// use rudder_core::SuspicionTally;
+    /// use rudder_core::FailureDetector;
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// assert!(!tally.is_suspected(Duration::ZERO));
+    /// let detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// assert!(!detector.is_suspected(Duration::ZERO));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
@@ -86,7 +87,7 @@
             last_failure_at: now,
             failures: 0,
             responses: RESPONSES_TO_CLEAR,
-            unheard: false,
+            unreachable: false,
             votes: Vec::new(),
         }
     }
@@ -94,83 +95,83 @@
     /// Records a response of the primary to a statement that was sent at `sent_at`.
     ///
     /// ```
-    /// use rudder_core::{SuspicionTally, VoteKind};
+    /// use rudder_core::{FailureDetector, VoteKind};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// tally.note_answer(bound);
-    /// assert_eq!(tally.own_vote(bound), VoteKind::Heard);
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// detector.record_response(bound);
+    /// assert_eq!(detector.own_vote(bound), VoteKind::Reachable);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn note_answer(&mut self, sent_at: Duration) {
+    pub fn record_response(&mut self, sent_at: Duration) {
         self.last_response_at = self.last_response_at.max(sent_at);
         self.failures = 0;
         self.responses = self.responses.saturating_add(1);
         // A link that drops nine responses in ten still delivers single ones, so one response alone
         // does not withdraw a vote.
         if self.responses >= RESPONSES_TO_CLEAR {
-            self.unheard = false;
+            self.unreachable = false;
         }
     }
 
     /// Records a failed request or probe.
     ///
     /// ```
-    /// use rudder_core::{SuspicionTally, VoteKind};
+    /// use rudder_core::{FailureDetector, VoteKind};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// tally.note_failure(bound);
-    /// tally.note_failure(bound);
-    /// assert_eq!(tally.own_vote(bound), VoteKind::Unheard);
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// detector.record_failure(bound);
+    /// detector.record_failure(bound);
+    /// assert_eq!(detector.own_vote(bound), VoteKind::Unreachable);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn note_failure(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.failures = self.failures.saturating_add(1);
         self.last_failure_at = now;
         self.responses = 0;
-        self.unheard |= self.is_unresponsive(now);
+        self.unreachable |= self.is_unresponsive(now);
     }
 
-    /// Resets the tally for a primary that was just confirmed. Votes on the previous primary are
+    /// Resets the detector for a primary that was just confirmed. Votes on the previous primary are
     /// dropped.
     ///
     /// ```
-    /// use rudder_core::SuspicionTally;
+    /// use rudder_core::FailureDetector;
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// tally.note_failure(bound);
-    /// tally.note_failure(bound);
-    /// tally.note_promotion(bound);
-    /// assert!(!tally.is_suspected(bound));
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// detector.record_failure(bound);
+    /// detector.record_failure(bound);
+    /// detector.reset(bound);
+    /// assert!(!detector.is_suspected(bound));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn note_promotion(&mut self, now: Duration) {
+    pub fn reset(&mut self, now: Duration) {
         self.last_response_at = now;
         self.failures = 0;
         self.responses = RESPONSES_TO_CLEAR;
-        self.unheard = false;
+        self.unreachable = false;
         self.votes.clear();
     }
 
     /// Records the vote of another observer, which replaces that observer's earlier vote.
     ///
     /// ```
-    /// use rudder_core::{ObserverVote, SuspicionTally, VoteKind};
+    /// use rudder_core::{FailureDetector, ObserverVote, VoteKind};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 2, Duration::ZERO);
-    /// tally.note_vote(ObserverVote {
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 2, Duration::ZERO);
+    /// detector.record_vote(ObserverVote {
     ///     observer: "inst-2".parse()?,
     ///     domain: "nairobi-a".parse()?,
-    ///     kind: VoteKind::Unheard,
+    ///     kind: VoteKind::Unreachable,
     ///     at: Duration::ZERO,
     /// });
-    /// assert!(!tally.is_suspected(Duration::ZERO));
+    /// assert!(!detector.is_suspected(Duration::ZERO));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn note_vote(&mut self, vote: ObserverVote) {
+    pub fn record_vote(&mut self, vote: ObserverVote) {
         match self.votes.binary_search_by(|known| known.observer.cmp(&vote.observer)) {
             Ok(index) if self.votes[index].at <= vote.at => self.votes[index] = vote,
             Ok(_) => {}
@@ -181,28 +182,28 @@
     /// Returns this observer's vote, to be sent to the other observers.
     ///
     /// ```
-    /// use rudder_core::{SuspicionTally, VoteKind};
+    /// use rudder_core::{FailureDetector, VoteKind};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// assert_eq!(tally.own_vote(bound), VoteKind::Heard);
+    /// let detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// assert_eq!(detector.own_vote(bound), VoteKind::Reachable);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
     pub fn own_vote(&self, now: Duration) -> VoteKind {
-        let is_unheard = self.unheard || self.is_unresponsive(now);
-        if is_unheard { VoteKind::Unheard } else { VoteKind::Heard }
+        let is_unreachable = self.unreachable || self.is_unresponsive(now);
+        if is_unreachable { VoteKind::Unreachable } else { VoteKind::Reachable }
     }
 
-    /// Returns the earliest time at which this observer's vote can become `Unheard` without a
+    /// Returns the earliest time at which this observer's vote can become `Unreachable` without a
     /// response, or `None` if no request has failed since the last response.
     ///
     /// ```
-    /// use rudder_core::SuspicionTally;
+    /// use rudder_core::FailureDetector;
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// assert_eq!(tally.deadline(), None);
+    /// let detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// assert_eq!(detector.deadline(), None);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
@@ -218,22 +219,22 @@
         self.failures >= FAILURES_MIN && now >= self.last_response_at + self.suspect_after
     }
 
-    /// Returns whether the primary is suspected: this observer votes `Unheard`, and so does a
+    /// Returns whether the primary is suspected: this observer votes `Unreachable`, and so does a
     /// majority of the failure domains with a current vote.
     ///
     /// ```
-    /// use rudder_core::SuspicionTally;
+    /// use rudder_core::FailureDetector;
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// tally.note_failure(bound);
-    /// tally.note_failure(bound);
-    /// assert!(tally.is_suspected(bound));
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// detector.record_failure(bound);
+    /// detector.record_failure(bound);
+    /// assert!(detector.is_suspected(bound));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
     pub fn is_suspected(&self, now: Duration) -> bool {
-        if self.own_vote(now) == VoteKind::Heard {
+        if self.own_vote(now) == VoteKind::Reachable {
             return false;
         }
         // Only a recent failure counts: if this process was suspended while it suspected the
@@ -242,10 +243,10 @@
             return false;
         }
         let domains = self.domain_votes(now);
-        let unheard = domains.iter().filter(|(_, kind)| *kind == VoteKind::Unheard).count();
-        // If a single link fails, only the observer behind it votes `Unheard`, and the other
+        let unreachable = domains.iter().filter(|(_, kind)| *kind == VoteKind::Unreachable).count();
+        // If a single link fails, only the observer behind it votes `Unreachable`, and the other
         // failure domains outvote it.
-        if 2 * unheard <= domains.len() {
+        if 2 * unreachable <= domains.len() {
             return false;
         }
         // An instance that is itself isolated receives too few other votes to be outvoted. It
@@ -257,20 +258,20 @@
     /// Sets the number of failure domains that have an observer.
     ///
     /// ```
-    /// use rudder_core::SuspicionTally;
+    /// use rudder_core::FailureDetector;
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(800);
-    /// let mut tally = SuspicionTally::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
-    /// tally.expect_domains(3);
-    /// assert!(!tally.is_suspected(Duration::ZERO));
+    /// let mut detector = FailureDetector::new(bound, "kigali-a".parse()?, 1, Duration::ZERO);
+    /// detector.set_domains_expected(3);
+    /// assert!(!detector.is_suspected(Duration::ZERO));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn expect_domains(&mut self, domains_expected: usize) {
+    pub fn set_domains_expected(&mut self, domains_expected: usize) {
         self.domains_expected = domains_expected;
     }
 
     /// Returns one vote for each failure domain with a vote that has not expired. A domain votes
-    /// `Unheard` only if all its observers do.
+    /// `Unreachable` only if all its observers do.
     fn domain_votes(&self, now: Duration) -> Vec<(&DomainName, VoteKind)> {
         let own = (&self.domain, self.own_vote(now));
         let live = self.votes.iter().filter(|vote| now < vote.at + self.suspect_after);
@@ -279,8 +280,8 @@
         votes.sort_by(|left, right| left.0.cmp(right.0));
         votes.dedup_by(|later, kept| {
             let same = later.0 == kept.0;
-            if same && later.1 == VoteKind::Heard {
-                kept.1 = VoteKind::Heard;
+            if same && later.1 == VoteKind::Reachable {
+                kept.1 = VoteKind::Reachable;
             }
             same
         });
--- a/crates/rudder-core/src/succession/mod.rs
+++ b/crates/rudder-core/src/succession/mod.rs
@@ -6,6 +6,7 @@
 
 mod candidate;
 mod condition;
+mod failure_detector;
 mod grant;
 mod order;
 mod plan;
@@ -15,16 +16,15 @@
 mod plan_step;
 mod reservation;
 mod stall;
-mod tally;
 mod term_reserve;
 
 pub use candidate::choose_candidate;
 pub use condition::{GroupCondition, assess_group};
+pub use failure_detector::{FailureDetector, ObserverVote, VoteKind};
 pub use grant::{GrantError, SuccessionGrant};
 pub use order::SwitchOrder;
 pub use plan::SuccessionPlan;
 pub use plan_step::{PlanBounds, PlanMember, PlanReply, PlanRequest, PlanState};
 pub use reservation::{KeeperRun, TermReservation, WriterMark};
-pub use stall::StallWatch;
-pub use tally::{ObserverVote, SuspicionTally, VoteKind};
+pub use stall::StallDetector;
 pub use term_reserve::TermReserve;
--- a/crates/rudder-core/src/succession/stall.rs
+++ b/crates/rudder-core/src/succession/stall.rs
@@ -18,12 +18,12 @@
 plain_data! {
     /// The time since when each member's log has not grown.
     #[derive(Default)]
-    pub struct StallWatch {
+    pub struct StallDetector {
         marks: Vec<StallMark>,
     }
 }
 
-impl StallWatch {
+impl StallDetector {
     /// Records a report and returns whether the member's log has been behind the primary's without
     /// growing for `bound`. The time then starts again, so that the caller repeats its repair once
     /// per `bound`.
@@ -32,19 +32,19 @@
     /// log that does not grow.
     ///
     /// ```
-    /// use rudder_core::{LogStamp, LogTerm, MemberRole, MemberStatus, StallWatch};
+    /// use rudder_core::{LogStamp, LogTerm, MemberRole, MemberStatus, StallDetector};
     /// use std::time::Duration;
     /// let received = LogStamp::new(1, 3);
     /// let role = MemberRole::Replica;
     /// let status = MemberStatus { role, accepted: LogTerm(1), received, applied: received };
     /// let (leader, bound) = (LogStamp::new(1, 9), Duration::from_secs(1));
-    /// let mut watch = StallWatch::default();
+    /// let mut detector = StallDetector::default();
     /// let member = "scores-2".parse()?;
-    /// assert!(!watch.note(&member, status, leader, Duration::ZERO, bound));
-    /// assert!(watch.note(&member, status, leader, bound, bound));
+    /// assert!(!detector.record(&member, status, leader, Duration::ZERO, bound));
+    /// assert!(detector.record(&member, status, leader, bound, bound));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn note(
+    pub fn record(
         &mut self,
         member: &MemberName,
         status: MemberStatus,
--- a/crates/rudder-core/tests/succession/suspicion.rs
+++ b/crates/rudder-core/tests/succession/suspicion.rs
@@ -1,8 +1,8 @@
 //! Tests of failure detection, group condition and stall detection.
 
 use rudder_core::{
-    GroupCondition, LogStamp, LogTerm, MemberRole, MemberStatus, ObserverVote, StallWatch,
-    SuspicionTally, VoteKind, assess_group,
+    FailureDetector, GroupCondition, LogStamp, LogTerm, MemberRole, MemberStatus, ObserverVote,
+    StallDetector, VoteKind, assess_group,
 };
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
     Duration::from_millis(millis)
 }
 
-fn tally(domains_expected: usize) -> SuspicionTally {
+fn detector(domains_expected: usize) -> FailureDetector {
     let domain = "kigali-a".parse().expect("a valid name");
-    SuspicionTally::new(SUSPECT_AFTER, domain, domains_expected, Duration::ZERO)
+    FailureDetector::new(SUSPECT_AFTER, domain, domains_expected, Duration::ZERO)
 }
 
-fn unresponsive_tally(domains_expected: usize) -> SuspicionTally {
-    let mut tally = tally(domains_expected);
-    [500, 750, 800].into_iter().for_each(|millis| tally.note_failure(at(millis)));
-    tally
+fn unresponsive_detector(domains_expected: usize) -> FailureDetector {
+    let mut detector = detector(domains_expected);
+    [500, 750, 800].into_iter().for_each(|millis| detector.record_failure(at(millis)));
+    detector
 }
 
 fn vote(observer: &str, domain: &str, kind: VoteKind, at: Duration) -> ObserverVote {
@@ -30,10 +30,10 @@
 
 #[test]
 fn single_observer_suspects_after_the_bound() {
-    let mut tally = tally(1);
-    [500, 750].into_iter().for_each(|millis| tally.note_failure(at(millis)));
+    let mut detector = detector(1);
+    [500, 750].into_iter().for_each(|millis| detector.record_failure(at(millis)));
 
-    let suspicions = [at(799), at(800)].map(|now| tally.is_suspected(now));
+    let suspicions = [at(799), at(800)].map(|now| detector.is_suspected(now));
 
     assert_eq!(suspicions, [false, true]);
 }
@@ -42,13 +42,13 @@
 // do. A promotion would interrupt the service without need.
 #[test]
 fn single_failed_link_is_not_suspected() {
-    let mut tally = unresponsive_tally(3);
-    tally.note_vote(vote("inst-2", "nairobi-a", VoteKind::Heard, at(790)));
-    tally.note_vote(vote("inst-3", "johannesburg-a", VoteKind::Heard, at(790)));
+    let mut detector = unresponsive_detector(3);
+    detector.record_vote(vote("inst-2", "nairobi-a", VoteKind::Reachable, at(790)));
+    detector.record_vote(vote("inst-3", "johannesburg-a", VoteKind::Reachable, at(790)));
 
-    let with_own_vote = tally.is_suspected(at(800));
-    tally.note_vote(vote("inst-2", "nairobi-a", VoteKind::Unheard, at(800)));
-    let with_second_vote = tally.is_suspected(at(800));
+    let with_own_vote = detector.is_suspected(at(800));
+    detector.record_vote(vote("inst-2", "nairobi-a", VoteKind::Unreachable, at(800)));
+    let with_second_vote = detector.is_suspected(at(800));
 
     assert!(!with_own_vote);
     assert!(with_second_vote);
@@ -58,21 +58,21 @@
 // switch fails, so they count as one vote.
 #[test]
 fn observers_of_one_domain_count_as_one_vote() {
-    let mut tally = unresponsive_tally(3);
-    tally.note_vote(vote("inst-2", "nairobi-a", VoteKind::Heard, at(790)));
-    tally.note_vote(vote("inst-3", "johannesburg-a", VoteKind::Heard, at(790)));
-    tally.note_vote(vote("inst-4", "kigali-a", VoteKind::Unheard, at(790)));
-    tally.note_vote(vote("inst-5", "kigali-a", VoteKind::Unheard, at(790)));
+    let mut detector = unresponsive_detector(3);
+    detector.record_vote(vote("inst-2", "nairobi-a", VoteKind::Reachable, at(790)));
+    detector.record_vote(vote("inst-3", "johannesburg-a", VoteKind::Reachable, at(790)));
+    detector.record_vote(vote("inst-4", "kigali-a", VoteKind::Unreachable, at(790)));
+    detector.record_vote(vote("inst-5", "kigali-a", VoteKind::Unreachable, at(790)));
 
-    assert!(!tally.is_suspected(at(800)));
+    assert!(!detector.is_suspected(at(800)));
 }
 
 #[test]
 fn votes_expire() {
-    let mut tally = unresponsive_tally(1);
-    tally.note_vote(vote("inst-2", "nairobi-a", VoteKind::Heard, at(100)));
+    let mut detector = unresponsive_detector(1);
+    detector.record_vote(vote("inst-2", "nairobi-a", VoteKind::Reachable, at(100)));
 
-    let suspicions = [at(850), at(900)].map(|now| tally.is_suspected(now));
+    let suspicions = [at(850), at(900)].map(|now| detector.is_suspected(now));
 
     assert_eq!(suspicions, [false, true]);
 }
@@ -81,45 +81,45 @@
 // than an observer whose peers agree with it.
 #[test]
 fn observer_without_peers_waits_longer() {
-    let mut tally = unresponsive_tally(3);
+    let mut detector = unresponsive_detector(3);
 
-    let early = tally.is_suspected(at(1500));
-    tally.note_failure(at(1600));
+    let early = detector.is_suspected(at(1500));
+    detector.record_failure(at(1600));
 
     assert!(!early);
-    assert!(tally.is_suspected(at(1600)));
+    assert!(detector.is_suspected(at(1600)));
 }
 
 // An instance is suspended for a minute. When it resumes, the last response is a minute old, but only
 // one probe has failed: the one that was in flight.
 #[test]
 fn resumed_observer_does_not_suspect_immediately() {
-    let mut tally = tally(1);
+    let mut detector = detector(1);
 
-    tally.note_failure(at(60_000));
+    detector.record_failure(at(60_000));
 
-    assert!(!tally.is_suspected(at(60_000)));
+    assert!(!detector.is_suspected(at(60_000)));
 }
 
 // A keeper is suspended while it suspects the primary, and another keeper replaces the primary
 // meanwhile. After resuming it must probe again before it fences the new primary.
 #[test]
 fn resumed_keeper_ignores_old_failures() {
-    let tally = unresponsive_tally(1);
+    let detector = unresponsive_detector(1);
 
-    assert!(!tally.is_suspected(at(60_000)));
+    assert!(!detector.is_suspected(at(60_000)));
 }
 
 #[test]
 fn single_response_does_not_withdraw_a_vote() {
-    let mut tally = unresponsive_tally(1);
+    let mut detector = unresponsive_detector(1);
 
-    tally.note_answer(at(810));
-    let after_one = tally.own_vote(at(811));
-    tally.note_answer(at(820));
+    detector.record_response(at(810));
+    let after_one = detector.own_vote(at(811));
+    detector.record_response(at(820));
 
-    assert_eq!(after_one, VoteKind::Unheard);
-    assert_eq!(tally.own_vote(at(821)), VoteKind::Heard);
+    assert_eq!(after_one, VoteKind::Unreachable);
+    assert_eq!(detector.own_vote(at(821)), VoteKind::Reachable);
 }
 
 fn report(name: &str, role: MemberRole, term: u64) -> (rudder_core::MemberName, MemberStatus) {
@@ -166,11 +166,11 @@
 fn stalled_member_is_reported_once_per_bound() {
     let (member, status) = report("m1", MemberRole::Replica, 1);
     let (ahead, caught_up) = (LogStamp::new(1, 6), status.received);
-    let mut watch = StallWatch::default();
-    let mut note = |leader, now| watch.note(&member, status, leader, at(now), SUSPECT_AFTER);
+    let mut detector = StallDetector::default();
+    let mut record = |leader, now| detector.record(&member, status, leader, at(now), SUSPECT_AFTER);
 
-    let suspicions = [note(ahead, 0), note(ahead, 799), note(ahead, 800), note(ahead, 801)];
-    let when_caught_up = [note(caught_up, 802), note(caught_up, 9_000)];
+    let suspicions = [record(ahead, 0), record(ahead, 799), record(ahead, 800), record(ahead, 801)];
+    let when_caught_up = [record(caught_up, 802), record(caught_up, 9_000)];
 
     assert_eq!(suspicions, [false, false, true, false]);
     assert_eq!(when_caught_up, [false, false]);
