--- a/crates/arbutusrudder/src/keeper/promotion.rs
+++ b/crates/arbutusrudder/src/keeper/promotion.rs
@@ -5,9 +5,9 @@
 use super::grant_client::GrantClientError;
 use super::group_keeper::GroupKeeper;
 use super::schedule::PromotionSchedule;
-use super::timeouts::{GRANT_CALL_TIMEOUT, plan_bounds};
+use super::timeouts::{GRANT_CALL_TIMEOUT, plan_timeouts};
 use rudder_core::{
-    LogTerm, MemberName, PlanBounds, PlanMember, PlanReply, PlanState, SuccessionPlan,
+    LogTerm, MemberName, PlanMember, PlanReply, PlanState, PlanTimeouts, SuccessionPlan,
 };
 use rudder_endpoint::ControlError;
 use std::time::Duration;
@@ -26,7 +26,7 @@
                 return None;
             };
             self.accepted_term = self.accepted_term.max(term);
-            let mut plan = SuccessionPlan::new(term, self.plan_members(), self.plan_bounds());
+            let mut plan = SuccessionPlan::new(term, self.plan_members(), self.plan_timeouts());
             if let Some(target) = target {
                 plan = plan.switch_to(target.clone());
             }
@@ -90,8 +90,8 @@
         self.config.members.iter().map(|configured| configured.member.clone()).collect()
     }
 
-    fn plan_bounds(&self) -> PlanBounds {
-        plan_bounds(&self.config.timing)
+    fn plan_timeouts(&self) -> PlanTimeouts {
+        plan_timeouts(&self.config.timing)
     }
 
     /// Runs the plan until it ends. It does not end while no majority of the members is reachable.
@@ -106,7 +106,7 @@
             if state != PlanState::Running {
                 return state;
             }
-            let wake_at = plan.wake_at().map(|wake_at| self.origin + wake_at);
+            let wake_at = plan.next_deadline().map(|deadline| self.origin + deadline);
             tokio::select! {
                 biased;
                 response = self.controls.next() => self.observe(plan, &response),
@@ -122,9 +122,9 @@
             Ok(status) => PlanReply::Status(*status),
             Err(ControlError::Superseded(term)) => PlanReply::Superseded(*term),
             Err(ControlError::Refused(_)) => PlanReply::Refused,
-            Err(ControlError::Unreachable(_) | ControlError::TimedOut) => PlanReply::Lost,
+            Err(ControlError::Unreachable(_) | ControlError::TimedOut) => PlanReply::NoResponse,
         };
-        plan.observe(self.elapsed(), &response.member, &response.statement, reply);
+        plan.handle_reply(self.elapsed(), &response.member, &response.statement, reply);
     }
 }
 
--- a/crates/arbutusrudder/src/keeper/tests/fake_group.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_group.rs
@@ -64,7 +64,7 @@
         }
         self.model().kill(index);
         let fault = std::mem::replace(&mut *fault, PromotionFault::None);
-        if fault == PromotionFault::ResponseLost { PlanReply::Lost } else { reply }
+        if fault == PromotionFault::ResponseLost { PlanReply::NoResponse } else { reply }
     }
 }
 
@@ -99,10 +99,10 @@
             PlanReply::Status(status) => Ok(status),
             PlanReply::Superseded(term) => Err(ControlError::Superseded(term)),
             PlanReply::Refused => Err(ControlError::Refused("wrong term".to_owned())),
-            PlanReply::Lost if self.group.is_silent.load(Ordering::Relaxed) => {
+            PlanReply::NoResponse if self.group.is_silent.load(Ordering::Relaxed) => {
                 std::future::pending().await
             }
-            PlanReply::Lost => Err(unreachable()),
+            PlanReply::NoResponse => Err(unreachable()),
         }
     }
 }
--- a/crates/arbutusrudder/src/keeper/timeouts.rs
+++ b/crates/arbutusrudder/src/keeper/timeouts.rs
@@ -1,7 +1,7 @@
 //! Timeouts and intervals of the keeper: fixed ones, and those derived from the operators'
 //! settings.
 
-use rudder_core::PlanBounds;
+use rudder_core::PlanTimeouts;
 use rudder_settings::TimingSettings;
 use std::time::Duration;
 
@@ -32,11 +32,11 @@
 
 /// Returns the intervals and timeouts of a succession plan. The candidate's timeout is short, since
 /// trying another candidate at a new term is cheap.
-pub(super) fn plan_bounds(timing: &TimingSettings) -> PlanBounds {
-    PlanBounds {
+pub(super) fn plan_timeouts(timing: &TimingSettings) -> PlanTimeouts {
+    PlanTimeouts {
         retry: timing.probe_interval / 5,
         grace: timing.probe_interval / 4,
-        patience: 2 * statement_timeout(timing),
+        timeout: 2 * statement_timeout(timing),
     }
 }
 
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -34,8 +34,9 @@
 pub use stamp::{LogPosition, LogStamp, LogTerm};
 pub use status::{MemberRole, MemberStatus};
 pub use succession::{
-    FailureDetector, GrantError, GroupCondition, KeeperRun, ObserverVote, PlanBounds, PlanMember,
-    PlanReply, PlanRequest, PlanState, StallDetector, SuccessionGrant, SuccessionPlan, SwitchOrder,
-    TermReservation, TermReserve, VoteKind, WriterMark, assess_group, choose_candidate,
+    FailureDetector, GrantError, GroupCondition, KeeperRun, ObserverVote, PlanMember, PlanReply,
+    PlanRequest, PlanState, PlanTimeouts, StallDetector, SuccessionGrant, SuccessionPlan,
+    SwitchOrder, TermReservation, TermReserve, VoteKind, WriterMark, assess_group,
+    choose_candidate,
 };
 pub use unit::{ByteSize, ConnectionCount, MemberSpeed, RequestRate, SlotCount};
--- a/crates/rudder-core/src/succession/mod.rs
+++ b/crates/rudder-core/src/succession/mod.rs
@@ -24,7 +24,7 @@
 pub use grant::{GrantError, SuccessionGrant};
 pub use order::SwitchOrder;
 pub use plan::SuccessionPlan;
-pub use plan_step::{PlanBounds, PlanMember, PlanReply, PlanRequest, PlanState};
+pub use plan_step::{PlanMember, PlanReply, PlanRequest, PlanState, PlanTimeouts};
 pub use reservation::{KeeperRun, TermReservation, WriterMark};
 pub use stall::StallDetector;
 pub use term_reserve::TermReserve;
--- a/crates/rudder-core/src/succession/plan.rs
+++ b/crates/rudder-core/src/succession/plan.rs
@@ -6,7 +6,7 @@
 //! be repeated, also by another instance at a greater term after this one crashed or was suspended.
 
 use super::plan_phase::{MemberProgress, PlanPhase, SentStatement};
-use super::plan_step::{PlanBounds, PlanMember, PlanReply, PlanRequest, PlanState};
+use super::plan_step::{PlanMember, PlanReply, PlanRequest, PlanState, PlanTimeouts};
 use crate::control::ControlStatement;
 use crate::ident::MemberName;
 use crate::plain_data;
@@ -20,7 +20,7 @@
     /// at it.
     pub struct SuccessionPlan {
         pub(super) term: LogTerm,
-        pub(super) bounds: PlanBounds,
+        pub(super) timeouts: PlanTimeouts,
         pub(super) target: Option<MemberName>,
         pub(super) progress: Vec<MemberProgress>,
         pub(super) phase: PlanPhase,
@@ -31,21 +31,21 @@
     /// Creates a plan for all members of a group that has sent no statement yet.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, PlanBounds, PlanMember, SuccessionPlan};
+    /// use rudder_core::{LogTerm, PlanTimeouts, PlanMember, SuccessionPlan};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
     /// let member = PlanMember { name: "scores-1".parse()?, preference: 0 };
-    /// let mut plan = SuccessionPlan::new(LogTerm(2), vec![member], bounds);
+    /// let mut plan = SuccessionPlan::new(LogTerm(2), vec![member], timeouts);
     /// let requests = plan.poll(Duration::ZERO);
     /// assert_eq!(requests[0].statement.to_string(), "SELECT rudder.fence(2)");
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
     #[must_use]
-    pub fn new(term: LogTerm, members: Vec<PlanMember>, bounds: PlanBounds) -> Self {
+    pub fn new(term: LogTerm, members: Vec<PlanMember>, timeouts: PlanTimeouts) -> Self {
         let progress = members.into_iter().map(MemberProgress::new).collect();
         let phase = PlanPhase::Fencing { majority_since: None };
-        Self { term, bounds, target: None, progress, phase }
+        Self { term, timeouts, target: None, progress, phase }
     }
 
     /// Makes this a planned switch: `target` is promoted once its log has caught up with the most
@@ -55,11 +55,11 @@
     /// promoted instead, so that the group has a primary after a failed switch.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, PlanBounds, PlanState, SuccessionPlan};
+    /// use rudder_core::{LogTerm, PlanTimeouts, PlanState, SuccessionPlan};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
-    /// let plan = SuccessionPlan::new(LogTerm(2), vec![], bounds).switch_to("scores-2".parse()?);
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
+    /// let plan = SuccessionPlan::new(LogTerm(2), vec![], timeouts).switch_to("scores-2".parse()?);
     /// assert_eq!(plan.state(), PlanState::Running);
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
@@ -78,11 +78,11 @@
     /// Returns the state of the plan.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, PlanBounds, PlanState, SuccessionPlan};
+    /// use rudder_core::{LogTerm, PlanTimeouts, PlanState, SuccessionPlan};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
-    /// let plan = SuccessionPlan::new(LogTerm(2), vec![], bounds);
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
+    /// let plan = SuccessionPlan::new(LogTerm(2), vec![], timeouts);
     /// assert_eq!(plan.state(), PlanState::Running);
     /// ```
     #[must_use]
@@ -96,11 +96,11 @@
     /// Returns the statements to send now. At most one is in flight to each member.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, PlanBounds, SuccessionPlan};
+    /// use rudder_core::{LogTerm, PlanTimeouts, SuccessionPlan};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
-    /// assert!(SuccessionPlan::new(LogTerm(2), vec![], bounds).poll(Duration::ZERO).is_empty());
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
+    /// assert!(SuccessionPlan::new(LogTerm(2), vec![], timeouts).poll(Duration::ZERO).is_empty());
     /// ```
     pub fn poll(&mut self, now: Duration) -> Vec<PlanRequest> {
         self.advance(now);
@@ -122,20 +122,20 @@
     ///
     /// ```
     /// use rudder_core::{
-    ///     ControlStatement, LogTerm, PlanBounds, PlanMember, PlanReply, PlanState, SuccessionPlan,
+    ///     ControlStatement, LogTerm, PlanTimeouts, PlanMember, PlanReply, PlanState, SuccessionPlan,
     /// };
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
     /// let member = PlanMember { name: "scores-1".parse()?, preference: 0 };
-    /// let mut plan = SuccessionPlan::new(LogTerm(2), vec![member.clone()], bounds);
+    /// let mut plan = SuccessionPlan::new(LogTerm(2), vec![member.clone()], timeouts);
     /// let requests = plan.poll(Duration::ZERO);
     /// let reply = PlanReply::Superseded(LogTerm(7));
-    /// plan.observe(Duration::ZERO, &member.name, &requests[0].statement, reply);
+    /// plan.handle_reply(Duration::ZERO, &member.name, &requests[0].statement, reply);
     /// assert_eq!(plan.state(), PlanState::Superseded(LogTerm(7)));
     /// # Ok::<(), rudder_core::ParseError>(())
     /// ```
-    pub fn observe(
+    pub fn handle_reply(
         &mut self,
         now: Duration,
         member: &MemberName,
@@ -155,7 +155,7 @@
         let Some(sent) = self.take_in_flight(index, statement) else { return };
         match reply {
             PlanReply::Status(status) => self.handle_status(now, index, &sent, status),
-            PlanReply::Lost => self.handle_failure(now, index, &sent, reply),
+            PlanReply::NoResponse => self.handle_failure(now, index, &sent, reply),
             // A `Superseded` reply that reaches this point names a term that is not greater, so the
             // member has not accepted the plan's term.
             PlanReply::Refused | PlanReply::Superseded(_) => {
@@ -168,14 +168,14 @@
     /// Returns the time at which [`Self::poll`] next has work, unless a reply arrives before.
     ///
     /// ```
-    /// use rudder_core::{LogTerm, PlanBounds, SuccessionPlan};
+    /// use rudder_core::{LogTerm, PlanTimeouts, SuccessionPlan};
     /// use std::time::Duration;
     /// let bound = Duration::from_millis(50);
-    /// let bounds = PlanBounds { retry: bound, grace: bound, patience: 4 * bound };
-    /// assert_eq!(SuccessionPlan::new(LogTerm(2), vec![], bounds).wake_at(), None);
+    /// let timeouts = PlanTimeouts { retry: bound, grace: bound, timeout: 4 * bound };
+    /// assert_eq!(SuccessionPlan::new(LogTerm(2), vec![], timeouts).next_deadline(), None);
     /// ```
     #[must_use]
-    pub fn wake_at(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         // Members without a next statement are skipped: their due time may be past, and the driver
         // would poll in a busy loop.
         let waiting =
@@ -183,13 +183,13 @@
         let retry_at = waiting.map(|progress| progress.due_at).min();
         let phase_end = match &self.phase {
             PlanPhase::Fencing { majority_since } => {
-                majority_since.map(|at| at + self.bounds.grace)
+                majority_since.map(|at| at + self.timeouts.grace)
             }
             PlanPhase::CatchingUp { since, .. }
             | PlanPhase::Promoting { since, .. }
-            | PlanPhase::Confirming { since, .. } => Some(*since + self.bounds.patience),
+            | PlanPhase::Confirming { since, .. } => Some(*since + self.timeouts.timeout),
             PlanPhase::Following { last_status_at, .. } => {
-                Some(*last_status_at + self.bounds.patience)
+                Some(*last_status_at + self.timeouts.timeout)
             }
             PlanPhase::Ended(_) => return None,
         };
@@ -204,7 +204,7 @@
         let term = match reply {
             PlanReply::Superseded(term) => term,
             PlanReply::Status(status) => status.accepted,
-            PlanReply::Refused | PlanReply::Lost => return None,
+            PlanReply::Refused | PlanReply::NoResponse => return None,
         };
         (term > self.term).then_some(term)
     }
--- a/crates/rudder-core/src/succession/plan_advance.rs
+++ b/crates/rudder-core/src/succession/plan_advance.rs
@@ -85,7 +85,7 @@
         let since = majority_since.unwrap_or(now);
         self.phase = PlanPhase::Fencing { majority_since: Some(since) };
         let all_attempted = self.progress.iter().all(|progress| progress.attempted);
-        if all_attempted || now >= since + self.bounds.grace {
+        if all_attempted || now >= since + self.timeouts.grace {
             self.finish_fencing(now);
         }
     }
@@ -156,6 +156,6 @@
     }
 
     pub(super) fn has_timed_out(&self, now: Duration, since: Duration) -> bool {
-        now >= since + self.bounds.patience
+        now >= since + self.timeouts.timeout
     }
 }
--- a/crates/rudder-core/src/succession/plan_reply.rs
+++ b/crates/rudder-core/src/succession/plan_reply.rs
@@ -17,7 +17,7 @@
     ) {
         let progress = &mut self.progress[index];
         progress.attempted = true;
-        progress.due_at = now + self.bounds.retry;
+        progress.due_at = now + self.timeouts.retry;
         match &sent.statement {
             // A member counts as fenced only if it reports the plan's term. A member at a lower
             // term would continue to receive the old primary's writes after its log was compared.
@@ -83,7 +83,7 @@
         sent: &SentStatement,
         reply: PlanReply,
     ) {
-        let retry = self.bounds.retry;
+        let retry = self.timeouts.retry;
         let progress = &mut self.progress[index];
         progress.attempted = true;
         progress.due_at = now + retry;
--- a/crates/rudder-core/src/succession/plan_step.rs
+++ b/crates/rudder-core/src/succession/plan_step.rs
@@ -20,14 +20,14 @@
 plain_data! {
     /// The delays and timeouts of a plan.
     #[derive(Copy)]
-    pub struct PlanBounds {
+    pub struct PlanTimeouts {
         /// Delay before a statement is sent to the same member again.
         pub retry: Duration,
         /// Time for which the plan waits for more replies after a majority is fenced.
         pub grace: Duration,
         /// Timeout for the chosen member to catch up, to be promoted, to respond while the others
         /// start to replicate, and to be confirmed.
-        pub patience: Duration,
+        pub timeout: Duration,
     }
 }
 
@@ -51,7 +51,7 @@
     /// The member rejected it for another reason.
     Refused,
     /// No reply arrived; the statement may have taken effect.
-    Lost,
+    NoResponse,
 }
 
 /// The state of a plan.
--- a/crates/rudder-core/tests/succession/faults.rs
+++ b/crates/rudder-core/tests/succession/faults.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::RngSeed;
 use rudder_core::{
     AckDecision, ControlStatement, GroupCondition, LogStamp, LogTerm, MemberName, MemberRole,
-    MemberStatus, PlanBounds, PlanMember, PlanReply, PlanState, SuccessionPlan, assess_group,
+    MemberStatus, PlanMember, PlanReply, PlanState, PlanTimeouts, SuccessionPlan, assess_group,
     decide_commit, majority_of,
 };
 use std::time::Duration;
@@ -15,10 +15,10 @@
 const PROMOTERS: usize = 2;
 const RECOVERY_ROUNDS: usize = 400;
 
-const BOUNDS: PlanBounds = PlanBounds {
+const TIMEOUTS: PlanTimeouts = PlanTimeouts {
     retry: Duration::from_millis(50),
     grace: Duration::from_millis(60),
-    patience: Duration::from_millis(400),
+    timeout: Duration::from_millis(400),
 };
 
 #[derive(Clone, Debug)]
@@ -154,7 +154,7 @@
         }
         let members = (0..self.size())
             .map(|index| PlanMember { name: member_name(index), preference: index as u32 });
-        let plan = SuccessionPlan::new(self.next_term, members.collect(), BOUNDS);
+        let plan = SuccessionPlan::new(self.next_term, members.collect(), TIMEOUTS);
         self.next_term = LogTerm(self.next_term.0 + 1);
         self.plans[promoter] = Some(match target {
             Some(target) => plan.switch_to(target),
@@ -172,7 +172,7 @@
                 statement: request.statement,
             });
         }
-        let is_overdue = plan.wake_at().is_some_and(|wake_at| wake_at <= self.now);
+        let is_overdue = plan.next_deadline().is_some_and(|deadline| deadline <= self.now);
         assert!(!is_overdue, "the driver would poll in a busy loop: {plan:?}");
     }
 
@@ -194,7 +194,7 @@
         }
         let index = index % self.messages.len();
         let message = self.messages[index].clone();
-        self.handle_reply(&message, PlanReply::Lost);
+        self.handle_reply(&message, PlanReply::NoResponse);
     }
 
     fn reply(&mut self, index: usize, repeat: bool) {
@@ -214,7 +214,7 @@
             return;
         };
         if plan.term() == message.term {
-            plan.observe(self.now, &message.member, &message.statement, reply);
+            plan.handle_reply(self.now, &message.member, &message.statement, reply);
         }
     }
 
@@ -286,7 +286,7 @@
             self.poll(0);
             self.step(&FaultStep::DeliverAll);
             self.step(&FaultStep::ReplyAll);
-            self.now += BOUNDS.retry;
+            self.now += TIMEOUTS.retry;
             (0..size).for_each(|index| self.group.replicate(index, 8));
             self.check()?;
         }
--- a/crates/rudder-core/tests/succession/model.rs
+++ b/crates/rudder-core/tests/succession/model.rs
@@ -69,7 +69,7 @@
     pub(crate) fn run(&mut self, index: usize, statement: &ControlStatement) -> PlanReply {
         let member = &mut self.members[index];
         if !member.up {
-            return PlanReply::Lost;
+            return PlanReply::NoResponse;
         }
         match statement {
             ControlStatement::Status => {}
--- a/crates/rudder-core/tests/succession/plan.rs
+++ b/crates/rudder-core/tests/succession/plan.rs
@@ -2,21 +2,21 @@
 
 use super::model::{ModelGroup, member_name};
 use rudder_core::{
-    ControlStatement, LogStamp, LogTerm, MemberRole, MemberStatus, PlanBounds, PlanMember,
-    PlanReply, PlanRequest, PlanState, SuccessionPlan,
+    ControlStatement, LogStamp, LogTerm, MemberRole, MemberStatus, PlanMember, PlanReply,
+    PlanRequest, PlanState, PlanTimeouts, SuccessionPlan,
 };
 use std::time::Duration;
 
-const BOUNDS: PlanBounds = PlanBounds {
+const TIMEOUTS: PlanTimeouts = PlanTimeouts {
     retry: Duration::from_millis(50),
     grace: Duration::from_millis(60),
-    patience: Duration::from_millis(400),
+    timeout: Duration::from_millis(400),
 };
 const TERM: LogTerm = LogTerm(2);
 
 fn plan() -> SuccessionPlan {
     let member = |index| PlanMember { name: member_name(index), preference: index as u32 };
-    SuccessionPlan::new(TERM, (0..3).map(member).collect(), BOUNDS)
+    SuccessionPlan::new(TERM, (0..3).map(member).collect(), TIMEOUTS)
 }
 
 fn status(role: MemberRole, accepted: LogTerm, position: u64) -> PlanReply {
@@ -36,7 +36,7 @@
     plan.poll(Duration::ZERO);
     for (index, reply) in replies.into_iter().enumerate() {
         let statement = ControlStatement::Fence(TERM);
-        plan.observe(Duration::ZERO, &member_name(index), &statement, reply);
+        plan.handle_reply(Duration::ZERO, &member_name(index), &statement, reply);
     }
 }
 
@@ -46,11 +46,11 @@
 
 fn drive(plan: &mut SuccessionPlan, group: &mut ModelGroup, rounds: u64) {
     for round in 0..rounds {
-        let now = round * BOUNDS.retry.as_millis() as u64;
+        let now = round * TIMEOUTS.retry.as_millis() as u64;
         for request in plan.poll(millis(now)) {
             let index = group.index_of(&request.member);
             let reply = group.run(index, &request.statement);
-            plan.observe(millis(now), &request.member, &request.statement, reply);
+            plan.handle_reply(millis(now), &request.member, &request.statement, reply);
         }
         (0..group.members.len()).for_each(|index| group.replicate(index, 1));
     }
@@ -79,7 +79,7 @@
 fn fenced_minority_does_not_promote() {
     let mut plan = plan();
 
-    fence_all(&mut plan, [PlanReply::Lost, fenced(3), PlanReply::Lost]);
+    fence_all(&mut plan, [PlanReply::NoResponse, fenced(3), PlanReply::NoResponse]);
 
     let requests = plan.poll(millis(10_000));
     let fence = || ControlStatement::Fence(TERM);
@@ -93,7 +93,7 @@
     let mut plan = plan();
     let unfenced = status(MemberRole::Replica, LogTerm(1), 9);
 
-    fence_all(&mut plan, [unfenced, fenced(3), PlanReply::Lost]);
+    fence_all(&mut plan, [unfenced, fenced(3), PlanReply::NoResponse]);
 
     let requests = plan.poll(millis(10_000));
     assert!(requests.contains(&request(0, ControlStatement::Fence(TERM))));
@@ -106,11 +106,11 @@
     let mut plan = plan();
     plan.poll(Duration::ZERO);
     let fence = ControlStatement::Fence(TERM);
-    plan.observe(Duration::ZERO, &member_name(0), &fence, fenced(3));
-    plan.observe(Duration::ZERO, &member_name(1), &fence, fenced(3));
+    plan.handle_reply(Duration::ZERO, &member_name(0), &fence, fenced(3));
+    plan.handle_reply(Duration::ZERO, &member_name(1), &fence, fenced(3));
 
     let early = plan.poll(millis(59));
-    plan.observe(millis(59), &member_name(2), &fence, fenced(4));
+    plan.handle_reply(millis(59), &member_name(2), &fence, fenced(4));
     let late = plan.poll(millis(59));
 
     assert_eq!(early, vec![]);
@@ -122,10 +122,10 @@
 #[test]
 fn unanswered_promotion_ends_the_plan() {
     let mut plan = plan();
-    fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
+    fence_all(&mut plan, [PlanReply::NoResponse, fenced(4), fenced(3)]);
     let sent = plan.poll(millis(1));
 
-    plan.observe(millis(2), &member_name(1), &sent[0].statement, PlanReply::Lost);
+    plan.handle_reply(millis(2), &member_name(1), &sent[0].statement, PlanReply::NoResponse);
     let retried = plan.poll(millis(60));
     let after = plan.poll(millis(401));
 
@@ -139,10 +139,10 @@
 fn refused_promotion_ends_the_plan() {
     for refusal in [PlanReply::Refused, PlanReply::Superseded(LogTerm(1))] {
         let mut plan = plan();
-        fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
+        fence_all(&mut plan, [PlanReply::NoResponse, fenced(4), fenced(3)]);
         let sent = plan.poll(millis(1));
 
-        plan.observe(millis(2), &member_name(1), &sent[0].statement, refusal);
+        plan.handle_reply(millis(2), &member_name(1), &sent[0].statement, refusal);
 
         assert_eq!(plan.state(), PlanState::CandidateLost(member_name(1)));
     }
@@ -153,19 +153,19 @@
 #[test]
 fn confirmation_must_be_requested_after_the_others_follow() {
     let mut plan = plan();
-    fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
+    fence_all(&mut plan, [PlanReply::NoResponse, fenced(4), fenced(3)]);
     let leads = status(MemberRole::Primary, TERM, 4);
     let promote = ControlStatement::Promote(TERM);
     plan.poll(millis(1));
-    plan.observe(millis(2), &member_name(1), &promote, leads);
+    plan.handle_reply(millis(2), &member_name(1), &promote, leads);
     plan.poll(millis(3));
     let follow = ControlStatement::Follow(TERM, member_name(1));
-    plan.observe(millis(4), &member_name(2), &follow, fenced(3));
+    plan.handle_reply(millis(4), &member_name(2), &follow, fenced(3));
 
-    plan.observe(millis(5), &member_name(1), &ControlStatement::Status, leads);
+    plan.handle_reply(millis(5), &member_name(1), &ControlStatement::Status, leads);
     let early = plan.state();
     plan.poll(millis(6));
-    plan.observe(millis(7), &member_name(1), &ControlStatement::Status, leads);
+    plan.handle_reply(millis(7), &member_name(1), &ControlStatement::Status, leads);
 
     assert_eq!(early, PlanState::Running);
     assert_eq!(plan.state(), PlanState::Done(member_name(1)));
@@ -174,13 +174,13 @@
 #[test]
 fn candidate_that_fails_after_promotion_ends_the_plan() {
     let mut plan = plan();
-    fence_all(&mut plan, [PlanReply::Lost, fenced(4), fenced(3)]);
+    fence_all(&mut plan, [PlanReply::NoResponse, fenced(4), fenced(3)]);
     plan.poll(millis(1));
     let promote = ControlStatement::Promote(TERM);
-    plan.observe(millis(2), &member_name(1), &promote, status(MemberRole::Primary, TERM, 4));
+    plan.handle_reply(millis(2), &member_name(1), &promote, status(MemberRole::Primary, TERM, 4));
     plan.poll(millis(3));
 
-    plan.observe(millis(4), &member_name(1), &ControlStatement::Status, PlanReply::Lost);
+    plan.handle_reply(millis(4), &member_name(1), &ControlStatement::Status, PlanReply::NoResponse);
     plan.poll(millis(402));
 
     assert_eq!(plan.state(), PlanState::CandidateLost(member_name(1)));
@@ -193,7 +193,7 @@
     let mut group = ModelGroup::new(3);
     group.kill(0);
     let mut resumed = plan();
-    fence_all(&mut resumed, [PlanReply::Lost, fenced(0), fenced(0)]);
+    fence_all(&mut resumed, [PlanReply::NoResponse, fenced(0), fenced(0)]);
     group.run(1, &ControlStatement::Fence(LogTerm(3)));
     group.run(2, &ControlStatement::Fence(LogTerm(3)));
 
@@ -228,7 +228,7 @@
     let follow = ControlStatement::Follow(TERM, member_name(0));
     let sent = plan.poll(millis(1));
 
-    plan.observe(millis(2), &member_name(1), &follow, PlanReply::Lost);
+    plan.handle_reply(millis(2), &member_name(1), &follow, PlanReply::NoResponse);
     let next = plan.poll(millis(3));
 
     assert_eq!(sent, vec![request(1, follow)]);
