--- a/crates/arbutusrudder/src/admin/status.rs
+++ b/crates/arbutusrudder/src/admin/status.rs
@@ -2,7 +2,7 @@
 
 use crate::context::InstanceContext;
 use crate::group::GroupState;
-use rudder_core::AgeLedger;
+use rudder_core::FreshnessSamples;
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
@@ -81,7 +81,7 @@
 
 fn group_status(group: &GroupState) -> GroupStatus {
     let primary = group.primary();
-    let newest = group.board.with_ledger(AgeLedger::newest);
+    let newest = group.board.with_samples(FreshnessSamples::newest);
     let known = newest.map(|sample| group.board.now().saturating_sub(sample.sent_at));
     GroupStatus {
         service: group.service.name.to_string(),
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -231,7 +231,7 @@
     let bound = session.bound();
     let unknown = session.knowledge != FloorKnowledge::Known;
     let requirement = ReadRequirement { floor: session.floor(), bound, as_of: group.board.now() };
-    let decision = group.board.with_ledger(|ledger| decide_read(status, &requirement, ledger));
+    let decision = group.board.with_samples(|samples| decide_read(status, &requirement, samples));
     match decision {
         ReadDecision::Serve => !unknown || confirm_leadership(attempt, status, arrived).await,
         ReadDecision::TooOldForSession => false,
--- a/crates/arbutusrudder/src/caller/session.rs
+++ b/crates/arbutusrudder/src/caller/session.rs
@@ -2,7 +2,7 @@
 
 use crate::exchange::PreparedStatement;
 use crate::group::{GroupState, PooledConnection};
-use rudder_core::{AgeLedger, LogStamp, LogTerm, RequestKey, ServiceName, SessionToken};
+use rudder_core::{FreshnessSamples, LogStamp, LogTerm, RequestKey, ServiceName, SessionToken};
 use rudder_endpoint::WireLink;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -93,7 +93,7 @@
     /// known, so that replicas may serve reads.
     pub(crate) fn learn_floor(&mut self, group: &GroupState) -> bool {
         let FloorKnowledge::Unknown(since) = self.knowledge else { return true };
-        let newest = group.board.with_ledger(AgeLedger::newest);
+        let newest = group.board.with_samples(FreshnessSamples::newest);
         let Some(sample) = newest.filter(|sample| sample.sent_at >= since) else { return false };
         let service = self.service.clone();
         self.token.raise(&service, sample.stamp);
--- a/crates/arbutusrudder/src/group/confirm.rs
+++ b/crates/arbutusrudder/src/group/confirm.rs
@@ -104,7 +104,7 @@
 
     fn reports_since(&self, since: Duration) -> Vec<(MemberName, MemberStatus)> {
         let reports = self.board.reports().into_iter();
-        let fresh = reports.filter(|report| report.asked_at >= since);
+        let fresh = reports.filter(|report| report.requested_at >= since);
         fresh.map(|report| (report.member, report.status)).collect()
     }
 }
--- a/crates/arbutusrudder/src/group/reports.rs
+++ b/crates/arbutusrudder/src/group/reports.rs
@@ -1,13 +1,13 @@
 //! The latest report of each member, and the conclusions from all of them.
 
 use rudder_core::{
-    AgeLedger, LogTerm, MemberName, MemberRole, MemberStatus, TimedReport, confirm_sample,
+    FreshnessSamples, LogTerm, MemberName, MemberRole, MemberStatus, TimedReport, confirm_sample,
 };
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Latest reports of a group's members, with the age ledger built from them.
+/// Latest reports of a group's members, with the freshness samples built from them.
 pub(crate) struct MemberReports {
     origin: Instant,
     members: usize,
@@ -19,7 +19,7 @@
 struct ReportState {
     /// Sorted by member name; one report each.
     reports: Vec<TimedReport>,
-    ledger: AgeLedger,
+    samples: FreshnessSamples,
 }
 
 impl MemberReports {
@@ -49,14 +49,14 @@
     pub(crate) fn record(&self, member: &MemberName, requested_at: Duration, status: MemberStatus) {
         {
             let mut inner = self.lock();
-            let report = TimedReport { member: member.clone(), asked_at: requested_at, status };
+            let report = TimedReport { member: member.clone(), requested_at, status };
             match inner.reports.binary_search_by(|known| known.member.cmp(member)) {
-                Ok(index) if inner.reports[index].asked_at > requested_at => return,
+                Ok(index) if inner.reports[index].requested_at > requested_at => return,
                 Ok(index) => inner.reports[index] = report,
                 Err(index) => inner.reports.insert(index, report),
             }
             if let Some(sample) = confirm_sample(self.members, &inner.reports) {
-                inner.ledger.note(sample);
+                inner.samples.record(sample);
             }
         }
         self.changes.send_modify(|count| *count += 1);
@@ -93,9 +93,9 @@
         self.lock().reports.is_empty()
     }
 
-    /// Runs a query on the age ledger.
-    pub(crate) fn with_ledger<T>(&self, query: impl FnOnce(&AgeLedger) -> T) -> T {
-        query(&self.lock().ledger)
+    /// Runs a query on the freshness samples.
+    pub(crate) fn with_samples<T>(&self, query: impl FnOnce(&FreshnessSamples) -> T) -> T {
+        query(&self.lock().samples)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, ReportState> {
--- a/crates/arbutusrudder/src/group/state.rs
+++ b/crates/arbutusrudder/src/group/state.rs
@@ -310,9 +310,9 @@
         for report in self.board.reports() {
             let Some(index) = self.index_of(&report.member) else { continue };
             let applied = report.status.applied;
-            let freshness = self.board.with_ledger(|ledger| MemberFreshness {
-                age: ledger.age_of(applied, now),
-                lag: ledger.age_of(applied, report.asked_at).unwrap_or(ASSUMED_LAG),
+            let freshness = self.board.with_samples(|samples| MemberFreshness {
+                age: samples.age_of(applied, now),
+                lag: samples.age_of(applied, report.requested_at).unwrap_or(ASSUMED_LAG),
             });
             let weight = self.weight_of(index);
             views.push(self.members[index].view(
--- a/crates/arbutusrudder/src/keeper/report_table.rs
+++ b/crates/arbutusrudder/src/keeper/report_table.rs
@@ -92,7 +92,7 @@
         let timed = |report: &MemberReport| {
             let requested_at: Duration = report.requested_at.duration_since(self.origin);
             let member = report.member.clone();
-            Some(TimedReport { member, asked_at: requested_at, status: report.status? })
+            Some(TimedReport { member, requested_at, status: report.status? })
         };
         let fresh = self.reports.iter().filter(|report| report.requested_at >= since);
         let reports: Vec<_> = fresh.filter_map(timed).collect();
--- a/crates/rudder-core/src/freshness/read.rs
+++ b/crates/rudder-core/src/freshness/read.rs
@@ -1,6 +1,6 @@
 //! The decision whether the result of a read at a member may be returned to the caller.
 
-use super::ledger::AgeLedger;
+use super::samples::FreshnessSamples;
 use crate::plain_data;
 use crate::stamp::LogStamp;
 use crate::status::MemberStatus;
@@ -37,7 +37,7 @@
 ///
 /// ```
 /// use rudder_core::{
-///     AgeLedger, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision, ReadRequirement,
+///     FreshnessSamples, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision, ReadRequirement,
 /// };
 /// use std::time::Duration;
 /// let applied = LogStamp::new(1, 4);
@@ -46,14 +46,14 @@
 /// let floor = Some(LogStamp::new(1, 5));
 /// let bound = Duration::from_secs(1);
 /// let requirement = ReadRequirement { floor, bound, as_of: Duration::ZERO };
-/// let decision = rudder_core::decide_read(&status, &requirement, &AgeLedger::default());
+/// let decision = rudder_core::decide_read(&status, &requirement, &FreshnessSamples::default());
 /// assert_eq!(decision, ReadDecision::TooOldForSession);
 /// ```
 #[must_use]
 pub fn decide_read(
     status: &MemberStatus,
     requirement: &ReadRequirement,
-    ledger: &AgeLedger,
+    samples: &FreshnessSamples,
 ) -> ReadDecision {
     // Otherwise a session could miss its own write at a lagging member. Stamps compare by term
     // first: a member with a longer log of an older term may lack the write.
@@ -62,7 +62,7 @@
     }
     // Otherwise a lagging replica or an isolated primary could serve outdated data as current.
     // Without a confirmed sample the age is unknown, which is treated as too old.
-    match ledger.age_of(status.applied, requirement.as_of) {
+    match samples.age_of(status.applied, requirement.as_of) {
         Some(age) if age <= requirement.bound => ReadDecision::Serve,
         _ => ReadDecision::TooOldForBound,
     }
--- a/crates/rudder-core/src/freshness/sample.rs
+++ b/crates/rudder-core/src/freshness/sample.rs
@@ -14,7 +14,7 @@
         /// The member.
         pub member: MemberName,
         /// Time at which the request was sent, on the requester's clock.
-        pub asked_at: Duration,
+        pub requested_at: Duration,
         /// The status that the member returned.
         pub status: MemberStatus,
     }
@@ -47,13 +47,13 @@
     let is_primary = |report: &&TimedReport| report.status.role == MemberRole::Primary;
     let primary = reports.iter().filter(at_term).find(is_primary)?;
     let mut request_times: Vec<_> =
-        reports.iter().filter(at_term).map(|report| report.asked_at).collect();
+        reports.iter().filter(at_term).map(|report| report.requested_at).collect();
     request_times.sort_unstable_by(|left, right| right.cmp(left));
     // Without a majority, the log of an isolated primary would be taken for the newest. At
     // `sent_at`, a majority had accepted no greater term, so no successor had acknowledged
     // anything by then.
     let majority_requested_at = *request_times.get(majority_of(members) - 1)?;
-    let sent_at = majority_requested_at.min(primary.asked_at);
+    let sent_at = majority_requested_at.min(primary.requested_at);
     // A primary that was just promoted or restarted may still be applying its log, but its
     // received log contains every acknowledged write.
     Some(FreshSample { sent_at, stamp: primary.status.received })
--- a/crates/rudder-core/src/freshness/ledger.rs
+++ b/crates/rudder-core/src/freshness/samples.rs
@@ -12,24 +12,24 @@
 plain_data! {
     /// Samples sorted by time; time and stamp both increase strictly from one to the next.
     #[derive(Default)]
-    pub struct AgeLedger {
+    pub struct FreshnessSamples {
         samples: Vec<FreshSample>,
     }
 }
 
-impl AgeLedger {
+impl FreshnessSamples {
     /// Records a confirmed sample. Samples may arrive in any order.
     ///
     /// ```
-    /// use rudder_core::{AgeLedger, FreshSample, LogStamp};
+    /// use rudder_core::{FreshSample, FreshnessSamples, LogStamp};
     /// use std::time::Duration;
-    /// let mut ledger = AgeLedger::default();
-    /// ledger.note(FreshSample { sent_at: Duration::from_secs(5), stamp: LogStamp::new(1, 9) });
+    /// let mut samples = FreshnessSamples::default();
+    /// samples.record(FreshSample { sent_at: Duration::from_secs(5), stamp: LogStamp::new(1, 9) });
     /// let now = Duration::from_secs(7);
-    /// assert_eq!(ledger.age_of(LogStamp::new(1, 9), now), Some(Duration::from_secs(2)));
-    /// assert_eq!(ledger.age_of(LogStamp::new(1, 8), now), None);
+    /// assert_eq!(samples.age_of(LogStamp::new(1, 9), now), Some(Duration::from_secs(2)));
+    /// assert_eq!(samples.age_of(LogStamp::new(1, 8), now), None);
     /// ```
-    pub fn note(&mut self, sample: FreshSample) {
+    pub fn record(&mut self, sample: FreshSample) {
         let index = self.samples.partition_point(|known| known.sent_at < sample.sent_at);
         // A known sample that is at least as recent, with a stamp no greater, makes this one redundant.
         if self.samples[index..].iter().any(|known| known.stamp <= sample.stamp) {
@@ -46,21 +46,21 @@
     }
 
     /// Records a peer's newest sample, which was `age` old when the peer responded to a request
-    /// that was sent to it at `asked_at`.
+    /// that was sent to it at `requested_at`.
     ///
     /// ```
-    /// use rudder_core::{AgeLedger, LogStamp};
+    /// use rudder_core::{FreshnessSamples, LogStamp};
     /// use std::time::Duration;
-    /// let mut ledger = AgeLedger::default();
+    /// let mut samples = FreshnessSamples::default();
     /// let second = Duration::from_secs(1);
-    /// ledger.record_peer_sample(10 * second, second, LogStamp::new(1, 9));
-    /// assert_eq!(ledger.age_of(LogStamp::new(1, 9), 11 * second), Some(2 * second));
+    /// samples.record_peer_sample(10 * second, second, LogStamp::new(1, 9));
+    /// assert_eq!(samples.age_of(LogStamp::new(1, 9), 11 * second), Some(2 * second));
     /// ```
-    pub fn record_peer_sample(&mut self, asked_at: Duration, age: Duration, stamp: LogStamp) {
+    pub fn record_peer_sample(&mut self, requested_at: Duration, age: Duration, stamp: LogStamp) {
         // The age counts from when the request was sent, so the whole round trip is added to it.
         // Counted from the arrival of a slow response, the data would seem fresher than it is.
-        let Some(sent_at) = asked_at.checked_sub(age) else { return };
-        self.note(FreshSample { sent_at, stamp });
+        let Some(sent_at) = requested_at.checked_sub(age) else { return };
+        self.record(FreshSample { sent_at, stamp });
     }
 
     /// Returns the age, at `now`, of the data of a member that has applied the log up to `applied`.
@@ -68,9 +68,9 @@
     /// `None` means that the age is unknown, which exceeds every bound.
     ///
     /// ```
-    /// use rudder_core::{AgeLedger, LogStamp};
+    /// use rudder_core::{FreshnessSamples, LogStamp};
     /// use std::time::Duration;
-    /// assert_eq!(AgeLedger::default().age_of(LogStamp::new(1, 1), Duration::ZERO), None);
+    /// assert_eq!(FreshnessSamples::default().age_of(LogStamp::new(1, 1), Duration::ZERO), None);
     /// ```
     #[must_use]
     pub fn age_of(&self, applied: LogStamp, now: Duration) -> Option<Duration> {
@@ -82,7 +82,7 @@
     /// Returns the newest sample, to be sent to peers.
     ///
     /// ```
-    /// assert_eq!(rudder_core::AgeLedger::default().newest(), None);
+    /// assert_eq!(rudder_core::FreshnessSamples::default().newest(), None);
     /// ```
     #[must_use]
     pub fn newest(&self) -> Option<FreshSample> {
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -21,7 +21,8 @@
 pub use control::{ControlStatement, STATUS_COLUMNS, TERM_REFUSED_SQLSTATE};
 pub use error::ParseError;
 pub use freshness::{
-    AgeLedger, FreshSample, ReadDecision, ReadRequirement, TimedReport, confirm_sample, decide_read,
+    FreshSample, FreshnessSamples, ReadDecision, ReadRequirement, TimedReport, confirm_sample,
+    decide_read,
 };
 pub use history::{
     HistoryFault, HistoryLog, ReadRecord, StoredValue, WriteOutcome, WriteRecord, check_history,
--- a/crates/rudder-core/tests/freshness.rs
+++ b/crates/rudder-core/tests/freshness.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rudder_core::{
-    AgeLedger, FreshSample, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision,
+    FreshSample, FreshnessSamples, LogStamp, LogTerm, MemberRole, MemberStatus, ReadDecision,
     ReadRequirement, TimedReport, confirm_sample, decide_read,
 };
 use std::time::Duration;
@@ -17,9 +17,9 @@
     MemberStatus { role, accepted: LogTerm(accepted), received, applied: received }
 }
 
-fn report(name: &str, asked_at: u64, status: MemberStatus) -> TimedReport {
+fn report(name: &str, requested_at: u64, status: MemberStatus) -> TimedReport {
     let member = name.parse().expect("a valid name");
-    TimedReport { member, asked_at: secs(asked_at), status }
+    TimedReport { member, requested_at: secs(requested_at), status }
 }
 
 fn replica(applied: LogStamp) -> MemberStatus {
@@ -34,7 +34,7 @@
     })]
 
     // A reader receives data older than its bound because the wrong samples were dropped. The
-    // ledger's age must never be less than the age computed from all samples, and must equal it
+    // computed age must never be less than the age computed from all samples, and must equal it
     // while no sample has been dropped.
     #[test]
     fn age_is_never_too_small(
@@ -47,10 +47,10 @@
         let sample = |(at, position): (u64, u64)| {
             FreshSample { sent_at: secs(at), stamp: LogStamp::new(1, position) }
         };
-        let mut ledger = AgeLedger::default();
+        let mut kept = FreshnessSamples::default();
 
-        samples.iter().for_each(|entry| ledger.note(sample(*entry)));
-        let age = ledger.age_of(LogStamp::new(1, applied), secs(5000));
+        samples.iter().for_each(|entry| kept.record(sample(*entry)));
+        let age = kept.age_of(LogStamp::new(1, applied), secs(5000));
 
         let covered = samples.iter().filter(|(_, position)| *position <= applied);
         let exact = covered.map(|(at, _)| secs(5000 - at)).min();
@@ -61,12 +61,12 @@
 
 #[test]
 fn recent_ages_stay_precise_with_many_samples() {
-    let mut ledger = AgeLedger::default();
+    let mut samples = FreshnessSamples::default();
     for at in 0..10_000 {
-        ledger.note(FreshSample { sent_at: secs(at), stamp: LogStamp::new(1, at) });
+        samples.record(FreshSample { sent_at: secs(at), stamp: LogStamp::new(1, at) });
     }
 
-    let ages = [9_999, 9_990, 9_000].map(|at| ledger.age_of(LogStamp::new(1, at), secs(10_000)));
+    let ages = [9_999, 9_990, 9_000].map(|at| samples.age_of(LogStamp::new(1, at), secs(10_000)));
 
     assert_eq!(ages[0], Some(secs(1)));
     assert!(ages[1].is_some_and(|age| age <= secs(15)), "{ages:?}");
@@ -77,12 +77,12 @@
 // bound of five seconds must not receive its data.
 #[test]
 fn lagging_replica_is_too_old_for_the_bound() {
-    let mut ledger = AgeLedger::default();
-    ledger.note(FreshSample { sent_at: secs(10), stamp: LogStamp::new(2, 5) });
-    ledger.note(FreshSample { sent_at: secs(20), stamp: LogStamp::new(2, 9) });
+    let mut samples = FreshnessSamples::default();
+    samples.record(FreshSample { sent_at: secs(10), stamp: LogStamp::new(2, 5) });
+    samples.record(FreshSample { sent_at: secs(20), stamp: LogStamp::new(2, 9) });
     let requirement = |bound| ReadRequirement { floor: None, bound: secs(bound), as_of: secs(22) };
     let decide = |position, bound| {
-        decide_read(&replica(LogStamp::new(2, position)), &requirement(bound), &ledger)
+        decide_read(&replica(LogStamp::new(2, position)), &requirement(bound), &samples)
     };
 
     let decisions = [decide(9, 2), decide(9, 1), decide(8, 5), decide(8, 12), decide(4, 9_999)];
@@ -95,12 +95,12 @@
 // Compared by position alone, the member would seem to have the write.
 #[test]
 fn session_floor_compares_terms_first() {
-    let mut ledger = AgeLedger::default();
-    ledger.note(FreshSample { sent_at: secs(10), stamp: LogStamp::new(1, 1) });
+    let mut samples = FreshnessSamples::default();
+    samples.record(FreshSample { sent_at: secs(10), stamp: LogStamp::new(1, 1) });
     let requirement =
         ReadRequirement { floor: Some(LogStamp::new(2, 5)), bound: secs(60), as_of: secs(11) };
     let decide = |term, position| {
-        decide_read(&replica(LogStamp::new(term, position)), &requirement, &ledger)
+        decide_read(&replica(LogStamp::new(term, position)), &requirement, &samples)
     };
 
     let decisions = [decide(1, 90), decide(2, 4), decide(2, 5)];
@@ -133,10 +133,10 @@
 // were counted from its arrival, the data would seem fresher than it is.
 #[test]
 fn round_trip_is_added_to_a_peers_age() {
-    let mut ledger = AgeLedger::default();
-    ledger.record_peer_sample(secs(10), secs(1), LogStamp::new(1, 3));
+    let mut samples = FreshnessSamples::default();
+    samples.record_peer_sample(secs(10), secs(1), LogStamp::new(1, 3));
 
-    let age = ledger.age_of(LogStamp::new(1, 3), secs(14));
+    let age = samples.age_of(LogStamp::new(1, 3), secs(14));
 
     assert_eq!(age, Some(secs(5)));
 }
