--- a/crates/arbutusrudder/src/admin/status.rs
+++ b/crates/arbutusrudder/src/admin/status.rs
@@ -52,7 +52,7 @@
             domain: context.domain().to_string(),
             revision: fleet.revision,
             leaving: context.is_leaving(),
-            instances: context.instances(),
+            instances: context.instance_count(),
             groups: fleet.groups.iter().map(|group| group_status(group)).collect(),
         }
     }
@@ -81,8 +81,8 @@
 
 fn group_status(group: &GroupState) -> GroupStatus {
     let primary = group.primary();
-    let newest = group.board.with_samples(FreshnessSamples::newest);
-    let known = newest.map(|sample| group.board.now().saturating_sub(sample.sent_at));
+    let newest = group.reports.with_samples(FreshnessSamples::newest);
+    let known = newest.map(|sample| group.reports.now().saturating_sub(sample.sent_at));
     GroupStatus {
         service: group.service.name.to_string(),
         primary: primary.as_ref().map(|primary| group.members[primary.index].name().to_string()),
@@ -94,7 +94,7 @@
 
 fn member_summary(group: &GroupState, index: usize) -> MemberSummary {
     let member = &group.members[index];
-    let status = group.board.status_of(member.name());
+    let status = group.reports.status_of(member.name());
     MemberSummary {
         name: member.name().to_string(),
         role: status.map(|status| status.role.to_string()),
@@ -104,6 +104,6 @@
         health: member.health().to_string(),
         in_flight: member.in_flight.load(Ordering::Relaxed),
         connections: member.pool.open_count(),
-        window: member.window(),
+        window: member.in_flight_limit(),
     }
 }
--- a/crates/arbutusrudder/src/caller/acknowledge.rs
+++ b/crates/arbutusrudder/src/caller/acknowledge.rs
@@ -31,7 +31,7 @@
     let bound = group.timing.suspect_after * STATUS_TIMEOUT_FACTOR;
     match timeout(bound, pooled.connection.next_status()).await {
         Ok(Ok(status)) => {
-            group.take_report(member, status_requested_at, Some(status));
+            group.record_report(member, status_requested_at, Some(status));
             Ok(status)
         }
         Ok(Err(ControlError::Unreachable(_))) => Err(ExchangeError::Member(WireError::Closed)),
--- a/crates/arbutusrudder/src/caller/attempt.rs
+++ b/crates/arbutusrudder/src/caller/attempt.rs
@@ -4,7 +4,7 @@
 use super::acknowledge::{commit_stamp, read_status, request_status};
 use super::session::CallerSession;
 use crate::exchange::{CallerBatch, ExchangeError, RelayBounds, sync_settings};
-use crate::group::{AdmissionPass, GroupState, PoolError, PooledConnection};
+use crate::group::{AdmissionSlot, GroupState, PoolError, PooledConnection};
 use displaydoc::Display;
 use rudder_core::{ControlStatement, LogStamp, LogTerm, MemberStatus};
 use rudder_decisions::{AdmissionRequest, RefusalReason, WorkClass};
@@ -39,7 +39,7 @@
     fingerprint: u64,
     started: Instant,
     status_requested_at: Duration,
-    _pass: AdmissionPass,
+    _slot: AdmissionSlot,
     _load: LoadGuard,
 }
 
@@ -85,21 +85,21 @@
     member: usize,
     work: AttemptWork,
     deadline: Instant,
-) -> Result<AdmissionPass, RefusalReason> {
+) -> Result<AdmissionSlot, RefusalReason> {
     let class = work.class;
     let request = AdmissionRequest {
         lane: group.lane(member),
         kind: session.caller.kind.clone(),
         caller: session.caller_key,
         class,
-        size: group.size_of(work.fingerprint),
+        size: group.estimated_size(work.fingerprint),
         sheddable: session.caller.shed == rudder_settings::ShedOrder::First,
         in_flight_max: session.caller.in_flight_max,
         queue_wait: session.caller.queue_wait,
         deadline,
     };
     let requested_at = Instant::now();
-    let outcome = group.desk.enter(&request).await;
+    let outcome = group.admission.acquire(&request).await;
     metrics::histogram!("rudder_queue_seconds", "class" => class.to_string())
         .record(requested_at.elapsed());
     if let Err(reason) = &outcome {
@@ -123,7 +123,7 @@
         work: AttemptWork,
         deadline: Instant,
     ) -> Result<Self, AttemptError> {
-        let pass = acquire_slot(session, group, member, work, deadline)
+        let slot = acquire_slot(session, group, member, work, deadline)
             .await
             .map_err(AttemptError::Refused)?;
         let load = LoadGuard::new(group, member);
@@ -131,7 +131,7 @@
         let timing = &group.timing;
         let pool = &group.members[member].pool;
         let mut pooled = pool
-            .take(within, timing.connect_timeout, timing.idle_check_after)
+            .acquire(within, timing.connect_timeout, timing.idle_check_after)
             .await
             .map_err(AttemptError::Pool)?;
         let unsent = |error| AttemptError::Pool(PoolError::Endpoint(error));
@@ -152,8 +152,8 @@
             settings_queued,
             fingerprint: work.fingerprint,
             started: Instant::now(),
-            status_requested_at: group.board.now(),
-            _pass: pass,
+            status_requested_at: group.reports.now(),
+            _slot: slot,
             _load: load,
         })
     }
@@ -198,12 +198,13 @@
     pub(crate) async fn finish(self, session: &CallerSession) {
         let member = &self.group.members[self.member];
         let elapsed = self.started.elapsed();
-        member.observe(elapsed);
-        self.group.note_work(self.fingerprint, elapsed.saturating_sub(member.link()));
-        self.group.note_outcome(self.member, true);
+        member.record_latency(elapsed);
+        self.group
+            .record_service_time(self.fingerprint, elapsed.saturating_sub(member.round_trip()));
+        self.group.record_outcome(self.member, true);
         // Waits for a cancel request in progress: it must not affect the connection's next caller.
         *session.cancel.slot.lock().await = None;
-        member.pool.give_back(self.pooled);
+        member.pool.put_idle(self.pooled);
     }
 
     /// Ends an attempt and closes its connection, whose state is unknown, so that a late reply
@@ -211,8 +212,8 @@
     pub(crate) async fn abandon(self, session: &CallerSession, error: &ExchangeError) {
         let member = &self.group.members[self.member];
         if !matches!(error, ExchangeError::Caller(_)) {
-            self.group.note_outcome(self.member, false);
-            self.group.take_report(self.member, self.status_requested_at, None);
+            self.group.record_outcome(self.member, false);
+            self.group.record_report(self.member, self.status_requested_at, None);
         }
         *session.cancel.slot.lock().await = None;
         log::info!(
@@ -223,7 +224,7 @@
 
     /// Releases the slot and keeps the connection for a transaction.
     pub(crate) fn into_pooled(self) -> PooledConnection {
-        self.group.members[self.member].observe(self.started.elapsed());
+        self.group.members[self.member].record_latency(self.started.elapsed());
         self.pooled
     }
 }
--- a/crates/arbutusrudder/src/caller/cancel.rs
+++ b/crates/arbutusrudder/src/caller/cancel.rs
@@ -14,13 +14,13 @@
 
 /// The cancel keys of this instance's callers, sorted.
 #[derive(Default)]
-pub(crate) struct CancelBoard {
+pub(crate) struct CancelRegistry {
     entries: Mutex<Vec<((i32, i32), CancelSlot)>>,
 }
 
 /// Registration of a caller's cancel key; dropping it removes the key.
 pub(crate) struct CancelEntry {
-    board: Arc<CancelBoard>,
+    registry: Arc<CancelRegistry>,
     key: (i32, i32),
     /// The running statement.
     pub(crate) slot: CancelSlot,
@@ -35,14 +35,14 @@
 
 impl Drop for CancelEntry {
     fn drop(&mut self) {
-        let mut entries = self.board.lock();
+        let mut entries = self.registry.lock();
         if let Ok(index) = entries.binary_search_by_key(&self.key, |(key, _)| *key) {
             entries.remove(index);
         }
     }
 }
 
-impl CancelBoard {
+impl CancelRegistry {
     /// Registers a caller under a new key.
     pub(crate) fn register(self: &Arc<Self>) -> CancelEntry {
         let slot = CancelSlot::default();
@@ -52,7 +52,7 @@
             if let Err(index) = entries.binary_search_by_key(&key, |(known, _)| *known) {
                 entries.insert(index, (key, Arc::clone(&slot)));
                 drop(entries);
-                return CancelEntry { board: Arc::clone(self), key, slot };
+                return CancelEntry { registry: Arc::clone(self), key, slot };
             }
         }
     }
--- a/crates/arbutusrudder/src/caller/collect.rs
+++ b/crates/arbutusrudder/src/caller/collect.rs
@@ -1,7 +1,7 @@
 //! Collects a batch from the caller's frames.
 
 use super::session::CallerSession;
-use crate::classify::FactsCache;
+use crate::classify::SummaryCache;
 use crate::exchange::{BatchEnd, BatchFrame, CallerBatch, PreparedStatement};
 use bytes::Bytes;
 use rudder_endpoint::{FramePart, WireError, WireFrame, tag};
@@ -25,7 +25,7 @@
 /// Reads frames until the caller waits for a response.
 pub(crate) async fn collect_batch(
     session: &mut CallerSession,
-    facts: &FactsCache,
+    facts: &SummaryCache,
 ) -> Result<CallerInput, WireError> {
     session.previous_names.clear();
     let mut batch = CallerBatch {
@@ -77,7 +77,7 @@
 
 fn collect_frame(
     session: &mut CallerSession,
-    facts: &FactsCache,
+    facts: &SummaryCache,
     batch: &mut CallerBatch,
     frame: WireFrame,
 ) -> Result<(), WireError> {
@@ -114,7 +114,7 @@
 
 fn read_parse(
     session: &mut CallerSession,
-    facts: &FactsCache,
+    facts: &SummaryCache,
     body: &Bytes,
 ) -> Result<Arc<PreparedStatement>, WireError> {
     let name_end = end_of_text(body, 0)?;
--- a/crates/arbutusrudder/src/caller/mod.rs
+++ b/crates/arbutusrudder/src/caller/mod.rs
@@ -20,6 +20,6 @@
 mod transaction;
 mod write;
 
-pub(crate) use cancel::CancelBoard;
+pub(crate) use cancel::CancelRegistry;
 pub(crate) use response::put_fatal;
 pub(crate) use serve::serve_caller;
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -46,8 +46,8 @@
     batch: &CallerBatch,
     group: &Arc<GroupState>,
 ) -> Result<(), SessionEnd> {
-    group.touch(session.caller.queue_wait).await;
-    let arrived = group.board.now();
+    group.record_use(session.caller.queue_wait).await;
+    let arrived = group.reports.now();
     let deadline = Instant::now() + session.caller.queue_wait + group.timing.read_wait;
     let mut excluded: Vec<usize> = Vec::new();
     let mut waited = Duration::ZERO;
@@ -55,7 +55,7 @@
     let mut attempts = 0;
     let mut too_old = false;
     while attempts < ATTEMPTS_MAX {
-        let mut changes = group.board.subscribe();
+        let mut changes = group.reports.subscribe();
         let choice = choose(context, session, group, &excluded, waited);
         let member = match choice.route {
             ReadRoute::Replica(member) | ReadRoute::Primary(member) => member,
@@ -91,7 +91,7 @@
                 return refuse_settings(session, batch, &fields).await;
             }
             Err(AttemptError::Pool(_)) => {
-                group.note_outcome(member, false);
+                group.record_outcome(member, false);
                 excluded.push(member);
                 continue;
             }
@@ -103,7 +103,7 @@
                 too_old = true;
                 excluded.push(member);
             }
-            ReadEnd::Failed if group.may_retry(WorkClass::Read) => excluded.push(member),
+            ReadEnd::Failed if group.try_spend_retry(WorkClass::Read) => excluded.push(member),
             ReadEnd::Failed => break,
         }
     }
@@ -123,7 +123,7 @@
     waited: Duration,
 ) -> RouteChoice {
     let known = session.learn_floor(group);
-    let (mut views, mut indexes) = group.views();
+    let (mut views, mut indexes) = group.routing_views();
     for index in (0..indexes.len()).rev() {
         let barred = !known && views[index].role == MemberRole::Replica;
         if barred || excluded.contains(&indexes[index]) {
@@ -230,8 +230,8 @@
     let group = &attempt.group;
     let bound = session.bound();
     let unknown = session.knowledge != FloorKnowledge::Known;
-    let requirement = ReadRequirement { floor: session.floor(), bound, as_of: group.board.now() };
-    let decision = group.board.with_samples(|samples| decide_read(status, &requirement, samples));
+    let requirement = ReadRequirement { floor: session.floor(), bound, as_of: group.reports.now() };
+    let decision = group.reports.with_samples(|samples| decide_read(status, &requirement, samples));
     match decision {
         ReadDecision::Serve => !unknown || confirm_leadership(attempt, status, arrived).await,
         ReadDecision::TooOldForSession => false,
--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -120,7 +120,7 @@
     let parameters = match packet {
         StartupPacket::Login(parameters) => parameters,
         StartupPacket::CancelRequest { process_id, secret } => {
-            context.cancel.cancel(process_id, secret).await;
+            context.cancel_registry.cancel(process_id, secret).await;
             return Ok(None);
         }
         StartupPacket::TlsRequest | StartupPacket::GssRequest => return Ok(None),
@@ -163,7 +163,7 @@
     let fleet = context.fleet.load();
     authenticate(link, &context.process.login_rule(&request.user)).await?;
     let caller = fleet.settings.caller_of(&request.user).cloned();
-    let caller = caller.unwrap_or_else(|| context.process.default_caller());
+    let caller = caller.unwrap_or_else(|| context.process.undeclared_caller_settings());
     let (token, knowledge) = match request.session.take() {
         Some(SessionClaim::Token(token)) => (token, FloorKnowledge::Known),
         Some(SessionClaim::Id(id)) => {
@@ -191,7 +191,7 @@
             pinned: None,
             key: None,
             staleness: None,
-            cancel: context.cancel.register(),
+            cancel: context.cancel_registry.register(),
         }
     }
 }
@@ -234,7 +234,7 @@
     let in_transaction = session.pinned.is_some();
     let bound = if in_transaction { timing.transaction_idle_timeout } else { timing.idle_timeout };
     let mut leaving = context.leaving.subscribe();
-    let collect = timeout(bound, collect_batch(session, &context.facts));
+    let collect = timeout(bound, collect_batch(session, &context.summaries));
     tokio::select! {
         biased;
         input = collect => input.map_err(|_| SessionEnd::Idle)?.map_err(SessionEnd::Caller),
--- a/crates/arbutusrudder/src/caller/session.rs
+++ b/crates/arbutusrudder/src/caller/session.rs
@@ -93,7 +93,7 @@
     /// known, so that replicas may serve reads.
     pub(crate) fn learn_floor(&mut self, group: &GroupState) -> bool {
         let FloorKnowledge::Unknown(since) = self.knowledge else { return true };
-        let newest = group.board.with_samples(FreshnessSamples::newest);
+        let newest = group.reports.with_samples(FreshnessSamples::newest);
         let Some(sample) = newest.filter(|sample| sample.sent_at >= since) else { return false };
         let service = self.service.clone();
         self.token.raise(&service, sample.stamp);
--- a/crates/arbutusrudder/src/caller/session_change.rs
+++ b/crates/arbutusrudder/src/caller/session_change.rs
@@ -20,7 +20,7 @@
             // A commit inside the batch may have kept a setting although a later statement failed,
             // and the connection's next caller would get it. Its settings are now unknown and
             // are applied again before the next use.
-            pooled.forget_settings();
+            pooled.invalidate_settings();
         }
         return;
     }
--- a/crates/arbutusrudder/src/caller/transaction.rs
+++ b/crates/arbutusrudder/src/caller/transaction.rs
@@ -60,7 +60,7 @@
         roll_back(session, pinned).await;
         return refuse(session, batch, &notice).await;
     }
-    let status_requested_at = pinned.group.board.now();
+    let status_requested_at = pinned.group.reports.now();
     let mut queue = encode_batch(&mut pinned.pooled, batch);
     // Between a Flush and its Sync the member has no explicit transaction, and commits at the Sync.
     let closes = batch.ends() || (pinned.status == b'I' && batch.end != BatchEnd::Flush);
@@ -185,7 +185,7 @@
 async fn return_connection(session: &CallerSession, pinned: PinnedConnection) {
     // Waits for a cancel request in progress: it must not affect the connection's next caller.
     *session.cancel.slot.lock().await = None;
-    pinned.group.members[pinned.member].pool.give_back(pinned.pooled);
+    pinned.group.members[pinned.member].pool.put_idle(pinned.pooled);
 }
 
 fn end_unresolved(session: &mut CallerSession) -> Result<(), SessionEnd> {
--- a/crates/arbutusrudder/src/caller/write.rs
+++ b/crates/arbutusrudder/src/caller/write.rs
@@ -45,7 +45,7 @@
     group: &Arc<GroupState>,
 ) -> Result<(), SessionEnd> {
     let deadline = Instant::now() + session.caller.queue_wait;
-    group.touch(session.caller.queue_wait).await;
+    group.record_use(session.caller.queue_wait).await;
     let work = AttemptWork::of(batch, WorkClass::Write);
     let mut keyed = KeyedRequest::of(session, batch);
     let mut tried = false;
@@ -67,7 +67,7 @@
                 return refuse_settings(session, batch, &fields).await;
             }
             Err(AttemptError::Pool(_)) => {
-                group.note_outcome(member, false);
+                group.record_outcome(member, false);
                 tokio::time::sleep(REROUTE_DELAY).await;
                 continue;
             }
@@ -116,7 +116,7 @@
 
 /// Returns the member believed to be the primary; waits for one until the deadline.
 async fn await_primary(group: &Arc<GroupState>, deadline: Instant) -> Option<usize> {
-    let mut changes = group.board.subscribe();
+    let mut changes = group.reports.subscribe();
     loop {
         let up = |index: &usize| group.members[*index].health() != MemberHealth::Down;
         let leader = group.primary().map(|belief| belief.index).filter(up);
@@ -140,7 +140,7 @@
     batch: &CallerBatch,
     mut attempt: MemberAttempt,
 ) -> Result<WriteEnd, SessionEnd> {
-    let arrived = attempt.group.board.now();
+    let arrived = attempt.group.reports.now();
     let mut queue = encode_batch(&mut attempt.pooled, batch);
     let status_requested = may_pipeline_status(batch) && attempt.request_next_status().is_ok();
     let before = match attempt.first_status().await {
--- a/crates/arbutusrudder/src/classify/cache.rs
+++ b/crates/arbutusrudder/src/classify/cache.rs
@@ -13,11 +13,11 @@
 
 /// A bounded cache of classifications, shared by all callers of an instance.
 #[derive(Default)]
-pub(crate) struct FactsCache {
+pub(crate) struct SummaryCache {
     entries: RwLock<Vec<(u128, Arc<StatementsSummary>)>>,
 }
 
-impl FactsCache {
+impl SummaryCache {
     /// Returns the classification of `text`.
     pub(crate) fn summary_of(&self, text: &str) -> Arc<StatementsSummary> {
         if text.len() > CACHED_TEXT_MAX {
--- a/crates/arbutusrudder/src/classify/mod.rs
+++ b/crates/arbutusrudder/src/classify/mod.rs
@@ -7,7 +7,7 @@
 mod facts;
 mod scan;
 
-pub(crate) use cache::FactsCache;
+pub(crate) use cache::SummaryCache;
 pub use facts::{
     SessionChange, StatementEffect, StatementFacts, StatementsSummary, TransactionStep,
 };
--- a/crates/arbutusrudder/src/context.rs
+++ b/crates/arbutusrudder/src/context.rs
@@ -1,7 +1,7 @@
 //! State that the tasks of all callers of an instance share.
 
-use crate::caller::CancelBoard;
-use crate::classify::FactsCache;
+use crate::caller::CancelRegistry;
+use crate::classify::SummaryCache;
 use crate::group::GroupState;
 use crate::policy::ProxyPolicies;
 use crate::process::ProcessSettings;
@@ -43,9 +43,9 @@
     /// Fleet settings in force.
     pub(crate) fleet: ArcSwap<FleetState>,
     /// Cached statement classifications.
-    pub(crate) facts: FactsCache,
+    pub(crate) summaries: SummaryCache,
     /// Cancel keys of the callers.
-    pub(crate) cancel: Arc<CancelBoard>,
+    pub(crate) cancel_registry: Arc<CancelRegistry>,
     /// Holds the revision in force with its files, which peers can fetch.
     pub(crate) follower: Mutex<RevisionFollower>,
     /// Greatest revision number in a peer's hint.
@@ -74,13 +74,13 @@
     }
 
     /// Returns the number of instances that share the members' connections.
-    pub(crate) fn instances(&self) -> u32 {
+    pub(crate) fn instance_count(&self) -> u32 {
         self.instance_count.load(Ordering::Relaxed).max(1)
     }
 
     /// Sets the number of instances in the membership. A leaving instance counts, as it still holds
     /// its connections.
-    pub(crate) fn note_instances(&self, live: &[PeerEntry]) {
+    pub(crate) fn set_instance_count(&self, live: &[PeerEntry]) {
         let count = u32::try_from(live.len()).unwrap_or(u32::MAX);
         self.instance_count.store(count, Ordering::Relaxed);
     }
--- a/crates/arbutusrudder/src/fleet/apply.rs
+++ b/crates/arbutusrudder/src/fleet/apply.rs
@@ -1,7 +1,7 @@
 //! Applies new settings and keeps the state of groups whose settings did not change.
 
 use crate::context::{FleetState, InstanceContext};
-use crate::group::{GroupState, GroupTuning};
+use crate::group::{GroupContext, GroupState};
 use rudder_settings::{FleetSettings, ServiceSettings};
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
     settings: &FleetSettings,
 ) {
     let previous = context.fleet.load();
-    let tuning = GroupTuning {
+    let group_context = GroupContext {
         domain: context.domain().clone(),
         domains: settings.domains.clone(),
-        instances: context.instances(),
+        instances: context.instance_count(),
         origin: context.origin,
         routes: context.process.routes.clone(),
         limits: context.policies.limits,
@@ -26,7 +26,9 @@
         let known = previous.group(&service.name);
         match known.filter(|known| same_timing_and_domains && known.service == *service) {
             Some(known) => Arc::clone(known),
-            None => Arc::new(GroupState::new(service.clone(), settings.timing.clone(), &tuning)),
+            None => {
+                Arc::new(GroupState::new(service.clone(), settings.timing.clone(), &group_context))
+            }
         }
     };
     let groups = settings.services.iter().map(reuse_or_create).collect();
--- a/crates/arbutusrudder/src/fleet/follow.rs
+++ b/crates/arbutusrudder/src/fleet/follow.rs
@@ -79,7 +79,7 @@
 }
 
 async fn fetch_from_peers(context: &Arc<InstanceContext>, mesh: &PeerMesh) {
-    let live = mesh.live();
+    let live = mesh.instances();
     let own = context.name();
     let mut peers: Vec<_> =
         live.iter().filter(|peer| peer.state == PeerState::Live && peer.name != *own).collect();
--- a/crates/arbutusrudder/src/group/admission.rs
+++ b/crates/arbutusrudder/src/group/admission.rs
@@ -24,12 +24,12 @@
 }
 
 /// A held slot, or a place in the queue. Dropping it releases either.
-pub(crate) struct AdmissionPass {
+pub(crate) struct AdmissionSlot {
     queue: Arc<AdmissionQueue>,
     ticket: TicketId,
 }
 
-impl Drop for AdmissionPass {
+impl Drop for AdmissionSlot {
     fn drop(&mut self) {
         self.queue.release(self.ticket);
     }
@@ -52,18 +52,18 @@
     }
 
     /// Waits for a slot. A rejection is final and is returned without further waiting.
-    pub(crate) async fn enter(
+    pub(crate) async fn acquire(
         self: &Arc<Self>,
         request: &AdmissionRequest,
-    ) -> Result<AdmissionPass, RefusalReason> {
+    ) -> Result<AdmissionSlot, RefusalReason> {
         let (ticket, outcome) = match self.offer(request) {
-            (AdmissionDecision::Run(ticket), _) => return Ok(self.pass(ticket)),
+            (AdmissionDecision::Run(ticket), _) => return Ok(self.slot(ticket)),
             (AdmissionDecision::Refuse(reason), _) => return Err(reason),
             (AdmissionDecision::Wait(ticket), outcome) => (ticket, outcome),
         };
-        // The pass is held during the wait as well: if the caller is dropped, its place is
+        // The slot is held during the wait as well: if the caller is dropped, its place is
         // released.
-        let pass = self.pass(ticket);
+        let slot = self.slot(ticket);
         let wait_until = request.deadline.min(Instant::now() + request.queue_wait);
         let mut outcome = outcome;
         loop {
@@ -71,7 +71,7 @@
             tokio::select! {
                 outcome = &mut outcome => return match outcome {
                     Ok(TicketOutcome::Refuse(reason)) => Err(reason),
-                    Ok(TicketOutcome::Run) | Err(_) => Ok(pass),
+                    Ok(TicketOutcome::Run) | Err(_) => Ok(slot),
                 },
                 () = sleep => self.expire_tickets(),
             }
@@ -111,8 +111,8 @@
         notify_waiters(waiters, &notices);
     }
 
-    fn pass(self: &Arc<Self>, ticket: TicketId) -> AdmissionPass {
-        AdmissionPass { queue: Arc::clone(self), ticket }
+    fn slot(self: &Arc<Self>, ticket: TicketId) -> AdmissionSlot {
+        AdmissionSlot { queue: Arc::clone(self), ticket }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, QueueState> {
@@ -128,7 +128,7 @@
         let found = waiters.binary_search_by_key(&notice.ticket, |(known, _)| *known);
         if let Ok(index) = found {
             let (_, sender) = waiters.remove(index);
-            // A waiter that was dropped has released its ticket with its pass.
+            // A waiter that was dropped has released its ticket with its slot.
             let _ = sender.send(notice.outcome);
         }
     }
--- a/crates/arbutusrudder/src/group/confirm.rs
+++ b/crates/arbutusrudder/src/group/confirm.rs
@@ -88,7 +88,7 @@
             return outcome;
         }
         let _guard = WaiterGuard::new(self);
-        let mut changes = self.board.subscribe();
+        let mut changes = self.reports.subscribe();
         let wait = async {
             loop {
                 if let Some(outcome) = decide_now() {
@@ -103,7 +103,7 @@
     }
 
     fn reports_since(&self, since: Duration) -> Vec<(MemberName, MemberStatus)> {
-        let reports = self.board.reports().into_iter();
+        let reports = self.reports.reports().into_iter();
         let fresh = reports.filter(|report| report.requested_at >= since);
         fresh.map(|report| (report.member, report.status)).collect()
     }
--- a/crates/arbutusrudder/src/group/member.rs
+++ b/crates/arbutusrudder/src/group/member.rs
@@ -37,7 +37,7 @@
     meter: Mutex<MemberMeter>,
     health: watch::Sender<MemberHealth>,
     share: Mutex<ConnectionShare>,
-    link: Mutex<Duration>,
+    round_trip: Mutex<Duration>,
     ramp: Mutex<Option<RampSchedule>>,
 }
 
@@ -56,7 +56,7 @@
         settings: MemberSettings,
         address: MemberAddress,
         connections: u32,
-        link: Duration,
+        round_trip: Duration,
     ) -> Self {
         let speed = settings.speed.0.max(1);
         let service_time = ASSUMED_SERVICE_TIME * 100 / speed;
@@ -72,7 +72,7 @@
                 ConnectionCount(connections),
                 SHARE_GROWTH_DELAY,
             )),
-            link: Mutex::new(link),
+            round_trip: Mutex::new(round_trip),
             ramp: Mutex::default(),
             settings,
         }
@@ -92,28 +92,28 @@
     }
 
     /// Records the latency of a completed statement, including the network round trip.
-    pub(crate) fn observe(&self, latency: Duration) {
-        let inside = latency.saturating_sub(self.link());
+    pub(crate) fn record_latency(&self, latency: Duration) {
+        let inside = latency.saturating_sub(self.round_trip());
         self.lock_meter().observe(inside, Instant::now());
     }
 
     /// Records the round trip of a probe, which does not wait behind statements. The recorded value
     /// follows the recent minimum, since anything above it is queueing, not distance.
-    pub(crate) fn observe_link(&self, round_trip: Duration) {
-        let mut link = self.link.lock().expect("no holder of this lock panics");
-        let rise = round_trip.saturating_sub(*link) / ROUND_TRIP_RISE_DIVISOR;
-        *link = round_trip.min(*link + rise);
+    pub(crate) fn record_round_trip(&self, round_trip: Duration) {
+        let mut recorded = self.round_trip.lock().expect("no holder of this lock panics");
+        let rise = round_trip.saturating_sub(*recorded) / ROUND_TRIP_RISE_DIVISOR;
+        *recorded = round_trip.min(*recorded + rise);
     }
 
     /// Returns the network round trip to the member.
-    pub(crate) fn link(&self) -> Duration {
-        *self.link.lock().expect("no holder of this lock panics")
+    pub(crate) fn round_trip(&self) -> Duration {
+        *self.round_trip.lock().expect("no holder of this lock panics")
     }
 
     /// Returns the number of statements that this instance may keep in flight at the member: enough
     /// to keep the slots busy over the round trip, within its share of the connections.
-    pub(crate) fn window(&self) -> u32 {
-        let window = self.lock_meter().window(self.link(), Instant::now());
+    pub(crate) fn in_flight_limit(&self) -> u32 {
+        let window = self.lock_meter().window(self.round_trip(), Instant::now());
         let share = self.share.lock().expect("no holder of this lock panics").current();
         window.min(share.0).max(1)
     }
@@ -174,7 +174,7 @@
             slots: self.settings.slots.0,
             sending_instances,
             service,
-            link_cost: self.link(),
+            link_cost: self.round_trip(),
             health: self.health(),
             weight: weight.min_with(self.ramp_weight(now)),
         }
--- a/crates/arbutusrudder/src/group/mod.rs
+++ b/crates/arbutusrudder/src/group/mod.rs
@@ -9,9 +9,9 @@
 mod reports;
 mod state;
 
-pub(crate) use admission::AdmissionPass;
+pub(crate) use admission::AdmissionSlot;
 pub(crate) use confirm::ConfirmOutcome;
 pub(crate) use member::GroupMember;
 pub(crate) use pool::{PoolError, PooledConnection};
 pub(crate) use probe::spawn_probes;
-pub(crate) use state::{GroupState, GroupTuning};
+pub(crate) use state::{GroupContext, GroupState};
--- a/crates/arbutusrudder/src/group/pool.rs
+++ b/crates/arbutusrudder/src/group/pool.rs
@@ -40,7 +40,7 @@
 impl PooledConnection {
     /// Marks the settings in force as unknown, so that they are always set again before the next
     /// use.
-    pub(crate) fn forget_settings(&mut self) {
+    pub(crate) fn invalidate_settings(&mut self) {
         // No session has a setting with an empty name, so this differs from every session's
         // settings.
         self.settings = vec![(String::new(), String::new())];
@@ -108,7 +108,7 @@
 
     /// Takes an idle connection or opens a new one. Waits at most `max_wait` for a permit, and at
     /// most the shorter of `max_wait` and `connect_timeout` to connect.
-    pub(crate) async fn take(
+    pub(crate) async fn acquire(
         &self,
         max_wait: Duration,
         connect_timeout: Duration,
@@ -143,7 +143,7 @@
     /// Returns a connection to the pool that its member reported ready and outside a transaction.
     /// Every other connection must be dropped instead, which closes it: a late response on it would
     /// reach the next caller.
-    pub(crate) fn give_back(&self, pooled: PooledConnection) {
+    pub(crate) fn put_idle(&self, pooled: PooledConnection) {
         let PooledConnection { connection, prepared, settings, _permit: permit } = pooled;
         if prepared.len() <= PREPARED_MAX {
             let since = Instant::now();
--- a/crates/arbutusrudder/src/group/probe.rs
+++ b/crates/arbutusrudder/src/group/probe.rs
@@ -50,17 +50,17 @@
 /// Probes a member; returns whether it responded.
 async fn probe(group: &GroupState, index: usize) -> bool {
     let member = &group.members[index];
-    let requested_at = group.board.now();
+    let requested_at = group.reports.now();
     let probe_timeout = group.timing.suspect_after;
     match member.channel.run(&ControlStatement::Status, probe_timeout).await {
         Ok(status) => {
-            member.observe_link(group.board.now().saturating_sub(requested_at));
-            group.take_report(index, requested_at, Some(status));
+            member.record_round_trip(group.reports.now().saturating_sub(requested_at));
+            group.record_report(index, requested_at, Some(status));
             set_health(group, member, MemberHealth::Ready, "answered");
             true
         }
         Err(error) => {
-            group.take_report(index, requested_at, None);
+            group.record_report(index, requested_at, None);
             set_health(group, member, MemberHealth::Down, &error.to_string());
             false
         }
--- a/crates/arbutusrudder/src/group/state.rs
+++ b/crates/arbutusrudder/src/group/state.rs
@@ -40,7 +40,7 @@
 
 /// Facts about this instance and its deployment that its groups need.
 #[derive(Clone, Debug)]
-pub(crate) struct GroupTuning {
+pub(crate) struct GroupContext {
     /// The failure domain of this instance.
     pub(crate) domain: DomainName,
     /// The declared failure domains, sorted by name.
@@ -55,7 +55,7 @@
     pub(crate) limits: bool,
 }
 
-impl GroupTuning {
+impl GroupContext {
     fn reached(&self, address: SocketAddr) -> SocketAddr {
         let route = self.routes.iter().find(|route| route.declared == address);
         route.map_or(address, |route| route.reached)
@@ -80,9 +80,9 @@
     /// The members, sorted by name.
     pub(crate) members: Vec<GroupMember>,
     /// The members' latest reports.
-    pub(crate) board: MemberReports,
+    pub(crate) reports: MemberReports,
     /// The admission queue.
-    pub(crate) desk: Arc<AdmissionQueue>,
+    pub(crate) admission: Arc<AdmissionQueue>,
     usage: GroupUsage,
     keeper: Mutex<Option<KeeperHandle>>,
     outliers: Mutex<OutlierTracker>,
@@ -107,37 +107,37 @@
     pub(crate) fn new(
         service: ServiceSettings,
         timing: TimingSettings,
-        tuning: &GroupTuning,
+        context: &GroupContext,
     ) -> Self {
         let login = login_of(&service);
         let create = |settings: &MemberSettings| {
-            let reached = tuning.reached(settings.address);
+            let reached = context.reached(settings.address);
             let address = MemberAddress { address: reached, login: login.clone() };
-            let connections = connection_share(settings, tuning.instances);
+            let connections = connection_share(settings, context.instances);
             GroupMember::new(
                 settings.clone(),
                 address,
                 connections,
-                assumed_round_trip(settings, tuning),
+                assumed_round_trip(settings, context),
             )
         };
         let members: Vec<GroupMember> = service.members.iter().map(create).collect();
-        let board = MemberReports::new(tuning.origin, members.len());
-        let desk = Arc::new(AdmissionQueue::new(rand::random()));
+        let reports = MemberReports::new(context.origin, members.len());
+        let admission = Arc::new(AdmissionQueue::new(rand::random()));
         let usage = GroupUsage::default();
         let keeper = Mutex::default();
         let group = Self {
             service,
             timing,
             members,
-            board,
-            desk,
+            reports,
+            admission,
             usage,
             keeper,
             outliers: Mutex::new(OutlierTracker::new(Instant::now())),
             retries: Mutex::new(RetryBudget::new()),
-            sending_instances: AtomicU32::new(tuning.instances),
-            limits: tuning.limits,
+            sending_instances: AtomicU32::new(context.instances),
+            limits: context.limits,
             last_acknowledged: Mutex::default(),
             estimate: Mutex::new(WorkEstimate::new()),
         };
@@ -147,16 +147,16 @@
 
     /// Records a use of the group. The first use after an idle period resumes the probes. Waits
     /// until a member has reported, if none has yet.
-    pub(crate) async fn touch(&self, within: Duration) {
-        let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
+    pub(crate) async fn record_use(&self, within: Duration) {
+        let now = u64::try_from(self.reports.now().as_millis()).unwrap_or(u64::MAX);
         let was_idle = !self.is_in_use();
         self.usage.last_used_ms.store(now, Ordering::Relaxed);
         if was_idle {
             self.members.iter().for_each(|member| member.probe_requested.notify_one());
         }
-        if self.board.is_empty() {
-            let mut changes = self.board.subscribe();
-            let reported = changes.wait_for(|_| !self.board.is_empty());
+        if self.reports.is_empty() {
+            let mut changes = self.reports.subscribe();
+            let reported = changes.wait_for(|_| !self.reports.is_empty());
             // Without any report, the request is rejected later with a reason.
             let _ = timeout(within, reported).await;
         }
@@ -166,7 +166,7 @@
     /// used it recently. At the planned size an instance serves few of all groups, and probing the
     /// others would cost more than its whole budget for control traffic.
     pub(crate) fn is_in_use(&self) -> bool {
-        let now = u64::try_from(self.board.now().as_millis()).unwrap_or(u64::MAX);
+        let now = u64::try_from(self.reports.now().as_millis()).unwrap_or(u64::MAX);
         let last = self.usage.last_used_ms.load(Ordering::Relaxed);
         let idle = Duration::from_millis(now.saturating_sub(last));
         self.usage.is_kept.load(Ordering::Relaxed) || (last > 0 && idle < IN_USE_PERIOD)
@@ -181,7 +181,7 @@
 
     /// Records a member status observed by a request or probe, and passes it to the keeper, where
     /// it replaces the keeper's own probe.
-    pub(crate) fn take_report(
+    pub(crate) fn record_report(
         &self,
         index: usize,
         requested_at: Duration,
@@ -189,11 +189,11 @@
     ) {
         let name = self.members[index].name();
         if let Some(status) = status {
-            self.board.record(name, requested_at, status);
+            self.reports.record(name, requested_at, status);
         }
         let keeper = self.keeper.lock().expect("no holder of this lock panics");
         if let Some(keeper) = keeper.as_ref() {
-            let requested_at = self.board.instant_at(requested_at).into();
+            let requested_at = self.reports.instant_at(requested_at).into();
             keeper.report(TrafficReport { member: name.clone(), requested_at, status });
         }
     }
@@ -205,7 +205,7 @@
 
     /// Returns the primary according to the members' reports, if one reported that role.
     pub(crate) fn primary(&self) -> Option<ReportedPrimary> {
-        let (name, term) = self.board.primary()?;
+        let (name, term) = self.reports.primary()?;
         Some(ReportedPrimary { index: self.index_of(&name)?, term })
     }
 
@@ -223,16 +223,16 @@
     /// Sets the number of slots of each lane to the member's in-flight limit.
     fn refresh_lanes(&self) {
         for (index, member) in self.members.iter().enumerate() {
-            let slots = if self.limits { member.window() } else { UNLIMITED_SLOTS };
+            let slots = if self.limits { member.in_flight_limit() } else { UNLIMITED_SLOTS };
             let queue_max = slots.saturating_mul(QUEUE_PER_SLOT);
             let limits = LaneLimits { slots, queue_max, mixed: true };
-            self.desk.set_lane(&self.lane(index), limits);
+            self.admission.set_lane(&self.lane(index), limits);
         }
     }
 
     /// Records whether a member responded to a statement, for outlier tracking and the retry
     /// budget.
-    pub(crate) fn note_outcome(&self, index: usize, responded: bool) {
+    pub(crate) fn record_outcome(&self, index: usize, responded: bool) {
         let mut outliers = self.outliers.lock().expect("no holder of this lock panics");
         outliers.observe(self.members[index].name(), responded);
         if responded {
@@ -259,21 +259,21 @@
     }
 
     /// Records how long a statement with this fingerprint held its slot.
-    pub(crate) fn note_work(&self, fingerprint: u64, held: Duration) {
+    pub(crate) fn record_service_time(&self, fingerprint: u64, held: Duration) {
         let mut estimate = self.estimate.lock().expect("no holder of this lock panics");
         estimate.observe(fingerprint, held);
     }
 
     /// Returns the expected size of statements with this fingerprint. Without it, long reports
     /// would occupy every slot that short lookups wait for.
-    pub(crate) fn size_of(&self, fingerprint: u64) -> WorkSize {
+    pub(crate) fn estimated_size(&self, fingerprint: u64) -> WorkSize {
         self.estimate.lock().expect("no holder of this lock panics").size(fingerprint)
     }
 
     /// Takes a retry from the budget for a request that provably did not run, and returns whether
     /// one was left. Successful requests refill the budget, which prevents a storm of retries after
     /// a failover.
-    pub(crate) fn may_retry(&self, class: WorkClass) -> bool {
+    pub(crate) fn try_spend_retry(&self, class: WorkClass) -> bool {
         let mut retries = self.retries.lock().expect("no holder of this lock panics");
         retries.try_spend(class, OutcomeClass::NotRun)
     }
@@ -288,7 +288,7 @@
     }
 
     fn share_connections(&self, instances: u32) {
-        let now = self.board.now();
+        let now = self.reports.now();
         for member in &self.members {
             let wanted = connection_share(&member.settings, instances);
             member.pool.set_limit(member.update_share(wanted, now));
@@ -302,15 +302,15 @@
 
     /// Returns the read router's views of the members that have reported, sorted by name, and the
     /// member index of each view.
-    pub(crate) fn views(&self) -> (Vec<MemberView>, Vec<usize>) {
-        let now = self.board.now();
+    pub(crate) fn routing_views(&self) -> (Vec<MemberView>, Vec<usize>) {
+        let now = self.reports.now();
         let sending_instances = self.sending_instances.load(Ordering::Relaxed);
         let mut views = Vec::with_capacity(self.members.len());
         let mut indexes = Vec::with_capacity(self.members.len());
-        for report in self.board.reports() {
+        for report in self.reports.reports() {
             let Some(index) = self.index_of(&report.member) else { continue };
             let applied = report.status.applied;
-            let freshness = self.board.with_samples(|samples| MemberFreshness {
+            let freshness = self.reports.with_samples(|samples| MemberFreshness {
                 age: samples.age_of(applied, now),
                 lag: samples.age_of(applied, report.requested_at).unwrap_or(ASSUMED_LAG),
             });
@@ -339,14 +339,14 @@
     LoginSettings { user: service.user.clone(), database: service.database.clone(), password }
 }
 
-fn assumed_round_trip(member: &MemberSettings, tuning: &GroupTuning) -> Duration {
-    if member.domain == tuning.domain {
+fn assumed_round_trip(member: &MemberSettings, context: &GroupContext) -> Duration {
+    if member.domain == context.domain {
         return ASSUMED_ROUND_TRIPS[0];
     }
     let region_of = |name: &DomainName| {
-        let index = tuning.domains.binary_search_by(|domain| domain.name.cmp(name)).ok()?;
-        Some(&tuning.domains[index].region)
+        let index = context.domains.binary_search_by(|domain| domain.name.cmp(name)).ok()?;
+        Some(&context.domains[index].region)
     };
-    let same_region = region_of(&member.domain) == region_of(&tuning.domain);
+    let same_region = region_of(&member.domain) == region_of(&context.domain);
     if same_region { ASSUMED_ROUND_TRIPS[1] } else { ASSUMED_ROUND_TRIPS[2] }
 }
--- a/crates/arbutusrudder/src/duty/drain.rs
+++ b/crates/arbutusrudder/src/group_tasks/drain.rs
@@ -16,7 +16,7 @@
     }
     let is_ready = |index: &usize| group.members[*index].health() == MemberHealth::Ready;
     let received = |index: &usize| {
-        let status = group.board.status_of(group.members[*index].name());
+        let status = group.reports.status_of(group.members[*index].name());
         status.map(|status| status.received)
     };
     let index = (0..group.members.len()).filter(is_ready).max_by_key(received)?;
--- a/crates/arbutusrudder/src/duty/exchange.rs
+++ b/crates/arbutusrudder/src/group_tasks/exchange.rs
@@ -30,7 +30,7 @@
     }
 
     /// Stores a vote received from a peer until the service's keeper takes it.
-    pub(crate) fn take(&self, vote: &SuspicionVote) {
+    pub(crate) fn receive(&self, vote: &SuspicionVote) {
         // Ignores own votes that return over the mesh. The keeper would reply to its own suspicion
         // as to another's, and each reply would cause the next one.
         if vote.observer == self.instance {
@@ -54,7 +54,7 @@
 
 impl ObserverExchange for VoteExchange {
     fn send_vote(&self, service: &ServiceName, vote: VoteKind) {
-        let keepers = keepers_of(service, &self.mesh.live(), KEEPER_COUNT);
+        let keepers = keepers_of(service, &self.mesh.instances(), KEEPER_COUNT);
         let others: Vec<_> = keepers.into_iter().filter(|name| *name != self.instance).collect();
         let hint = PeerHint::Vote(SuspicionVote {
             service: service.clone(),
@@ -66,7 +66,7 @@
             suspected: vote == VoteKind::Unreachable,
         });
         let mesh = Arc::clone(&self.mesh);
-        tokio::spawn(async move { mesh.tell(&others, hint).await });
+        tokio::spawn(async move { mesh.send_hint(&others, hint).await });
     }
 
     fn take_votes(&self, service: &ServiceName) -> Vec<ObserverVote> {
@@ -78,7 +78,7 @@
     }
 
     fn ranking(&self, service: &ServiceName) -> KeeperRanking {
-        let live = self.mesh.live();
+        let live = self.mesh.instances();
         let entry = |name: InstanceName| {
             let index = live.binary_search_by(|peer| peer.name.cmp(&name)).ok()?;
             Some(KeeperEntry { instance: name, domain: live[index].domain.clone() })
--- a/crates/arbutusrudder/src/duty/mod.rs
+++ b/crates/arbutusrudder/src/group_tasks/mod.rs
@@ -6,4 +6,4 @@
 mod tasks;
 
 pub(crate) use exchange::VoteExchange;
-pub(crate) use tasks::run_duties;
+pub(crate) use tasks::run_group_tasks;
--- a/crates/arbutusrudder/src/duty/tasks.rs
+++ b/crates/arbutusrudder/src/group_tasks/tasks.rs
@@ -44,7 +44,7 @@
 }
 
 /// Runs this instance's tasks for all groups. It never returns.
-pub(crate) async fn run_duties(
+pub(crate) async fn run_group_tasks(
     context: Arc<InstanceContext>,
     store: Arc<dyn PlatformStore>,
     mesh: Arc<PeerMesh>,
@@ -57,7 +57,7 @@
     loop {
         settings.borrow_and_update();
         peers.borrow_and_update();
-        manager.context.note_instances(&mesh.live());
+        manager.context.set_instance_count(&mesh.instances());
         manager.update_tasks(&mut groups);
         // While settings and instances do not change, only refreshes what depends on member
         // reports.
@@ -72,7 +72,7 @@
                 break;
             }
             for tasks in &mut groups {
-                tasks.group.refresh(manager.context.instances());
+                tasks.group.refresh(manager.context.instance_count());
                 manager.order_drain_switch(tasks);
             }
         }
@@ -167,8 +167,8 @@
         let latest = Arc::clone(&view.borrow_and_update());
         for report in &latest.members {
             if let Some(status) = report.status {
-                let requested_at = group.board.since_origin(report.requested_at.into_std());
-                group.board.record(&report.member, requested_at, status);
+                let requested_at = group.reports.since_origin(report.requested_at.into_std());
+                group.reports.record(&report.member, requested_at, status);
             }
         }
         if view.changed().await.is_err() {
--- a/crates/arbutusrudder/src/peering.rs
+++ b/crates/arbutusrudder/src/peering.rs
@@ -1,7 +1,7 @@
 //! Handling of requests and hints from other instances.
 
 use crate::context::InstanceContext;
-use crate::duty::VoteExchange;
+use crate::group_tasks::VoteExchange;
 use async_trait::async_trait;
 use rudder_peers::{HintMessage, PeerHandler, PeerHint, PeerReply, PeerRequest};
 use std::sync::{Arc, OnceLock, Weak};
@@ -33,7 +33,7 @@
             PeerHint::Revision(hint) => context.record_revision_hint(hint.number),
             PeerHint::Vote(vote) => {
                 if let Some(exchange) = self.exchange.get() {
-                    exchange.take(vote);
+                    exchange.receive(vote);
                 }
             }
             _ => {}
--- a/crates/arbutusrudder/src/process.rs
+++ b/crates/arbutusrudder/src/process.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns the settings of users of no declared kind: the strictest staleness, shed first.
-    pub(crate) fn default_caller(&self) -> CallerSettings {
+    pub(crate) fn undeclared_caller_settings(&self) -> CallerSettings {
         CallerSettings {
             kind: "undeclared".parse().expect("the name has only allowed characters"),
             users: Vec::new(),
--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -1,12 +1,12 @@
 //! Startup, accept loop and shutdown of an instance.
 
 use crate::admin::{serve_metrics, serve_pages, set_up_metrics};
-use crate::caller::{CancelBoard, put_fatal, serve_caller};
-use crate::classify::FactsCache;
+use crate::caller::{CancelRegistry, put_fatal, serve_caller};
+use crate::classify::SummaryCache;
 use crate::context::{FleetState, InstanceContext};
-use crate::duty::{VoteExchange, run_duties};
 use crate::error::ProxyError;
 use crate::fleet::follow_settings;
+use crate::group_tasks::{VoteExchange, run_group_tasks};
 use crate::logs::set_up_logs;
 use crate::options::{ProxyOptions, StartMode};
 use crate::peering::PeerResponder;
@@ -118,7 +118,7 @@
         tasks.spawn(serve_pages(admin_listener, Arc::clone(&context)));
         let (shared, peers) = (Arc::clone(&store), Arc::clone(&mesh));
         tasks.spawn(follow_settings(Arc::clone(&context), shared, peers));
-        tasks.spawn(run_duties(Arc::clone(&context), store, Arc::clone(&mesh), exchange));
+        tasks.spawn(run_group_tasks(Arc::clone(&context), store, Arc::clone(&mesh), exchange));
         let stop = CancellationToken::new();
         let caller_tasks = CallerTasks { callers: callers.clone(), stop: stop.clone() };
         tasks.spawn(accept_callers(listener, Arc::clone(&context), caller_tasks));
@@ -231,8 +231,8 @@
         process,
         policies,
         fleet: ArcSwap::from_pointee(FleetState::default()),
-        facts: FactsCache::default(),
-        cancel: Arc::new(CancelBoard::default()),
+        summaries: SummaryCache::default(),
+        cancel_registry: Arc::new(CancelRegistry::default()),
         follower: Mutex::new(RevisionFollower::default()),
         revision_hint: watch::channel(0).0,
         leaving: watch::channel(false).0,
--- a/crates/rudder-peers/examples/slopes/fleet.rs
+++ b/crates/rudder-peers/examples/slopes/fleet.rs
@@ -55,7 +55,7 @@
 
     /// Whether this instance sees `count` instances, including itself, none of them suspect.
     pub(crate) fn sees(&self, count: usize) -> bool {
-        let live = self.mesh.live();
+        let live = self.mesh.instances();
         live.len() == count && live.iter().all(|entry| entry.state == PeerState::Live)
     }
 
--- a/crates/rudder-peers/src/mesh/handle.rs
+++ b/crates/rudder-peers/src/mesh/handle.rs
@@ -55,7 +55,7 @@
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
     /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
-    /// assert_eq!(mesh.live().len(), 1);
+    /// assert_eq!(mesh.instances().len(), 1);
     /// mesh.stop().await;
     /// # Ok(())
     /// # }
@@ -121,12 +121,12 @@
     /// # let address = ([127, 0, 0, 1], 0).into();
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
     /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
-    /// assert_eq!(mesh.live()[0].name, "i1".parse()?);
+    /// assert_eq!(mesh.instances()[0].name, "i1".parse()?);
     /// # Ok(())
     /// # }
     /// ```
     #[must_use]
-    pub fn live(&self) -> Arc<[PeerEntry]> {
+    pub fn instances(&self) -> Arc<[PeerEntry]> {
         Arc::clone(&self.view.borrow())
     }
 
@@ -196,11 +196,11 @@
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
     /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// let hint = rudder_peers::RevisionHint { number: 7 };
-    /// mesh.tell(&["i2".parse()?], rudder_peers::PeerHint::Revision(hint)).await;
+    /// mesh.send_hint(&["i2".parse()?], rudder_peers::PeerHint::Revision(hint)).await;
     /// # Ok(())
     /// # }
     /// ```
-    pub async fn tell(&self, instances: &[InstanceName], hint: PeerHint) {
+    pub async fn send_hint(&self, instances: &[InstanceName], hint: PeerHint) {
         let _ = self.commands.send(MeshCommand::SendHint(instances.to_vec(), hint)).await;
     }
 
@@ -215,7 +215,7 @@
     /// # let settings = MeshSettings::new("i1".parse()?, "bangor".parse()?, address);
     /// let mesh = PeerMesh::start(settings, std::sync::Arc::new(NoopHandler)).await?;
     /// mesh.leave().await;
-    /// assert_eq!(mesh.live()[0].state, rudder_peers::PeerState::Leaving);
+    /// assert_eq!(mesh.instances()[0].state, rudder_peers::PeerState::Leaving);
     /// # Ok(())
     /// # }
     /// ```
@@ -247,7 +247,7 @@
         request: PeerRequest,
         timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
-        let live = self.live();
+        let live = self.instances();
         let index = live
             .binary_search_by(|entry| entry.name.cmp(instance))
             .map_err(|_| PeerError::NotKnown)?;
--- a/crates/rudder-peers/tests/mesh.rs
+++ b/crates/rudder-peers/tests/mesh.rs
@@ -60,7 +60,7 @@
     for number in 1..size {
         fleet.push(start(number, vec![fleet[0].mesh.address()]).await);
     }
-    wait_for(|| fleet.iter().all(|fixture| fixture.mesh.live().len() == size)).await;
+    wait_for(|| fleet.iter().all(|fixture| fixture.mesh.instances().len() == size)).await;
     fleet
 }
 
@@ -108,7 +108,7 @@
     // were taken as a bound, a stale read would be treated as fresh.
     let fleet = start_fleet(2).await;
 
-    fleet[0].mesh.tell(&[name(1)], new_term(9)).await;
+    fleet[0].mesh.send_hint(&[name(1)], new_term(9)).await;
 
     wait_for(|| !fleet[1].handler.hints.lock().unwrap().is_empty()).await;
     let hints = fleet[1].handler.hints.lock().unwrap();
@@ -183,7 +183,7 @@
     let peer = name(0);
     let request = PeerRequest::SessionLookup("anna".parse().unwrap());
     assert!(fleet[1].mesh.request(&peer, request, TIMEOUT).await.is_ok());
-    assert_eq!(fleet[0].mesh.live().len(), 2);
+    assert_eq!(fleet[0].mesh.instances().len(), 2);
 }
 
 #[tokio::test]
@@ -195,7 +195,7 @@
     fleet.remove(3).mesh.stop().await;
 
     let all_updated = |fixture: &MeshFixture| {
-        let live = fixture.mesh.live();
+        let live = fixture.mesh.instances();
         let state =
             |number| live.iter().find(|entry| entry.name == name(number)).map(|entry| entry.state);
         state(3).is_none() && state(1) == Some(PeerState::Leaving)
