--- a/crates/arbutusrudder/tests/soak/environment.rs
+++ b/crates/arbutusrudder/tests/soak/environment.rs
@@ -3,7 +3,7 @@
 use super::faults::{LinkFailure, SoakFault, SoakPlan, TimedSoakFault};
 use super::process::{ProcessFiles, ProcessSignal, SoakProcess};
 use rudder_standins::{
-    LineAccount, LineClient, LineDatabase, LineEntry, LineFleet, LineKind, LineSeat, LinkDirection,
+    LineAccount, LineClient, LineDatabase, LineEntry, LineFleet, LineKind, LineSlot, LinkDirection,
     LinkFault, LinkSettings, LinkStandin, ObjectsFault,
 };
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -67,7 +67,7 @@
 static PROBES: AtomicU64 = AtomicU64::new(0);
 
 struct SoakInstance {
-    seat: LineSeat,
+    slot: LineSlot,
     files: ProcessFiles,
     process: Mutex<Option<SoakProcess>>,
     store_link: LinkStandin,
@@ -94,13 +94,13 @@
         }
         let mut instances = Vec::new();
         for number in 0..instance_count {
-            let seat = LineFleet::seat(number);
-            let files = ProcessFiles::new(seed, &seat);
+            let slot = LineFleet::instance_slot(number);
+            let files = ProcessFiles::new(seed, &slot);
             let store_link = link_to(fleet.store.address()).await;
-            let boot = fleet.boot_text(&seat, store_link.address());
+            let boot = fleet.boot_text(&slot, store_link.address());
             std::fs::write(&files.settings, boot).expect("a settings file is written");
             let process = Mutex::new(Some(SoakProcess::start(&files)));
-            instances.push(SoakInstance { seat, files, process, store_link });
+            instances.push(SoakInstance { slot, files, process, store_link });
         }
         let environment = Arc::new(Self {
             fleet,
@@ -119,7 +119,7 @@
 
     /// Returns the addresses at which the instances accept callers.
     pub(crate) fn addresses(&self) -> Vec<std::net::SocketAddr> {
-        self.instances.iter().map(|instance| instance.seat.callers).collect()
+        self.instances.iter().map(|instance| instance.slot.callers).collect()
     }
 
     /// Keeps the logs of the processes and prints their paths.
@@ -191,7 +191,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.keep_logs();
-        panic!("{} does not serve {database}", instance.seat.number);
+        panic!("{} does not serve {database}", instance.slot.number);
     }
 }
 
@@ -218,7 +218,7 @@
 
 async fn probe(instance: &SoakInstance, database: &str) -> bool {
     let Ok((mut client, line)) =
-        LineClient::connect(instance.seat.callers, &format!("{database} probe")).await
+        LineClient::connect(instance.slot.callers, &format!("{database} probe")).await
     else {
         return false;
     };
--- a/crates/arbutusrudder/tests/soak/process.rs
+++ b/crates/arbutusrudder/tests/soak/process.rs
@@ -1,6 +1,6 @@
 //! Processes of the program.
 
-use rudder_standins::{BOOT_VARIABLE, LineSeat};
+use rudder_standins::{BOOT_VARIABLE, LineSlot};
 use std::fs::File;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -35,9 +35,9 @@
 }
 
 impl ProcessFiles {
-    pub(crate) fn new(seed: u64, seat: &LineSeat) -> Self {
+    pub(crate) fn new(seed: u64, slot: &LineSlot) -> Self {
         let folder = std::env::temp_dir();
-        let name = format!("rudder-soak-{}-{seed}-{}", std::process::id(), seat.number);
+        let name = format!("rudder-soak-{}-{seed}-{}", std::process::id(), slot.number);
         Self {
             settings: folder.join(format!("{name}.json")),
             log: folder.join(format!("{name}.log")),
--- a/crates/rudder-standins/src/lib.rs
+++ b/crates/rudder-standins/src/lib.rs
@@ -15,7 +15,7 @@
 };
 pub use lines::{
     BOOT_VARIABLE, LineAccount, LineClient, LineCommit, LineDatabase, LineEntry, LineFleet,
-    LineGroup, LineKind, LineMember, LineReply, LineRun, LineSeat,
+    LineGroup, LineKind, LineMember, LineReply, LineRun, LineSlot,
 };
 pub use link::{DatagramLinkStandin, LinkDirection, LinkFault, LinkSettings, LinkStandin};
 pub use objects::{ObjectsCall, ObjectsFault, ObjectsStandin, PromotionSink};
--- a/crates/rudder-standins/src/lines/fleet.rs
+++ b/crates/rudder-standins/src/lines/fleet.rs
@@ -73,7 +73,7 @@
 
 /// Index and listen address of one proxy instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LineSeat {
+pub struct LineSlot {
     /// Index of the instance, which selects its name and failure domain.
     pub number: usize,
     /// Address on which the instance accepts callers.
@@ -104,8 +104,8 @@
     /// fleet.publish_settings(1, &[LineDatabase {
     ///     name: "db".to_owned(), kind: LineKind::Strict, public: false,
     /// }]);
-    /// let seat = LineFleet::seat(0);
-    /// assert!(fleet.boot_text(&seat, fleet.store.address()).contains("proxy-0"));
+    /// let slot = LineFleet::instance_slot(0);
+    /// assert!(fleet.boot_text(&slot, fleet.store.address()).contains("proxy-0"));
     /// # Ok::<(), std::io::Error>(())
     /// # })?;
     /// # Ok::<(), std::io::Error>(())
@@ -171,26 +171,26 @@
     /// Returns an unused loopback address for one more instance. The address is specific to this
     /// process and call, as another test could take a free port before the instance binds it.
     #[must_use]
-    pub fn seat(number: usize) -> LineSeat {
+    pub fn instance_slot(number: usize) -> LineSlot {
         let count = ADDRESS_COUNT.fetch_add(1, Ordering::Relaxed);
         let process = 20 + std::process::id() % 200;
         let octet = |value: u32| u8::try_from(value % 250).unwrap_or(0);
         let ip = IpAddr::from([127, octet(process), octet(count / 250), octet(count) + 1]);
-        LineSeat { number, callers: SocketAddr::new(ip, CALLER_PORT) }
+        LineSlot { number, callers: SocketAddr::new(ip, CALLER_PORT) }
     }
 
     /// The settings file of an instance that reaches store and promotion call at `platform`.
     #[must_use]
-    pub fn boot_text(&self, seat: &LineSeat, platform: SocketAddr) -> String {
-        let ip = seat.callers.ip();
-        let domain = DOMAINS[seat.number % DOMAINS.len()];
+    pub fn boot_text(&self, slot: &LineSlot, platform: SocketAddr) -> String {
+        let ip = slot.callers.ip();
+        let domain = DOMAINS[slot.number % DOMAINS.len()];
         let regions: serde_json::Map<_, _> =
             DOMAINS.iter().map(|domain| ((*domain).to_owned(), json!(*domain))).collect();
         json!({
-            "nodeName": format!("proxy-{}", seat.number), "ip": ip, "zone": domain,
+            "nodeName": format!("proxy-{}", slot.number), "ip": ip, "zone": domain,
             "region": domain, "zones": regions,
             "listenAddrs": {
-                "frontend": seat.callers, "ready": SocketAddr::new(ip, READY_PORT),
+                "frontend": slot.callers, "ready": SocketAddr::new(ip, READY_PORT),
             },
             "internalPortRange": [PEER_PORT, PEER_PORT],
             "bounds": {
--- a/crates/rudder-standins/src/lines/mod.rs
+++ b/crates/rudder-standins/src/lines/mod.rs
@@ -8,6 +8,6 @@
 
 pub use client::{LineClient, LineReply};
 pub use fleet::{
-    BOOT_VARIABLE, LineAccount, LineDatabase, LineEntry, LineFleet, LineKind, LineSeat,
+    BOOT_VARIABLE, LineAccount, LineDatabase, LineEntry, LineFleet, LineKind, LineSlot,
 };
 pub use group::{LineCommit, LineGroup, LineMember, LineRun};
