--- a/crates/rudder-standins/src/group/replication/tests/succession.rs
+++ b/crates/rudder-standins/src/group/replication/tests/succession.rs
@@ -101,7 +101,8 @@
             commit.statuses.push((member.name.clone(), status));
         }
         let count = self.members.len();
-        let decision = |commit: &PendingCommit| decide_commit(commit.stamp, count, &commit.statuses);
+        let decision =
+            |commit: &PendingCommit| decide_commit(commit.stamp, count, &commit.statuses);
         let done =
             self.commits.iter().filter(|commit| decision(commit) == AckDecision::Acknowledged);
         self.acknowledged.extend(done.map(|commit| commit.stamp));
