--- a/crates/rudder-decisions/src/connection_headroom.rs
+++ b/crates/rudder-decisions/src/connection_headroom.rs
@@ -5,9 +5,9 @@
 //! wait or are refused, although most of the member's connections are free: few instances need
 //! theirs at the same time.
 //!
-//! An instance may therefore open a few more, until the member refuses one. The connections are
-//! then scarce, and each instance keeps to its share for a while. If the shares add up to no more
-//! than the member accepts there is no headroom, as it would be taken from other instances.
+//! An instance may therefore open a few more, until the member refuses one. After a refusal, the
+//! instance keeps to its share for a while. If the shares add up to no more than the member
+//! accepts, there is no headroom, as it would be taken from other instances.
 
 use std::time::{Duration, Instant};
 
--- a/crates/rudder-decisions/src/meter.rs
+++ b/crates/rudder-decisions/src/meter.rs
@@ -1,5 +1,5 @@
-//! Measured service time of one member, and the number of statements in flight that keeps its slots
-//! busy.
+//! Measured service time of one member, and the window: the number of statements in flight that
+//! keeps its slots busy.
 //!
 //! Load pattern: old and new hardware side by side, at different distances. Without an estimated
 //! service time, equal shares go to unequal members and the queue of the slow one grows without
--- a/crates/rudder-decisions/src/operation_limit/ledger.rs
+++ b/crates/rudder-decisions/src/operation_limit/ledger.rs
@@ -15,7 +15,7 @@
 const FULL_AFTER: Duration = Duration::from_millis(1900);
 
 /// Twelfths of the allowance above a limit that a new owner may grant at once, by its rank in the
-/// order of owners. All owners may start within one window.
+/// order of owners. All owners may start within one window, so their parts add up.
 const START_TWELFTHS: [u64; 3] = [2, 4, 2];
 
 /// Twelfths of the allowance that a provisional owner may grant in a window.
--- a/crates/rudder-decisions/src/read_rank.rs
+++ b/crates/rudder-decisions/src/read_rank.rs
@@ -8,9 +8,9 @@
 //! member while it lags, and each of them is sent twice.
 //!
 //! There are no thresholds here: the caller decides which members count as recently failed, and for
-//! how long. The order is by certainty: members that cannot be reached, members that lack the
-//! position, members that failed recently, members that would make the read wait, and only then the
-//! distance.
+//! how long. Criteria in order of precedence, each of which ranks a member behind those that it does
+//! not apply to: the member cannot be reached, it lacks the position, it failed recently, it would
+//! make the read wait. Distance decides only among members that are equal in all of these.
 
 use crate::place::PlaceDistance;
 
--- a/crates/rudder-decisions/src/replica_progress.rs
+++ b/crates/rudder-decisions/src/replica_progress.rs
@@ -1,4 +1,4 @@
-//! Prediction whether a replica still lacks a position that it recently lacked.
+//! Prediction of whether a replica still lacks a log position that it recently lacked.
 //!
 //! Load pattern: a replica lags by two seconds, or receives nothing any more, while hundreds of
 //! reads arrive, with several staleness bounds and from sessions that have just written. If each of
@@ -7,7 +7,8 @@
 //! primary as well, until the primary is full.
 //!
 //! A refusal therefore applies to the requested position, and for as long as the replica needs to
-//! reach it: a floor that the primary reached longer ago than the replica's lag has arrived by now.
+//! reach it: if the primary reached a read's floor (the minimum log position that the read has to
+//! see) longer ago than the replica's lag, the replica has most likely applied it by now.
 //! An observation is valid only for a short time; then one read at a time tries the replica again.
 
 use rudder_core::LogStamp;
@@ -59,8 +60,9 @@
         self.observation = Some(ProgressObservation { applied, lag, at: now });
     }
 
-    /// Records that a read that needs `floor` is being sent to the replica: until it responds, the
-    /// last observation is valid for other reads.
+    /// Records that a read that needs `floor` is being sent to the replica. If the last observation
+    /// shows that the replica lacked `floor`, its validity restarts, so that other reads do not try
+    /// the replica at the same time.
     ///
     /// ```
     /// use rudder_core::LogStamp;
--- a/crates/rudder-decisions/src/retry.rs
+++ b/crates/rudder-decisions/src/retry.rs
@@ -7,7 +7,7 @@
 //!
 //! Thresholds: retries are a tenth of the successes ([`CREDIT_PER_SUCCESS`]), so they add at most a
 //! tenth to the load; [`CREDIT_MAX`] allows a burst of failures as large as all slots of one group
-//! (three members of five) to be retried at once.
+//! (three members with five slots each) to be retried at once.
 
 use crate::work::WorkClass;
 use rudder_core::OutcomeClass;
--- a/crates/rudder-decisions/src/routing/demand.rs
+++ b/crates/rudder-decisions/src/routing/demand.rs
@@ -7,7 +7,7 @@
 plain_data! {
     /// Requirements of a read.
     pub struct ReadDemand {
-        /// Minimum stamp that the session has to see, if it has one.
+        /// Minimum log stamp (term and position) that the read has to see, if its session has one.
         pub floor: Option<LogStamp>,
         /// Time since the floor was written, as far as this instance knows; zero if unknown.
         pub floor_age: Duration,
--- a/crates/rudder-decisions/src/share.rs
+++ b/crates/rudder-decisions/src/share.rs
@@ -18,7 +18,8 @@
 /// Connections reserved for control statements: one for each of three keepers.
 const RESERVED_CONNECTIONS: u32 = 3;
 
-/// Minimum number of connections of a holder: one for reads, one for writes, and one spare.
+/// Minimum number of connections of a holder, an instance that connects to the endpoint itself: one
+/// for reads, one for writes, and one spare.
 const HOLDER_CONNECTIONS_MIN: u32 = 3;
 
 /// Delay before a greater share applies.
@@ -86,8 +87,8 @@
 
 impl HolderShare {
     /// Creates the even share of one of `holders` instances in an endpoint's connections. It
-    /// applies at once: a new instance is in the list by which the others shrank their shares,
-    /// or itself refuses requests.
+    /// applies at once: if this instance is in the instance list, the others have reduced their
+    /// shares for it; if it is not, it refuses requests.
     ///
     /// See the example of [`HolderShare`].
     #[must_use]
--- a/crates/rudder-engine/src/duty/answers.rs
+++ b/crates/rudder-engine/src/duty/answers.rs
@@ -92,8 +92,8 @@
         current: offset(engine.copy_confirmed_at()),
         entries,
         entries_read: offset(Some(entries_at)),
-        // A restarted instance has lost the fact that it had stopped, so it must not confirm a
-        // version before it has read the store itself.
+        // A restarted process no longer knows whether it had stopped responding for the previous
+        // primary, so it must not confirm a version before it has read the store itself.
         confirms: engine.has_read_records(),
         digest,
         timings,
--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -100,8 +100,8 @@
     fetch_copy_if_behind(engine, version, None);
 }
 
-/// Fetches a peer's copy if this instance lacks `version`, or if the peer `list_source` has a newer
-/// list of instances.
+/// Fetches a peer's copy of the settings, the members and the list of instances if this instance
+/// lacks `version`, or if the peer `list_source` has a newer list of instances.
 pub(super) fn fetch_copy_if_behind(
     engine: &Arc<ProxyEngine>,
     version: CopyVersion,
--- a/crates/rudder-engine/src/duty/keeper.rs
+++ b/crates/rudder-engine/src/duty/keeper.rs
@@ -18,14 +18,16 @@
 /// Number of evaluations between two updates of the connection shares.
 const EVALUATIONS_PER_SHARE_UPDATE: u32 = 5;
 
-/// Maximum age of the list of members at which a missing entry counts as a sign.
+/// Maximum age of the list of members at which a missing entry of the primary counts as a sign that
+/// the primary is lost.
 const MEMBER_LIST_MAX_AGE: Duration = Duration::from_millis(3000);
 
 /// Minimum time between the starts of two changes of one service, so that a failed change is not
 /// repeated at once.
 const CHANGE_START_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Times since when signs have been present that must last before they count.
+/// Times since when signs of a lost primary have been present, for those signs that count only if
+/// they last.
 #[derive(Clone, Debug, Default)]
 struct SignOnsets {
     absent_since: Option<Duration>,
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -76,7 +76,7 @@
 
 /// Keeps the records current: the fleet reader reads the store and notifies the other readers,
 /// which notify their failure domains. An instance that is not notified in time reads the store
-/// itself.
+/// itself. `peers::readers` describes how the readers are chosen.
 pub(crate) async fn follow(engine: Arc<ProxyEngine>, exchange: PeerExchange) {
     // After a timeout the records are read again as soon as this instance is registered.
     let _ = tokio::time::timeout(REGISTRATION_TIMEOUT, engine.wait_registered()).await;
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -42,8 +42,8 @@
 struct EntryRecord {
     domain: DomainName,
     peer_address: SocketAddr,
-    /// Whether another instance received nothing from this one for a long time; a running instance
-    /// rewrites its entry to clear the mark.
+    /// Whether another instance has marked the entry because it received nothing from the entry's
+    /// instance for a long time. An instance that is running rewrites its entry without the mark.
     #[serde(default)]
     marked: bool,
     /// Identifier of the instance's process; zero in an entry that was marked.
--- a/crates/rudder-engine/src/group/service.rs
+++ b/crates/rudder-engine/src/group/service.rs
@@ -236,7 +236,8 @@
         state.leases.record().map_or(floor, |record| record.clamp_floor(floor))
     }
 
-    /// Distributes the connections of each member among `all` instances and applies the own share.
+    /// Divides the connections of each member among `all` instances and applies this instance's
+    /// share.
     pub(crate) fn assign_connection_shares(
         &self,
         connections_max: u32,
--- a/crates/rudder-engine/src/identity.rs
+++ b/crates/rudder-engine/src/identity.rs
@@ -25,7 +25,7 @@
         /// deployment configures it.
         pub member_drain: Duration,
         /// Time for which keys are trusted without confirmation that the settings are current; none
-        /// if an instance without any confirmation continues with the settings it has.
+        /// if they are trusted for as long as the settings stay unconfirmed.
         pub key_validity: Option<Duration>,
         /// Bounds on how far a client account may exceed its limit, as the deployment configures
         /// them.
--- a/crates/rudder-engine/src/lead/record.rs
+++ b/crates/rudder-engine/src/lead/record.rs
@@ -35,7 +35,8 @@
         primary: MemberName,
         /// Term of the primary.
         term: LogTerm,
-        /// End of its log when it took over: the only part of earlier terms that survives.
+        /// Position at which its log ended when it took over. Entries of earlier terms beyond it
+        /// are lost.
         base: Option<LogStamp>,
     },
     /// An instance is changing the primary; no instance may respond for the old one.
@@ -46,7 +47,8 @@
         process: u64,
         /// Primary before the change.
         previous: Option<MemberName>,
-        /// Whether the previous primary still serves while it is drained.
+        /// Whether the previous primary is draining and can still report its position, so that a
+        /// successor has to catch up with it before the promotion.
         planned: bool,
     },
 }
--- a/crates/rudder-engine/src/limits/claim.rs
+++ b/crates/rudder-engine/src/limits/claim.rs
@@ -17,8 +17,8 @@
 /// a round trip between regions and scheduling on a slow machine.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Total time that an operation waits for its claim. After it, no instance is known to count for
-/// the account.
+/// Total time that an operation waits for its claim. After it, the operation is refused, because no
+/// owner of the account has responded.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Pause before the next owner is tried after one responded that it does not count.
@@ -200,8 +200,8 @@
         Err(ClaimError::unanswered())
     }
 
-    /// Returns the next response that decides the claim, or the one by which `awaited` does not
-    /// count. Returns `None` at the deadline.
+    /// Returns the next response that decides the claim, or the response of `awaited` that it does
+    /// not count for the account. Returns `None` at the deadline.
     async fn await_response(
         &self,
         owners: &[LimitOwner],
--- a/crates/rudder-engine/src/limits/mod.rs
+++ b/crates/rudder-engine/src/limits/mod.rs
@@ -1,5 +1,6 @@
-//! Operation limits of client accounts. Each operation is claimed at the instance that counts for
-//! its account.
+//! Operation limits of client accounts. Each operation is claimed at the owner of its account: the
+//! instance that counts the account's operations on all instances
+//! (`rudder_decisions::LimitLedger`).
 
 mod claim;
 mod owner;
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -52,8 +52,8 @@
         self.identity().limit_bounds.window
     }
 
-    /// Decides a claim that was made here. Without `counts`, it only returns whether this
-    /// instance counts for the account.
+    /// Decides a claim, of this instance or of a peer, as a possible owner of the account's limit.
+    /// Without `counts`, it only returns whether this instance counts the account's operations.
     pub(super) async fn judge_claim(&self, account: &AccountName, counts: bool) -> ClaimDecision {
         // The claiming instance knows a limit. If this instance knows none yet, another one counts.
         let Some(limit) = self.operation_limit(account) else { return ClaimDecision::NotOwner };
--- a/crates/rudder-engine/src/own_entry.rs
+++ b/crates/rudder-engine/src/own_entry.rs
@@ -6,7 +6,7 @@
 use crate::peers::LISTING_VALIDITY;
 use std::time::Duration;
 
-/// State of the own entry as known to this instance.
+/// State of this instance's entry in the instance list, as known to this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OwnEntry {
     /// Latest time at which the list showed the entry without a mark; `None` while it does not.
@@ -39,8 +39,8 @@
 
     /// Records that this process is about to remove its entry and to end.
     ///
-    /// A read of the list that was sent before and completes afterwards still shows the entry. By
-    /// it, this instance would lead while changes of primary no longer wait for it.
+    /// A read of the list that was sent before and completes afterwards still shows the entry. It
+    /// must not permit leases again, as changes of primary no longer wait for this instance.
     pub(crate) fn leave(&mut self) {
         self.clear();
         self.has_left = true;
@@ -54,8 +54,8 @@
     /// Records that the list that the store had at `read_at` lacks the entry. Returns whether the
     /// entry was in the list before.
     ///
-    /// An instance must not lead by an entry that was removed while no peer sends it a list that
-    /// shows the entry.
+    /// An instance must not hold leases by an entry that another instance has removed: changes of
+    /// primary no longer wait for it.
     pub(crate) fn observe_missing(&mut self, read_at: Duration) -> bool {
         let removed = self.listed_at.is_some() && read_at > self.registered_by;
         if removed {
--- a/crates/rudder-engine/src/peers/entries.rs
+++ b/crates/rudder-engine/src/peers/entries.rs
@@ -5,16 +5,17 @@
 //! never arrive, connections would be reserved for instances that no longer run, and once most of
 //! the listed instances had failed, no majority could be reached.
 //!
-//! A removed instance holds no lease, because it loses the lease first: it leads only while a read
-//! of its own has shown its entry without a mark less than [`LISTING_VALIDITY`] ago, and a marked entry
-//! is removed only after the mark has been in place for longer, [`MARK_TIMEOUT`]. A running
-//! instance sees the mark with its next read and clears it.
+//! A removed instance holds no lease, because it loses the lease first: it holds leases only while
+//! the list is known to have shown its entry without a mark less than [`LISTING_VALIDITY`] ago, and
+//! a marked entry is removed only after the mark has been in place for longer, [`MARK_TIMEOUT`]. A
+//! running instance sees the mark with its next read and clears it.
 
 use rudder_core::InstanceName;
 use std::time::Duration;
 
-/// Time without heartbeats after which an instance of the own failure domain is marked. A bad link
-/// does not lose heartbeats for a minute, and a restart takes only a second or two.
+/// Time without heartbeats after which a reader marks the entry of an instance in its failure
+/// domain. A bad link does not lose heartbeats for a minute, and a restart takes only a second or
+/// two.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time for which a mark is in place before the entry is removed.
--- a/crates/rudder-engine/src/peers/membership.rs
+++ b/crates/rudder-engine/src/peers/membership.rs
@@ -126,7 +126,8 @@
     }
 
     /// Returns the receivers of this instance's heartbeats within its failure domain: all instances
-    /// if it is a hub, otherwise the hubs. The reader is one of the hubs.
+    /// if it is a hub (see [`choose_domain_hubs`]), otherwise the hubs. The reader is one of the
+    /// hubs.
     ///
     /// The datagrams of a domain therefore grow linearly with its size, not with the square of it.
     pub(crate) fn domain_receivers(&self) -> Vec<SocketAddr> {
@@ -354,8 +355,8 @@
         known
     }
 
-    /// Returns the instances that may count for an account, in order of rank, by the store's list;
-    /// by a list that may be outdated while this instance knows no other.
+    /// Returns the instances that may count for an account, in order of rank. They are chosen from
+    /// the store's instance list, or from the contacts, which may be outdated, until it is known.
     pub(crate) fn limit_owners(&self, account: &AccountName, count: usize) -> Vec<LimitOwner> {
         let state = self.state();
         let known = if state.entries.is_empty() { &state.contacts } else { &state.entries };
--- a/crates/rudder-engine/src/session/read.rs
+++ b/crates/rudder-engine/src/session/read.rs
@@ -67,7 +67,7 @@
 
 /// Outcome of an attempt that did not serve the read.
 enum AttemptFailure {
-    /// The read did not run here; another member may serve it.
+    /// This member did not serve the read; another one may.
     TryNext,
     /// The read ran and failed here. This reply is returned if no other member serves the read.
     Failed(StatementReply),
--- a/crates/rudder-engine/src/store_snapshot.rs
+++ b/crates/rudder-engine/src/store_snapshot.rs
@@ -10,8 +10,9 @@
 /// Time for which a peer counts as responding; longer than the pause between two requests.
 const PEER_RESPONSE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Version of a member list. Ordered by the store's revision, then by the changes that the end of
-/// this instance's grace period for missing entries made to the list of one revision.
+/// Version of a member list. Ordered by the store's revision, then by the number of local changes
+/// to the list of that revision: members that are missing in the store are removed from the list
+/// only after a grace period.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -98,8 +99,8 @@
         self.settings_at = self.settings_at.max(Some(now));
     }
 
-    /// Records that both were current at `confirmed_at` according to a peer, in the versions known
-    /// here.
+    /// Records a peer's confirmation that the members and settings known here were current at
+    /// `confirmed_at`.
     pub(crate) fn confirm_by_peer(&mut self, confirmed_at: Duration) {
         self.confirm_members(confirmed_at);
         self.confirm_settings(confirmed_at);
