--- a/crates/rudder-engine/src/duty/heartbeat.rs
+++ b/crates/rudder-engine/src/duty/heartbeat.rs
@@ -123,7 +123,7 @@
     if let Some(peer) = peer
         && let Some(copy) = fetch_copy(&engine, peer, engine.copy_request()).await
     {
-        log::info!(peer:% = peer; "received a copy from a peer");
+        log::info!(peer:% = peer; "received a copy of settings, members or instances from a peer");
         engine.apply_copy(copy, requested_at);
     }
     engine.finish_copy_fetch();
--- a/crates/rudder-engine/src/duty/promote.rs
+++ b/crates/rudder-engine/src/duty/promote.rs
@@ -138,7 +138,10 @@
     /// writes. Promoting a successor before that would lose acknowledged commits.
     async fn await_catch_up(&self, primary: &GroupMember) {
         let Ok(last) = fetch_status(self.engine, primary).await else {
-            log::warn!(member:% = primary.name(); "a leaving primary did not report its position");
+            log::warn!(
+                member:% = primary.name();
+                "a leaving primary did not report its position; not waiting for a successor"
+            );
             return;
         };
         let until = boot_time() + CATCH_UP_TIMEOUT;
@@ -151,7 +154,7 @@
         }
         log::warn!(
             member:% = primary.name(), position:% = last.status.received;
-            "no successor has received all commits of a leaving primary"
+            "no successor has received all commits of a leaving primary; promoting without them"
         );
     }
 }
--- a/crates/rudder-engine/src/duty/records.rs
+++ b/crates/rudder-engine/src/duty/records.rs
@@ -101,7 +101,10 @@
         if result.is_ok() != reachable {
             reachable = result.is_ok();
             let reason = result.err().map_or_else(|| "answered".to_owned(), |e| e.to_string());
-            log::warn!(reachable = reachable, reason:% = reason; "the reachability of the store's records changed");
+            log::warn!(
+                reachable = reachable, reason:% = reason;
+                "the reachability of the primaries' records in the store changed"
+            );
         }
         let gap = if reachable { READ_INTERVAL } else { READ_INTERVAL / 2 };
         wait_next_read(&engine, &exchange, gap.saturating_sub(boot_time().saturating_sub(sent_at)))
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -186,7 +186,7 @@
     }
     log::info!(
         instance:% = engine.identity().name;
-        "this instance is missing from the list of instances, or marked for removal"
+        "this instance is missing from the list of instances, or marked for removal; registering"
     );
     register(engine).await?;
     Ok(RegistrationCheck::Registered)
@@ -256,7 +256,9 @@
     instance: &InstanceName,
     version: &ObjectVersion,
 ) -> Result<(), StoreError> {
-    log::info!(instance:% = instance; "removing an unresponsive instance from the list of instances");
+    log::info!(
+        instance:% = instance; "removing an unresponsive instance from the list of instances"
+    );
     let store = &engine.dependencies().store;
     let kind = ObjectKind::InstanceRecord;
     with_timeout(CALL_TIMEOUT, store.delete(kind, instance.as_str(), version)).await
--- a/crates/rudder-engine/src/duty/watch.rs
+++ b/crates/rudder-engine/src/duty/watch.rs
@@ -92,7 +92,7 @@
                 if failing_since.is_none() {
                     log::info!(
                         service:% = group.service(), member:% = member.name(), epoch:% = epoch,
-                        reason:% = error; "the primary did not respond to its probe"
+                        reason:% = error; "the primary did not respond to a probe of this instance"
                     );
                 }
                 let since = *failing_since.get_or_insert(now);
--- a/crates/rudder-engine/src/interfaces.rs
+++ b/crates/rudder-engine/src/interfaces.rs
@@ -69,7 +69,7 @@
 pub enum PromotionError {
     /// the member is not running, or the call is superseded
     Rejected,
-    /// the call was rejected and nothing was done: {0}
+    /// the call was not processed and nothing was done: {0}
     TurnedAway(String),
     /// no response; the promotion may still take effect
     Unanswered,
--- a/crates/rudder-engine/src/limits/owner.rs
+++ b/crates/rudder-engine/src/limits/owner.rs
@@ -72,7 +72,7 @@
         if before != role {
             log::info!(
                 account:% = account, before:? = before, role:? = role;
-                "the role of this instance in counting for an account changed"
+                "the role of this instance in counting the operations of an account changed"
             );
         }
         decision
--- a/crates/rudder-engine/src/peers/fleet_copy.rs
+++ b/crates/rudder-engine/src/peers/fleet_copy.rs
@@ -117,8 +117,12 @@
         tokio::spawn(async move {
             match tokio::time::timeout(COPY_TIMEOUT, serve_copy(&engine, stream)).await {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => log::info!(peer:% = peer, reason:% = error; "copy was not sent"),
-                Err(_) => log::info!(peer:% = peer, reason = "timeout"; "copy was not sent"),
+                Ok(Err(error)) => log::info!(
+                    peer:% = peer, reason:% = error; "the store's state was not sent to a peer"
+                ),
+                Err(_) => log::info!(
+                    peer:% = peer, reason = "timeout"; "the store's state was not sent to a peer"
+                ),
             }
         });
     }
--- a/crates/rudder-engine/src/peers/list_change.rs
+++ b/crates/rudder-engine/src/peers/list_change.rs
@@ -81,7 +81,7 @@
             Self::Change { base, put, removed } => (base, put, removed),
         };
         if base != ListDigest::of(known) {
-            log::info!("a list change does not apply to the known list");
+            log::info!("discarded a peer's list change: it does not apply to the list known here");
             return None;
         }
         let mut items = known.to_vec();
--- a/crates/rudder-engine/src/session/caller.rs
+++ b/crates/rudder-engine/src/session/caller.rs
@@ -174,7 +174,10 @@
     /// Returns the route and account that the current settings grant to this caller.
     fn access(&self) -> Result<RouteAccess, StatementReply> {
         self.engine.access(&self.database, &self.key).map_err(|error| {
-            log::info!(database:% = self.database, reason:% = error; "a session lost access to its database");
+            log::info!(
+                database:% = self.database, reason:% = error;
+                "a session lost access to its database"
+            );
             let text = match error {
                 StatementError::Busy => retry_text("no settings are known to be current"),
                 ref error => format!("{error}: {}", self.database),
