--- a/crates/arbutusrudder/src/keeper/grant_client.rs
+++ b/crates/arbutusrudder/src/keeper/grant_client.rs
@@ -72,7 +72,8 @@
             let granted = grant.grant_next_term(self.instance.clone(), accepted, mark.clone());
             match self.put(Some(&version), &granted).await {
                 Ok(()) => return Ok(granted.term()),
-                Err(GrantClientError::Store(StoreError::Conflict | StoreError::Unresolved)) => {}
+                Err(GrantClientError::Store(StoreError::Conflict | StoreError::OutcomeUnknown)) => {
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -110,7 +111,8 @@
             let Some(changed) = edit(&grant) else { return Ok(grant) };
             match self.put(Some(&version), &changed).await {
                 Ok(()) => return Ok(changed),
-                Err(GrantClientError::Store(StoreError::Conflict | StoreError::Unresolved)) => {}
+                Err(GrantClientError::Store(StoreError::Conflict | StoreError::OutcomeUnknown)) => {
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -130,7 +132,8 @@
             let first = SuccessionGrant::first(holder, accepted, WriterMark::random());
             match self.put(None, &first).await {
                 Ok(())
-                | Err(GrantClientError::Store(StoreError::Conflict | StoreError::Unresolved)) => {}
+                | Err(GrantClientError::Store(StoreError::Conflict | StoreError::OutcomeUnknown)) =>
+                    {}
                 Err(error) => return Err(error),
             }
         }
--- a/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
+++ b/crates/arbutusrudder/src/keeper/tests/fake_platform.rs
@@ -88,7 +88,7 @@
         let fault = self.fault().await;
         let object = self.change(kind, name, expected, Some(spec))?;
         if fault == PlatformFault::LosesResponses {
-            return Err(StoreError::Unresolved);
+            return Err(StoreError::OutcomeUnknown);
         }
         object.ok_or(StoreError::Conflict)
     }
--- a/crates/rudder-engine/src/duty/change.rs
+++ b/crates/rudder-engine/src/duty/change.rs
@@ -259,7 +259,7 @@
             let put = store.put(ObjectKind::PrimaryRecord, name, expected, spec.clone());
             match with_timeout(WRITE_TIMEOUT, put).await {
                 Ok(object) => return Ok(object.version),
-                Err(StoreError::Conflict | StoreError::Unresolved) => {}
+                Err(StoreError::Conflict | StoreError::OutcomeUnknown) => {}
                 Err(error) => return Err(error.into()),
             }
             if let Some(version) = self.find_own_write(record, expected).await? {
@@ -270,7 +270,7 @@
                 "a write of a record got no response and has not taken effect yet"
             );
         }
-        Err(ChangeError::Store(StoreError::Unresolved))
+        Err(ChangeError::Store(StoreError::OutcomeUnknown))
     }
 
     /// Returns the version that a write of this instance created; none if it has not taken effect
--- a/crates/rudder-engine/src/duty/registry.rs
+++ b/crates/rudder-engine/src/duty/registry.rs
@@ -356,5 +356,5 @@
     limit: Duration,
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    tokio::time::timeout(limit, call).await.unwrap_or(Err(StoreError::Unresolved))
+    tokio::time::timeout(limit, call).await.unwrap_or(Err(StoreError::OutcomeUnknown))
 }
--- a/crates/rudder-engine/src/duty/tests/fixture.rs
+++ b/crates/rudder-engine/src/duty/tests/fixture.rs
@@ -90,7 +90,7 @@
         match self.outcomes[turn % self.outcomes.len()] {
             WriteOutcome::Done => {}
             WriteOutcome::Refused => return Err(StoreError::Unavailable),
-            WriteOutcome::Lost => return Err(StoreError::Unresolved),
+            WriteOutcome::Lost => return Err(StoreError::OutcomeUnknown),
         }
         let mut record = self.record.lock().expect("no holder panics");
         if expected.is_none_or(|version| version.0 != record.0.to_string()) {
--- a/crates/rudder-store/src/kubernetes/error.rs
+++ b/crates/rudder-store/src/kubernetes/error.rs
@@ -85,7 +85,7 @@
 /// Converts the error of a write call.
 ///
 /// A write may take effect although its response is lost. Only failures that certainly changed
-/// nothing become `Unavailable`. All others become `Unresolved`, so that the writer reads the
+/// nothing become `Unavailable`. All others become `OutcomeUnknown`, so that the writer reads the
 /// object back instead of retrying.
 pub(crate) fn write_error(verb: ApiVerb, error: &CallError) -> StoreError {
     match error {
@@ -96,10 +96,10 @@
             StoreError::Conflict
         }
         CallError::ErrorResponse(status) if status.code == 429 => StoreError::Unavailable,
-        CallError::ErrorResponse(status) if status.code >= 500 => StoreError::Unresolved,
+        CallError::ErrorResponse(status) if status.code >= 500 => StoreError::OutcomeUnknown,
         CallError::ErrorResponse(status) => StoreError::Refused(status.message.clone()),
         CallError::NotSent(_) => StoreError::Unavailable,
-        CallError::ConnectionLost(_) | CallError::TimedOut => StoreError::Unresolved,
+        CallError::ConnectionLost(_) | CallError::TimedOut => StoreError::OutcomeUnknown,
     }
 }
 
--- a/crates/rudder-store/src/revision/attempt.rs
+++ b/crates/rudder-store/src/revision/attempt.rs
@@ -39,7 +39,7 @@
 impl From<StoreError> for AttemptError {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::Conflict | StoreError::Unresolved => Self::Conflict,
+            StoreError::Conflict | StoreError::OutcomeUnknown => Self::Conflict,
             StoreError::Unavailable => Self::Unavailable,
             StoreError::Refused(_) => Self::Fatal(SubmitError::Platform(ReadError::Store(error))),
         }
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -210,7 +210,7 @@
         let spec = serde_json::to_value(next).expect("names and numbers are always JSON");
         let kind = ObjectKind::SettingsRevision;
         let result = self.store.put(kind, REVISION_OBJECT, expected, spec).await;
-        if result == Err(StoreError::Unresolved) {
+        if result == Err(StoreError::OutcomeUnknown) {
             self.unresolved = Some(next.number);
         }
         result?;
--- a/crates/rudder-store/src/store.rs
+++ b/crates/rudder-store/src/store.rs
@@ -112,7 +112,7 @@
     /// the platform cannot be reached or did not respond in time; nothing was changed
     Unavailable,
     /// the response was lost: the change may have taken effect; read the object back
-    Unresolved,
+    OutcomeUnknown,
     /// the platform rejected the call: {0}
     Refused(String),
 }
@@ -152,8 +152,8 @@
         spec: serde_json::Value,
     ) -> Result<StoredObject, StoreError> {
         match self.put(kind, name, None, spec).await {
-            Err(StoreError::Conflict | StoreError::Unresolved) => {
-                self.get(kind, name).await?.ok_or(StoreError::Unresolved)
+            Err(StoreError::Conflict | StoreError::OutcomeUnknown) => {
+                self.get(kind, name).await?.ok_or(StoreError::OutcomeUnknown)
             }
             created => created,
         }
--- a/crates/rudder-store/tests/platform/common.rs
+++ b/crates/rudder-store/tests/platform/common.rs
@@ -100,7 +100,7 @@
     ) -> Result<StoredObject, StoreError> {
         let fault = self.script.on_put(kind);
         match fault {
-            PutFault::LostRequest => return Err(StoreError::Unresolved),
+            PutFault::LostRequest => return Err(StoreError::OutcomeUnknown),
             PutFault::ConnectionRefused => return Err(StoreError::Unavailable),
             PutFault::None | PutFault::LostResponse | PutFault::LostResponseAfterSubmission(_) => {}
         }
@@ -114,9 +114,9 @@
                 submit_change(&self.inner, concurrent_change)
                     .await
                     .expect("the concurrent change is valid");
-                Err(StoreError::Unresolved)
+                Err(StoreError::OutcomeUnknown)
             }
-            _ => Err(StoreError::Unresolved),
+            _ => Err(StoreError::OutcomeUnknown),
         }
     }
 
--- a/crates/rudder-store/tests/platform/store.rs
+++ b/crates/rudder-store/tests/platform/store.rs
@@ -52,7 +52,7 @@
 
     let result = store.put(KIND, "a", None, json!({ "to": "one" })).await;
 
-    assert_eq!(result, Err(StoreError::Unresolved));
+    assert_eq!(result, Err(StoreError::OutcomeUnknown));
     assert_eq!(store.get(KIND, "a").await.unwrap().unwrap().spec, json!({ "to": "one" }));
 }
 
@@ -66,7 +66,7 @@
 
     let result = store.put(KIND, "a", None, json!({ "to": "one" })).await;
 
-    assert_eq!(result, Err(StoreError::Unresolved));
+    assert_eq!(result, Err(StoreError::OutcomeUnknown));
     assert_eq!(standin.calls().writes, 1);
 }
 
@@ -90,9 +90,9 @@
     standin.set_faults(outage(PlatformOutage::Refused));
     // The listener closes its socket shortly after the change of faults; until then it accepts a
     // connection and drops it.
-    let mut refused_write = Err(StoreError::Unresolved);
+    let mut refused_write = Err(StoreError::OutcomeUnknown);
     for _ in 0..TRIES_MAX {
-        if refused_write != Err(StoreError::Unresolved) {
+        if refused_write != Err(StoreError::OutcomeUnknown) {
             break;
         }
         refused_write = store_with_long_timeout(&standin).put(KIND, "a", None, json!({})).await;
@@ -108,7 +108,7 @@
     }
 
     assert_eq!(hung_read, Err(StoreError::Unavailable));
-    assert_eq!(hung_write, Err(StoreError::Unresolved));
+    assert_eq!(hung_write, Err(StoreError::OutcomeUnknown));
     assert_eq!(refused_write, Err(StoreError::Unavailable));
     assert_eq!(after_outage, Ok(None));
 }
--- a/crates/rudderctl/src/command/switch.rs
+++ b/crates/rudderctl/src/command/switch.rs
@@ -104,7 +104,7 @@
     match store.put(ObjectKind::SwitchOrder, service.as_str(), None, spec).await {
         Ok(_) => Ok(()),
         Err(StoreError::Conflict) => Err(CommandError::SwitchInProgress(service.clone())),
-        Err(StoreError::Unresolved) => confirm_order(store, service, order).await,
+        Err(StoreError::OutcomeUnknown) => confirm_order(store, service, order).await,
         Err(error) => Err(error.into()),
     }
 }
