--- a/crates/arbutusrudder/src/fleet/follow.rs
+++ b/crates/arbutusrudder/src/fleet/follow.rs
@@ -5,7 +5,7 @@
 use crate::context::InstanceContext;
 use rand::RngExt;
 use rudder_peers::{PeerHint, PeerMesh, PeerReply, PeerRequest, PeerState, RevisionHint};
-use rudder_store::{OfferVerdict, PlatformStore, RevisionBundle, poll_revision};
+use rudder_store::{OfferOutcome, PlatformStore, RevisionBundle, poll_revision};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -114,9 +114,9 @@
     let folder = {
         let mut follower = context.follower.lock().expect("no holder of this lock panics");
         match follower.offer(bundle) {
-            OfferVerdict::Adopted => follower.folder().cloned(),
-            OfferVerdict::NotNewer => None,
-            OfferVerdict::Unusable(error) => {
+            OfferOutcome::Adopted => follower.folder().cloned(),
+            OfferOutcome::NotNewer => None,
+            OfferOutcome::Unusable(error) => {
                 log::error!(target: "rudder::settings", revision = number, source, reason:% = error; "revision is unusable and was not adopted");
                 None
             }
--- a/crates/rudder-store/src/lib.rs
+++ b/crates/rudder-store/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub use kubernetes::{KubeStore, PlatformOptions};
 pub use revision::{
-    BundleError, BundleFile, FileConflict, FolderChange, OfferVerdict, ReadError, RevisionBundle,
+    BundleError, BundleFile, FileConflict, FolderChange, OfferOutcome, ReadError, RevisionBundle,
     RevisionFile, RevisionFollower, RevisionNumber, SettingsRevision, SubmitError, SubmitOutcome,
     poll_revision, read_revision, submit_change,
 };
--- a/crates/rudder-store/src/revision/follow.rs
+++ b/crates/rudder-store/src/revision/follow.rs
@@ -7,7 +7,7 @@
 
 /// Outcome of offering a bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OfferVerdict {
+pub enum OfferOutcome {
     /// The bundle is now in force.
     Adopted,
     /// The number of the bundle is not greater than that of the revision in force.
@@ -67,27 +67,27 @@
     /// numbers only increase, so a bundle whose number is not greater is ignored.
     ///
     /// ```
-    /// use rudder_store::{OfferVerdict, RevisionBundle, RevisionFollower, RevisionNumber};
+    /// use rudder_store::{OfferOutcome, RevisionBundle, RevisionFollower, RevisionNumber};
     /// let bundle = |number| RevisionBundle {
     ///     number: RevisionNumber(number),
     ///     version: None,
     ///     files: Vec::new(),
     /// };
     /// let mut follower = RevisionFollower::default();
-    /// assert_eq!(follower.offer(bundle(2)), OfferVerdict::Adopted);
-    /// assert_eq!(follower.offer(bundle(1)), OfferVerdict::NotNewer);
+    /// assert_eq!(follower.offer(bundle(2)), OfferOutcome::Adopted);
+    /// assert_eq!(follower.offer(bundle(1)), OfferOutcome::NotNewer);
     /// ```
-    pub fn offer(&mut self, bundle: RevisionBundle) -> OfferVerdict {
+    pub fn offer(&mut self, bundle: RevisionBundle) -> OfferOutcome {
         if bundle.number <= self.number() {
-            return OfferVerdict::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         match bundle.merge() {
             Ok(folder) => {
                 let (bundle, folder) = (Arc::new(bundle), Arc::new(folder));
                 self.in_force = Some(ActiveRevision { bundle, folder });
-                OfferVerdict::Adopted
+                OfferOutcome::Adopted
             }
-            Err(error) => OfferVerdict::Unusable(error),
+            Err(error) => OfferOutcome::Unusable(error),
         }
     }
 }
--- a/crates/rudder-store/src/revision/mod.rs
+++ b/crates/rudder-store/src/revision/mod.rs
@@ -11,7 +11,7 @@
 mod submit;
 
 pub use bundle::{BundleError, BundleFile, RevisionBundle};
-pub use follow::{OfferVerdict, RevisionFollower};
+pub use follow::{OfferOutcome, RevisionFollower};
 pub use plan::FileConflict;
 pub use read::{ReadError, poll_revision, read_revision};
 pub use record::{RevisionFile, RevisionNumber, SettingsRevision};
--- a/crates/rudder-store/tests/platform/following.rs
+++ b/crates/rudder-store/tests/platform/following.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use rudder_standins::{PlatformFaults, PlatformOutage};
 use rudder_store::{
-    BundleError, OfferVerdict, ReadError, RevisionBundle, RevisionFollower, RevisionNumber,
+    BundleError, OfferOutcome, ReadError, RevisionBundle, RevisionFollower, RevisionNumber,
     StoreError, poll_revision, submit_change,
 };
 use std::time::Duration;
@@ -32,7 +32,7 @@
 
     assert_eq!(polled, None);
     assert_eq!(stale.number, RevisionNumber(1));
-    assert_eq!(outcome, OfferVerdict::NotNewer);
+    assert_eq!(outcome, OfferOutcome::NotNewer);
     assert_eq!((follower.number(), region(&follower)), (RevisionNumber(2), "south"));
 }
 
@@ -55,7 +55,7 @@
     let outcome = follower.offer(handed);
 
     assert_eq!(polled, Err(ReadError::Store(StoreError::Unavailable)));
-    assert_eq!(outcome, OfferVerdict::Adopted);
+    assert_eq!(outcome, OfferOutcome::Adopted);
     assert_eq!(region(&follower), "north");
 }
 
@@ -98,8 +98,8 @@
     let outcome = follower.offer(damaged);
     let later = follower.offer(RevisionBundle { number: RevisionNumber(3), ..good });
 
-    assert!(matches!(outcome, OfferVerdict::Unusable(BundleError::Damaged(_))), "{outcome:?}");
-    assert_eq!(later, OfferVerdict::Adopted);
+    assert!(matches!(outcome, OfferOutcome::Unusable(BundleError::Damaged(_))), "{outcome:?}");
+    assert_eq!(later, OfferOutcome::Adopted);
     assert_eq!(follower.number(), RevisionNumber(3));
 }
 
@@ -114,7 +114,7 @@
 
             let outcome = follower.offer(bundle);
 
-            prop_assert_eq!(outcome == OfferVerdict::Adopted, number > greatest);
+            prop_assert_eq!(outcome == OfferOutcome::Adopted, number > greatest);
             greatest = greatest.max(number);
             prop_assert_eq!(follower.number(), RevisionNumber(greatest));
         }
