--- a/crates/rudder-settings/src/folder.rs
+++ b/crates/rudder-settings/src/folder.rs
@@ -4,7 +4,7 @@
 use crate::file::SettingsFile;
 use crate::merge::merge_table;
 use crate::model::FleetSettings;
-use crate::problem::{SettingsProblem, SettingsRefusal, SourcePlace};
+use crate::problem::{SettingsErrors, SettingsProblem, SourcePlace};
 use crate::source::{SourceTable, SourceValue, parse_file};
 use rudder_core::plain_data;
 use serde::Serialize;
@@ -49,25 +49,25 @@
 /// # Errors
 ///
 /// Returns all problems of the folder, each with its file, line and key.
-pub fn merge_folder(files: &[SettingsFile]) -> Result<MergedFolder, SettingsRefusal> {
+pub fn merge_folder(files: &[SettingsFile]) -> Result<MergedFolder, SettingsErrors> {
     let mut problems = Vec::new();
     let tree = merge_trees(files, &mut problems);
     if !problems.is_empty() {
-        return Err(sorted_refusal(problems));
+        return Err(sorted_errors(problems));
     }
     let fleet = check_tree(&tree, &mut problems);
     if !problems.is_empty() {
-        return Err(sorted_refusal(problems));
+        return Err(sorted_errors(problems));
     }
     let mut values = Vec::new();
     list_values("", &tree, &mut values);
     Ok(MergedFolder { fleet, values })
 }
 
-fn sorted_refusal(mut problems: Vec<SettingsProblem>) -> SettingsRefusal {
+fn sorted_errors(mut problems: Vec<SettingsProblem>) -> SettingsErrors {
     problems.sort();
     problems.dedup();
-    SettingsRefusal { problems }
+    SettingsErrors { problems }
 }
 
 fn merge_trees(files: &[SettingsFile], problems: &mut Vec<SettingsProblem>) -> SourceTable {
--- a/crates/rudder-settings/src/lib.rs
+++ b/crates/rudder-settings/src/lib.rs
@@ -15,4 +15,4 @@
     AckRule, CallerSettings, DomainSettings, FleetSettings, MemberSettings, ServiceSettings,
     ShedOrder, TimingSettings,
 };
-pub use problem::{SettingsProblem, SettingsRefusal, SourcePlace};
+pub use problem::{SettingsErrors, SettingsProblem, SourcePlace};
--- a/crates/rudder-settings/src/problem.rs
+++ b/crates/rudder-settings/src/problem.rs
@@ -53,13 +53,13 @@
 plain_data! {
     /// Error for an invalid folder. None of its settings are applied.
     #[derive(Serialize)]
-    pub struct SettingsRefusal {
+    pub struct SettingsErrors {
         /// Problems, sorted by location; never empty.
         pub problems: Vec<SettingsProblem>,
     }
 }
 
-impl fmt::Display for SettingsRefusal {
+impl fmt::Display for SettingsErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
         for problem in &self.problems {
@@ -70,4 +70,4 @@
     }
 }
 
-impl std::error::Error for SettingsRefusal {}
+impl std::error::Error for SettingsErrors {}
--- a/crates/rudder-store/src/revision/bundle.rs
+++ b/crates/rudder-store/src/revision/bundle.rs
@@ -4,7 +4,7 @@
 use crate::store::ObjectVersion;
 use displaydoc::Display;
 use rudder_core::plain_data;
-use rudder_settings::{MergedFolder, SettingsFile, SettingsRefusal, merge_folder};
+use rudder_settings::{MergedFolder, SettingsErrors, SettingsFile, merge_folder};
 use serde::{Deserialize, Serialize};
 
 plain_data! {
@@ -40,7 +40,7 @@
     /// the content of object {0} does not match the hash in its name
     Damaged(String),
     /// the merged settings are invalid: {0}
-    Refused(SettingsRefusal),
+    Refused(SettingsErrors),
 }
 
 impl std::error::Error for BundleError {}
--- a/crates/rudder-store/src/revision/submit.rs
+++ b/crates/rudder-store/src/revision/submit.rs
@@ -13,7 +13,7 @@
 use crate::store::{ObjectKind, ObjectVersion, PlatformStore, StoreError};
 use displaydoc::Display;
 use rudder_core::{WriterMark, plain_data};
-use rudder_settings::{FileName, SettingsFile, SettingsRefusal, merge_folder};
+use rudder_settings::{FileName, SettingsErrors, SettingsFile, merge_folder};
 
 plain_data! {
     /// Change to the folder that an operator submits.
@@ -45,7 +45,7 @@
 #[ignore_extra_doc_attributes]
 pub enum SubmitError {
     /// {0}
-    Invalid(SettingsRefusal),
+    Invalid(SettingsErrors),
     /// {0}
     FileConflict(FileConflict),
     /// the platform cannot be reached; nothing was changed, submit again later
--- a/crates/rudderctl/src/error.rs
+++ b/crates/rudderctl/src/error.rs
@@ -4,7 +4,7 @@
 use crate::output::ExitStatus;
 use displaydoc::Display;
 use rudder_core::{MemberName, ServiceName};
-use rudder_settings::{FolderError, SettingsProblem, SettingsRefusal};
+use rudder_settings::{FolderError, SettingsErrors, SettingsProblem};
 use rudder_store::{BundleError, ReadError, StoreError, SubmitError};
 
 /// Error that ends a command.
@@ -14,7 +14,7 @@
     /// {0}
     Folder(FolderError),
     /// {0}
-    Settings(SettingsRefusal),
+    Settings(SettingsErrors),
     /// {0}
     Submit(SubmitError),
     /// {0}
@@ -106,9 +106,9 @@
     }
 }
 
-impl From<SettingsRefusal> for CommandError {
-    fn from(refusal: SettingsRefusal) -> Self {
-        Self::Settings(refusal)
+impl From<SettingsErrors> for CommandError {
+    fn from(errors: SettingsErrors) -> Self {
+        Self::Settings(errors)
     }
 }
 
