--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -162,7 +162,7 @@
     let mut request = read_login(parameters)?;
     let fleet = context.fleet.load();
     authenticate(link, &context.process.login_rule(&request.user)).await?;
-    let caller = fleet.settings.caller_of(&request.user).cloned();
+    let caller = fleet.settings.caller_for_user(&request.user).cloned();
     let caller = caller.unwrap_or_else(|| context.process.undeclared_caller_settings());
     let (token, knowledge) = match request.session.take() {
         Some(SessionClaim::Token(token)) => (token, FloorKnowledge::Known),
--- a/crates/rudder-settings/src/model.rs
+++ b/crates/rudder-settings/src/model.rs
@@ -39,10 +39,10 @@
     /// Returns the settings of the caller kind that lists `user` as one of its users.
     ///
     /// ```
-    /// assert!(rudder_settings::FleetSettings::default().caller_of("anna").is_none());
+    /// assert!(rudder_settings::FleetSettings::default().caller_for_user("anna").is_none());
     /// ```
     #[must_use]
-    pub fn caller_of(&self, user: &str) -> Option<&CallerSettings> {
+    pub fn caller_for_user(&self, user: &str) -> Option<&CallerSettings> {
         self.callers.iter().find(|caller| caller.users.iter().any(|name| name == user))
     }
 }
