--- a/crates/arbutusrudder/src/caller/keyed.rs
+++ b/crates/arbutusrudder/src/caller/keyed.rs
@@ -182,7 +182,7 @@
     }
     held.release(&mut session.link);
     record_commit(session, stamp);
-    put_ready(session.link.outgoing(), b'I');
+    put_ready(session.link.write_buffer(), b'I');
     Ok(WriteEnd::Answered)
 }
 
@@ -209,7 +209,7 @@
         Ok(_) => write::finish_uncommitted(session, batch, attempt, outcome).await,
         Err(error) => {
             attempt.abandon(session, &error).await;
-            put_ready(session.link.outgoing(), b'I');
+            put_ready(session.link.write_buffer(), b'I');
         }
     }
     WriteEnd::Answered
@@ -271,8 +271,8 @@
     record_commit(session, stamp);
     let simple = batch.end == BatchEnd::Simple;
     if keyed.commit_sent && simple && !value.is_empty() {
-        put_complete(session.link.outgoing(), &value);
-        put_ready(session.link.outgoing(), b'I');
+        put_complete(session.link.write_buffer(), &value);
+        put_ready(session.link.write_buffer(), b'I');
     } else {
         refuse(session, batch, &RefusalNotice::AlreadyRun { outcome: value }).await?;
     }
--- a/crates/arbutusrudder/src/caller/local.rs
+++ b/crates/arbutusrudder/src/caller/local.rs
@@ -41,7 +41,7 @@
         return false;
     }
     let outcome = run_proxy_change(session, change);
-    let out = session.link.outgoing();
+    let out = session.link.write_buffer();
     match outcome {
         Ok(ProxyReply { value, tag }) => {
             if let (Some(value), SessionChange::Show { name }) = (value, change) {
@@ -53,7 +53,7 @@
         Err(refusal) => put_error(out, refusal.sqlstate, &refusal.message),
     }
     let status = session.status();
-    put_ready(session.link.outgoing(), status);
+    put_ready(session.link.write_buffer(), status);
     true
 }
 
@@ -171,7 +171,7 @@
 /// Reports the session's token, which the caller can present to other instances.
 pub(crate) fn report_token(session: &mut CallerSession) {
     let token = session.token.to_string();
-    put_parameter(session.link.outgoing(), "rudder.session", &token);
+    put_parameter(session.link.write_buffer(), "rudder.session", &token);
 }
 
 fn unknown_setting(name: &str) -> SettingRefusal {
--- a/crates/arbutusrudder/src/caller/login.rs
+++ b/crates/arbutusrudder/src/caller/login.rs
@@ -205,7 +205,7 @@
 }
 
 fn put_authentication(link: &mut WireLink, message: &Authentication) {
-    message.encode(link.outgoing()).expect("the message is below the protocol's limits");
+    message.encode(link.write_buffer()).expect("the message is below the protocol's limits");
 }
 
 /// Adds the messages that complete a login.
@@ -215,7 +215,7 @@
     token: &SessionToken,
     cancel: &CancelEntry,
 ) {
-    let out = link.outgoing();
+    let out = link.write_buffer();
     for (name, value) in parameters {
         put_parameter(out, name, value);
     }
@@ -229,7 +229,7 @@
 
 /// Sends the error of a failed login.
 pub(crate) async fn refuse_login(link: &mut WireLink, error: &LoginError) {
-    put_fatal(link.outgoing(), error.sqlstate(), &error.to_string());
+    put_fatal(link.write_buffer(), error.sqlstate(), &error.to_string());
     // Ignored: the caller may have closed the connection already.
     let _ = link.flush().await;
 }
@@ -242,10 +242,10 @@
     frame_size_max: rudder_core::ByteSize,
 ) -> Result<(WireLink, StartupPacket), LoginError> {
     loop {
-        match link.next_startup().await? {
+        match link.next_startup_packet().await? {
             StartupPacket::TlsRequest => match tls {
                 Some(acceptor) => {
-                    link.outgoing().extend_from_slice(b"S");
+                    link.write_buffer().extend_from_slice(b"S");
                     link.flush().await?;
                     let stream = acceptor
                         .accept(link.into_stream()?)
@@ -254,12 +254,12 @@
                     link = WireLink::new(Box::new(stream), frame_size_max);
                 }
                 None => {
-                    link.outgoing().extend_from_slice(b"N");
+                    link.write_buffer().extend_from_slice(b"N");
                     link.flush().await?;
                 }
             },
             StartupPacket::GssRequest => {
-                link.outgoing().extend_from_slice(b"N");
+                link.write_buffer().extend_from_slice(b"N");
                 link.flush().await?;
             }
             packet => return Ok((link, packet)),
--- a/crates/arbutusrudder/src/caller/proxy_batch.rs
+++ b/crates/arbutusrudder/src/caller/proxy_batch.rs
@@ -36,13 +36,13 @@
         }
         if let Err(refusal) = answer_frame(session, frame, &mut portal) {
             session.restore_names(names_changed);
-            put_error(session.link.outgoing(), refusal.sqlstate, &refusal.message);
+            put_error(session.link.write_buffer(), refusal.sqlstate, &refusal.message);
             return false;
         }
     }
     if batch.end == BatchEnd::Sync {
         let status = session.status();
-        put_ready(session.link.outgoing(), status);
+        put_ready(session.link.write_buffer(), status);
     }
     true
 }
@@ -52,7 +52,7 @@
     frame: &BatchFrame,
     portal: &mut Option<Arc<PreparedStatement>>,
 ) -> Result<(), SettingRefusal> {
-    let out = session.link.outgoing();
+    let out = session.link.write_buffer();
     match frame {
         BatchFrame::Parse(_) => out.extend_from_slice(PARSE_COMPLETE),
         BatchFrame::Bind(statement, _, _) => {
@@ -78,7 +78,7 @@
 
 fn execute(session: &mut CallerSession, change: &SessionChange) -> Result<(), SettingRefusal> {
     let ProxyReply { value, tag } = run_proxy_change(session, change)?;
-    let out = session.link.outgoing();
+    let out = session.link.write_buffer();
     if let Some(value) = value {
         put_text_value(out, &value);
     }
--- a/crates/arbutusrudder/src/caller/read.rs
+++ b/crates/arbutusrudder/src/caller/read.rs
@@ -285,5 +285,5 @@
             key: None,
         });
     }
-    put_ready(session.link.outgoing(), outcome.status);
+    put_ready(session.link.write_buffer(), outcome.status);
 }
--- a/crates/arbutusrudder/src/caller/serve.rs
+++ b/crates/arbutusrudder/src/caller/serve.rs
@@ -105,7 +105,7 @@
 }
 
 async fn send_fatal(session: &mut CallerSession, sqlstate: &str, message: &str) {
-    put_fatal(session.link.outgoing(), sqlstate, message);
+    put_fatal(session.link.write_buffer(), sqlstate, message);
     let _ = timeout(Duration::from_secs(1), session.link.flush()).await;
 }
 
@@ -270,7 +270,7 @@
         return transaction::serve(session, batch).await;
     }
     if batch.frames.is_empty() {
-        put_ready(session.link.outgoing(), b'I');
+        put_ready(session.link.write_buffer(), b'I');
         return Ok(());
     }
     if !await_settings(context, session.caller.queue_wait).await {
@@ -279,7 +279,7 @@
     }
     let Some(group) = context.fleet.load().group(&session.service).cloned() else {
         let message = format!("there is no service {}", session.service);
-        put_error(session.link.outgoing(), "3D000", &message);
+        put_error(session.link.write_buffer(), "3D000", &message);
         return finish_refusal(session, batch).await;
     };
     serve_in_group(context, session, batch, &group).await
@@ -317,7 +317,7 @@
         "sqlstate" => notice.sqlstate())
     .increment(1);
     session.restore_names(0);
-    put_refusal(session.link.outgoing(), notice);
+    put_refusal(session.link.write_buffer(), notice);
     finish_refusal(session, batch).await
 }
 
@@ -329,7 +329,7 @@
 ) -> Result<(), SessionEnd> {
     session.restore_names(0);
     let message = format!("the settings of this session are refused: {}", fields.message);
-    put_error(session.link.outgoing(), &fields.sqlstate, &message);
+    put_error(session.link.write_buffer(), &fields.sqlstate, &message);
     finish_refusal(session, batch).await
 }
 
@@ -348,6 +348,6 @@
     }
     // The member never received the batch, so an open transaction keeps its status.
     let status = session.status();
-    put_ready(session.link.outgoing(), status);
+    put_ready(session.link.write_buffer(), status);
     Ok(())
 }
--- a/crates/arbutusrudder/src/caller/transaction.rs
+++ b/crates/arbutusrudder/src/caller/transaction.rs
@@ -130,7 +130,7 @@
     sent.held.release(&mut session.link);
     pinned.status = outcome.status;
     pinned.skipping = false;
-    put_ready(session.link.outgoing(), outcome.status);
+    put_ready(session.link.write_buffer(), outcome.status);
     session.pinned = Some(pinned);
     Ok(())
 }
@@ -178,7 +178,7 @@
         sent.held.release(&mut session.link);
         record_commit(session, stamp);
     }
-    put_ready(session.link.outgoing(), b'I');
+    put_ready(session.link.write_buffer(), b'I');
     Ok(())
 }
 
--- a/crates/arbutusrudder/src/caller/write.rs
+++ b/crates/arbutusrudder/src/caller/write.rs
@@ -202,7 +202,7 @@
     if await_majority(&group, member, stamp).await {
         held.release(&mut session.link);
         record_commit(session, stamp);
-        put_ready(session.link.outgoing(), b'I');
+        put_ready(session.link.write_buffer(), b'I');
     } else {
         report_unresolved(session);
     }
@@ -267,8 +267,8 @@
 pub(crate) fn report_unresolved(session: &mut CallerSession) {
     metrics::counter!("rudder_refusals_total", "class" => "unknown", "sqlstate" => "08007")
         .increment(1);
-    put_refusal(session.link.outgoing(), &RefusalNotice::Unresolved);
-    put_ready(session.link.outgoing(), b'I');
+    put_refusal(session.link.write_buffer(), &RefusalNotice::Unresolved);
+    put_ready(session.link.write_buffer(), b'I');
 }
 
 /// Ends the response to a batch that committed nothing and left no transaction open.
@@ -280,7 +280,7 @@
 ) {
     session_change::apply(session, batch, &mut attempt.pooled, outcome);
     attempt.finish(session).await;
-    put_ready(session.link.outgoing(), b'I');
+    put_ready(session.link.write_buffer(), b'I');
 }
 
 /// Raises the session's floor to an acknowledged commit, and reports the new token.
@@ -325,7 +325,7 @@
         key: None,
     });
     if !flushed {
-        put_ready(session.link.outgoing(), outcome.status);
+        put_ready(session.link.write_buffer(), outcome.status);
     }
     WriteEnd::Answered
 }
--- a/crates/arbutusrudder/src/exchange/encode.rs
+++ b/crates/arbutusrudder/src/exchange/encode.rs
@@ -36,7 +36,7 @@
     for frame in &batch.frames {
         encode_frame(pooled, frame, batch.end, &mut queue);
     }
-    let outgoing = pooled.connection.link().outgoing();
+    let outgoing = pooled.connection.link().write_buffer();
     match batch.end {
         BatchEnd::Simple => {}
         BatchEnd::Sync => frontend::sync(outgoing),
@@ -62,20 +62,20 @@
         BatchFrame::Bind(statement, portal, rest) => {
             ensure_prepared(pooled, statement, queue);
             let name = member_name(statement);
-            let outgoing = pooled.connection.link().outgoing();
+            let outgoing = pooled.connection.link().write_buffer();
             put_frame(outgoing, tag::BIND, &[portal, name.as_bytes(), b"\0", rest]);
             queue.expect(ExpectedReply::Single);
         }
         BatchFrame::DescribeStatement(statement) => {
             ensure_prepared(pooled, statement, queue);
             let name = member_name(statement);
-            let outgoing = pooled.connection.link().outgoing();
+            let outgoing = pooled.connection.link().write_buffer();
             put_frame(outgoing, tag::DESCRIBE, &[b"S", name.as_bytes(), b"\0"]);
             queue.expect(ExpectedReply::Describe);
         }
         BatchFrame::CloseStatement => queue.expect(ExpectedReply::SyntheticClose),
         BatchFrame::Plain(frame) => {
-            pooled.connection.link().outgoing().extend_from_slice(&frame.bytes);
+            pooled.connection.link().write_buffer().extend_from_slice(&frame.bytes);
             if end != BatchEnd::Simple {
                 queue.expect(reply_to(frame.tag));
             }
@@ -117,7 +117,7 @@
 ) {
     evict_prepared(pooled, statement.hash, queue);
     let name = member_name(statement);
-    let outgoing = pooled.connection.link().outgoing();
+    let outgoing = pooled.connection.link().write_buffer();
     put_frame(outgoing, tag::PARSE, &[name.as_bytes(), b"\0", &statement.definition]);
     queue.expect(ExpectedReply::Parse { hash: statement.hash, relayed });
 }
@@ -131,7 +131,7 @@
     let index = pooled.prepared.partition_point(|known| *known < hash) % pooled.prepared.len();
     let closed = pooled.prepared.remove(index);
     let name = name_of(closed);
-    put_frame(pooled.connection.link().outgoing(), tag::CLOSE, &[b"S", name.as_bytes(), b"\0"]);
+    put_frame(pooled.connection.link().write_buffer(), tag::CLOSE, &[b"S", name.as_bytes(), b"\0"]);
     queue.expect(ExpectedReply::InternalClose(closed));
 }
 
--- a/crates/arbutusrudder/src/exchange/relay.rs
+++ b/crates/arbutusrudder/src/exchange/relay.rs
@@ -155,7 +155,7 @@
 ) -> Result<(), ExchangeError> {
     let caller = sink.caller();
     let more_ready = pooled.connection.link().has_buffered_frame();
-    if caller.outgoing().is_empty() || (more_ready && !caller.is_congested()) {
+    if caller.write_buffer().is_empty() || (more_ready && !caller.is_congested()) {
         return Ok(());
     }
     flush_caller(sink, bounds).await
@@ -204,14 +204,14 @@
         let next = timeout(bounds.caller_timeout, sink.caller().next_frame());
         let frame = tokio::select! {
             frame = next => frame,
-            readable = member.await_frame() => {
+            readable = member.wait_for_frame() => {
                 return readable.map(|()| false).map_err(ExchangeError::Member);
             }
         };
         let frame = frame
             .map_err(|_| ExchangeError::Caller(WireError::Closed))?
             .map_err(ExchangeError::Caller)?;
-        member.outgoing().extend_from_slice(&frame.bytes);
+        member.write_buffer().extend_from_slice(&frame.bytes);
         if ends_copy(bounds.end, frame.tag) {
             return Ok(true);
         }
--- a/crates/arbutusrudder/src/exchange/sink.rs
+++ b/crates/arbutusrudder/src/exchange/sink.rs
@@ -34,7 +34,7 @@
 impl HeldReplies {
     /// Passes the replies on to the caller; dropping `self` instead discards them.
     pub(crate) fn release(self, caller: &mut WireLink) {
-        caller.outgoing().extend_from_slice(&self.bytes);
+        caller.write_buffer().extend_from_slice(&self.bytes);
     }
 }
 
@@ -96,7 +96,7 @@
     fn release(&mut self) {
         self.relayed |= !self.held.is_empty();
         let held = self.held.split();
-        self.caller.outgoing().extend_from_slice(&held);
+        self.caller.write_buffer().extend_from_slice(&held);
     }
 
     fn record_tag(&mut self, frame_tag: u8) {
@@ -122,7 +122,7 @@
     fn write(&mut self, bytes: &Bytes) {
         if self.streaming && !self.completed {
             self.relayed = true;
-            self.caller.outgoing().extend_from_slice(bytes);
+            self.caller.write_buffer().extend_from_slice(bytes);
             return;
         }
         self.held.extend_from_slice(bytes);
--- a/crates/arbutusrudder/src/group/pool.rs
+++ b/crates/arbutusrudder/src/group/pool.rs
@@ -162,7 +162,7 @@
             let mut idle = self.lock_idle().pop()?;
             // Skips a connection that the member closed while it was idle: a statement sent on it
             // would have an unknown outcome although it never ran.
-            if !idle.connection.link().is_quiet().await {
+            if !idle.connection.link().is_idle().await {
                 continue;
             }
             if idle.since.elapsed() < check_after {
--- a/crates/rudder-endpoint/src/connection.rs
+++ b/crates/rudder-endpoint/src/connection.rs
@@ -138,7 +138,7 @@
     ///
     /// [`EndpointError`] if `text` contains a zero byte.
     pub fn queue_query(&mut self, text: &str) -> Result<(), EndpointError> {
-        frontend::query(text, self.link.outgoing())?;
+        frontend::query(text, self.link.write_buffer())?;
         Ok(())
     }
 
--- a/crates/rudder-endpoint/src/login.rs
+++ b/crates/rudder-endpoint/src/login.rs
@@ -84,7 +84,7 @@
         ("application_name", "arbutusrudder"),
         ("client_encoding", "UTF8"),
     ];
-    frontend::startup_message(parameters, link.outgoing())?;
+    frontend::startup_message(parameters, link.write_buffer())?;
     authenticate(link, settings).await?;
     await_ready(link).await
 }
@@ -95,7 +95,7 @@
         match next_message(link).await? {
             Message::AuthenticationOk => return Ok(()),
             Message::AuthenticationCleartextPassword => {
-                frontend::password_message(password_of(settings)?.as_bytes(), link.outgoing())?;
+                frontend::password_message(password_of(settings)?.as_bytes(), link.write_buffer())?;
             }
             Message::AuthenticationMd5Password(body) => {
                 let hash = postgres_protocol::authentication::md5_hash(
@@ -103,7 +103,7 @@
                     password_of(settings)?.as_bytes(),
                     body.salt(),
                 );
-                frontend::password_message(hash.as_bytes(), link.outgoing())?;
+                frontend::password_message(hash.as_bytes(), link.write_buffer())?;
             }
             Message::AuthenticationSasl(_) => {
                 let password = password_of(settings)?.as_bytes();
@@ -111,14 +111,14 @@
                 frontend::sasl_initial_response(
                     SCRAM_SHA_256,
                     exchange.message(),
-                    link.outgoing(),
+                    link.write_buffer(),
                 )?;
                 scram = Some(exchange);
             }
             Message::AuthenticationSaslContinue(body) => {
                 let exchange = scram.as_mut().ok_or(EndpointError::Unsupported("SASL order"))?;
                 exchange.update(body.data())?;
-                frontend::sasl_response(exchange.message(), link.outgoing())?;
+                frontend::sasl_response(exchange.message(), link.write_buffer())?;
             }
             Message::AuthenticationSaslFinal(body) => {
                 let exchange = scram.as_mut().ok_or(EndpointError::Unsupported("SASL order"))?;
--- a/crates/rudder-endpoint/src/wire/link.rs
+++ b/crates/rudder-endpoint/src/wire/link.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the write buffer, whose bytes are sent with the next read or flush.
-    pub fn outgoing(&mut self) -> &mut BytesMut {
+    pub fn write_buffer(&mut self) -> &mut BytesMut {
         &mut self.outgoing
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Whether the connection is open and nothing was received. Does not wait for bytes.
-    pub async fn is_quiet(&mut self) -> bool {
+    pub async fn is_idle(&mut self) -> bool {
         if !self.incoming.is_empty() {
             return false;
         }
@@ -143,12 +143,12 @@
     /// let (local, mut remote) = tokio::io::duplex(64);
     /// let mut link = rudder_endpoint::WireLink::new(Box::new(local), rudder_core::ByteSize(1024));
     /// remote.write_all(b"S\0\0\0\x04").await.unwrap();
-    /// link.await_frame().await.unwrap();
+    /// link.wait_for_frame().await.unwrap();
     /// assert!(link.has_buffered_frame());
     /// # });
     /// # Ok::<(), std::io::Error>(())
     /// ```
-    pub async fn await_frame(&mut self) -> Result<(), WireError> {
+    pub async fn wait_for_frame(&mut self) -> Result<(), WireError> {
         while !self.has_buffered_frame() {
             poll_fn(|cx| self.poll_exchange(cx)).await?;
         }
@@ -190,7 +190,7 @@
     /// # Errors
     ///
     /// [`WireError`] as for [`WireLink::next_frame`].
-    pub async fn next_startup(&mut self) -> Result<StartupPacket, WireError> {
+    pub async fn next_startup_packet(&mut self) -> Result<StartupPacket, WireError> {
         loop {
             if let Some(packet) = self.take_startup()? {
                 return Ok(packet);
