--- a/crates/arbutusrudder/tests/soak/checks.rs
+++ b/crates/arbutusrudder/tests/soak/checks.rs
@@ -1,7 +1,7 @@
 //! Checks of the recorded replies against the consistency guarantees and the group's commits.
 
 use super::environment::{ACCOUNT_LIMIT, account_of, is_limited};
-use rudder_standins::{LineCommit, LineGroup, LineRun};
+use rudder_standins::{LineCommit, LineGroup, LineStatement};
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -140,7 +140,7 @@
 
 impl SoakReport {
     pub(crate) fn of(history: &SoakHistory, group: &LineGroup) -> Self {
-        let mut discarded = group.cut_back();
+        let mut discarded = group.rolled_back_writes();
         discarded.sort_unstable();
         let tokens = group.tokens();
         let count =
@@ -159,7 +159,7 @@
         }
         report.check_writes(history, &group.commits(), &discarded);
         report.check_pairs(history, &group.commits());
-        report.check_accounts(&group.runs());
+        report.check_accounts(&group.statements());
         for record in &history.reads {
             report.check_read(record, &discarded, history);
         }
@@ -195,18 +195,19 @@
 
     /// Checks that each statement runs under its caller's account and that limited accounts stay
     /// within their limit.
-    fn check_accounts(&mut self, runs: &[LineRun]) {
-        let caller_of = |run: &LineRun| -> Option<usize> {
-            run.id.strip_prefix('c')?.split_once('n')?.0.parse().ok()
+    fn check_accounts(&mut self, statements: &[LineStatement]) {
+        let caller_of = |statement: &LineStatement| -> Option<usize> {
+            statement.id.strip_prefix('c')?.split_once('n')?.0.parse().ok()
         };
         let mut operations: Vec<(usize, &str, Instant)> = Vec::new();
-        for run in runs {
-            let Some(caller) = caller_of(run) else { continue };
-            if run.user != account_of(&format!("caller{caller}")) {
-                self.violations.push(format!("{} ran under account {}", run.id, run.user));
+        for statement in statements {
+            let Some(caller) = caller_of(statement) else { continue };
+            if statement.user != account_of(&format!("caller{caller}")) {
+                self.violations
+                    .push(format!("{} ran under account {}", statement.id, statement.user));
             }
-            if run.begins && is_limited(caller) {
-                operations.push((caller, &run.id, run.at));
+            if statement.begins && is_limited(caller) {
+                operations.push((caller, &statement.id, statement.at));
             }
         }
         // A read that is retried at another member counts as one operation.
--- a/crates/arbutusrudder/tests/soak/environment.rs
+++ b/crates/arbutusrudder/tests/soak/environment.rs
@@ -3,8 +3,8 @@
 use super::faults::{LinkFailure, SoakFault, SoakPlan, TimedSoakFault};
 use super::process::{ProcessFiles, ProcessSignal, SoakProcess};
 use rudder_standins::{
-    LineAccount, LineClient, LineDatabase, LineEntry, LineFleet, LineKind, LineSlot, LinkDirection,
-    LinkFault, LinkSettings, LinkStandin, ObjectsFault,
+    LineAccount, LineClient, LineConsistency, LineDatabase, LineEntry, LineFleet, LineSlot,
+    LinkDirection, LinkFault, LinkSettings, LinkStandin, ObjectsFault,
 };
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -132,15 +132,18 @@
 
     fn change_settings(&self) {
         let version = self.settings_version.fetch_add(3, Ordering::Relaxed) + 3;
-        let database =
-            |name: &str, kind| LineDatabase { name: name.to_owned(), kind, public: false };
+        let database = |name: &str, consistency| LineDatabase {
+            name: name.to_owned(),
+            consistency,
+            public: false,
+        };
         self.fleet.publish_settings(
             version,
             &[
-                database(STRICT, LineKind::Strict),
-                database(BOUNDED, LineKind::Bounded),
-                database(OWN, LineKind::OwnWrites),
-                database(&format!("db-{version}"), LineKind::Strict),
+                database(STRICT, LineConsistency::Strict),
+                database(BOUNDED, LineConsistency::Bounded),
+                database(OWN, LineConsistency::OwnWrites),
+                database(&format!("db-{version}"), LineConsistency::Strict),
             ],
         );
     }
--- a/crates/rudder-standins/src/lib.rs
+++ b/crates/rudder-standins/src/lib.rs
@@ -14,8 +14,8 @@
     GroupError, GroupSettings, GroupStandin, MemberKnob, MemberSettings, ServiceSpread,
 };
 pub use lines::{
-    BOOT_VARIABLE, LineAccount, LineClient, LineCommit, LineDatabase, LineEntry, LineFleet,
-    LineGroup, LineKind, LineMember, LineReply, LineRun, LineSlot,
+    BOOT_VARIABLE, LineAccount, LineClient, LineCommit, LineConsistency, LineDatabase, LineEntry,
+    LineFleet, LineGroup, LineMember, LineReply, LineSlot, LineStatement,
 };
 pub use link::{DatagramLinkStandin, LinkDirection, LinkFault, LinkSettings, LinkStandin};
 pub use objects::{ObjectsCall, ObjectsFault, ObjectsStandin, PromotionSink};
--- a/crates/rudder-standins/src/lines/fleet.rs
+++ b/crates/rudder-standins/src/lines/fleet.rs
@@ -27,7 +27,7 @@
 
 /// Consistency level of a database's reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineKind {
+pub enum LineConsistency {
     /// Reads see every acknowledged commit.
     Strict,
     /// Reads see every commit acknowledged at least 1.5 s ago.
@@ -42,7 +42,7 @@
     /// Name of the database.
     pub name: String,
     /// Consistency level of its reads.
-    pub kind: LineKind,
+    pub consistency: LineConsistency,
     /// Whether callers may connect without an API key.
     pub public: bool,
 }
@@ -99,10 +99,10 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new()?.block_on(async {
-    /// use rudder_standins::{LineDatabase, LineFleet, LineKind};
+    /// use rudder_standins::{LineConsistency, LineDatabase, LineFleet};
     /// let fleet = LineFleet::start("records", std::time::Duration::ZERO).await?;
     /// fleet.publish_settings(1, &[LineDatabase {
-    ///     name: "db".to_owned(), kind: LineKind::Strict, public: false,
+    ///     name: "db".to_owned(), consistency: LineConsistency::Strict, public: false,
     /// }]);
     /// let slot = LineFleet::instance_slot(0);
     /// assert!(fleet.boot_text(&slot, fleet.store.address()).contains("proxy-0"));
@@ -156,10 +156,10 @@
     }
 
     fn route(&self, database: &LineDatabase) -> Value {
-        let (kind, staleness) = match database.kind {
-            LineKind::Strict => ("primary", json!(null)),
-            LineKind::Bounded => ("bounded_staleness", json!(1500)),
-            LineKind::OwnWrites => ("read_your_writes", json!(2500)),
+        let (kind, staleness) = match database.consistency {
+            LineConsistency::Strict => ("primary", json!(null)),
+            LineConsistency::Bounded => ("bounded_staleness", json!(1500)),
+            LineConsistency::OwnWrites => ("read_your_writes", json!(2500)),
         };
         json!({
             "name": format!("r-{}", database.name), "host": database.name, "type": kind,
--- a/crates/rudder-standins/src/lines/group.rs
+++ b/crates/rudder-standins/src/lines/group.rs
@@ -29,7 +29,7 @@
 
 /// A caller's statement that a member received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LineRun {
+pub struct LineStatement {
     /// Id of the request.
     pub id: String,
     /// User that connected.
@@ -73,13 +73,13 @@
     tokens: Vec<u64>,
     promoted_at: Option<Instant>,
     /// Ids of the writes that promotions rolled back.
-    cut_back: Vec<String>,
-    runs: Vec<LineRun>,
+    rolled_back_writes: Vec<String>,
+    statements: Vec<LineStatement>,
 }
 
 impl GroupState {
-    pub(super) fn record_run(&mut self, run: LineRun) {
-        self.runs.push(run);
+    pub(super) fn record_statement(&mut self, statement: LineStatement) {
+        self.statements.push(statement);
     }
 
     /// Applies the primary's commits that are older than the replication lag to a replica's log.
@@ -136,7 +136,7 @@
         let term = self.members.iter().map(|member| member.term).max().unwrap_or(0) + 1;
         let rolled_back = self.members[self.primary].log[self.members[index].log.len()..].iter();
         let rolled_back = rolled_back.flat_map(|commit| &commit.writes).map(|(id, ..)| id.clone());
-        self.cut_back.extend(rolled_back.collect::<Vec<_>>());
+        self.rolled_back_writes.extend(rolled_back.collect::<Vec<_>>());
         self.promoted_at = Some(Instant::now());
         self.members[index].is_primary = true;
         self.members[index].term = term;
@@ -198,8 +198,8 @@
             lag,
             tokens: Vec::new(),
             promoted_at: None,
-            cut_back: Vec::new(),
-            runs: Vec::new(),
+            rolled_back_writes: Vec::new(),
+            statements: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
         for (index, listener) in listeners.into_iter().enumerate() {
@@ -259,14 +259,14 @@
     /// Returns the ids of the writes that promotions rolled back because the promoted member had
     /// not received them.
     #[must_use]
-    pub fn cut_back(&self) -> Vec<String> {
-        self.state().cut_back.clone()
+    pub fn rolled_back_writes(&self) -> Vec<String> {
+        self.state().rolled_back_writes.clone()
     }
 
     /// Returns the callers' statements that members received, in the order received.
     #[must_use]
-    pub fn runs(&self) -> Vec<LineRun> {
-        self.state().runs.clone()
+    pub fn statements(&self) -> Vec<LineStatement> {
+        self.state().statements.clone()
     }
 
     /// Sets the replication lag.
--- a/crates/rudder-standins/src/lines/mod.rs
+++ b/crates/rudder-standins/src/lines/mod.rs
@@ -8,6 +8,6 @@
 
 pub use client::{LineClient, LineReply};
 pub use fleet::{
-    BOOT_VARIABLE, LineAccount, LineDatabase, LineEntry, LineFleet, LineKind, LineSlot,
+    BOOT_VARIABLE, LineAccount, LineConsistency, LineDatabase, LineEntry, LineFleet, LineSlot,
 };
-pub use group::{LineCommit, LineGroup, LineMember, LineRun};
+pub use group::{LineCommit, LineGroup, LineMember, LineStatement};
--- a/crates/rudder-standins/src/lines/session.rs
+++ b/crates/rudder-standins/src/lines/session.rs
@@ -1,6 +1,6 @@
 //! Server side of one connection to a member.
 
-use super::group::{GroupState, LineCommit, LineRun, lock};
+use super::group::{GroupState, LineCommit, LineStatement, lock};
 use std::sync::Mutex;
 use std::time::Instant;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -125,7 +125,7 @@
     if matches!(verb, "READ" | "WRITE" | "EXECUTE" | "COMMIT") {
         let begins = session.transaction.as_mut().is_none_or(OpenTransaction::take_first_statement);
         let (id, user) = (id.to_owned(), session.user.clone());
-        group.record_run(LineRun { id, user, begins, at: Instant::now() });
+        group.record_statement(LineStatement { id, user, begins, at: Instant::now() });
     }
     let done = || LineResponse::Done(Vec::new(), "-".to_owned());
     match verb {
