--- a/crates/arbutusrudder/tests/soak/environment.rs
+++ b/crates/arbutusrudder/tests/soak/environment.rs
@@ -330,7 +330,7 @@
 async fn fail_link(link: &LinkStandin, failure: LinkFailure, length: Duration) {
     match failure {
         LinkFailure::Silent => link.cut(),
-        LinkFailure::NoReplies => link.set_fault(LinkDirection::Backward, LinkFault::Swallow),
+        LinkFailure::NoReplies => link.set_fault(LinkDirection::Backward, LinkFault::Drop),
         LinkFailure::Held => {
             link.set_fault(LinkDirection::Forward, LinkFault::Hold);
             link.set_fault(LinkDirection::Backward, LinkFault::Hold);
--- a/crates/rudder-standins/examples/link.rs
+++ b/crates/rudder-standins/examples/link.rs
@@ -73,7 +73,7 @@
         ["reset"] => link.reset(),
         ["delay", delay, jitter] => link.set_delay(milliseconds(delay)?, milliseconds(jitter)?),
         [fault @ ("cut" | "hold"), directions @ ..] => {
-            let fault = if *fault == "cut" { LinkFault::Swallow } else { LinkFault::Hold };
+            let fault = if *fault == "cut" { LinkFault::Drop } else { LinkFault::Hold };
             for direction in parse_directions(directions)? {
                 link.set_fault(*direction, fault);
             }
--- a/crates/rudder-standins/examples/measure/trace.rs
+++ b/crates/rudder-standins/examples/measure/trace.rs
@@ -158,8 +158,8 @@
             extra: self.caller_settings(policy),
             process: String::new(),
             delays: LinkDelays {
-                near: Duration::from_micros(200),
-                far: self.region_delay(),
+                same_domain: Duration::from_micros(200),
+                other_domain: self.region_delay(),
                 platform: Duration::from_millis(2),
             },
             policies: policy.policies(),
--- a/crates/rudder-standins/src/deployment/links.rs
+++ b/crates/rudder-standins/src/deployment/links.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkDelays {
     /// Delay to a member in the same failure domain.
-    pub near: Duration,
+    pub same_domain: Duration,
     /// Delay to a member in another failure domain.
-    pub far: Duration,
+    pub other_domain: Duration,
     /// Delay to the platform.
     pub platform: Duration,
 }
@@ -37,8 +37,9 @@
         for group in &deployment.groups {
             let mut links = Vec::new();
             for (index, (_, address)) in group.members().enumerate() {
-                let near = index % deployment.domains.len() == domain;
-                links.push(open(address, if near { delays.near } else { delays.far }).await?);
+                let is_same_domain = index % deployment.domains.len() == domain;
+                let delay = if is_same_domain { delays.same_domain } else { delays.other_domain };
+                links.push(open(address, delay).await?);
             }
             members.push(links);
         }
--- a/crates/rudder-standins/src/link/conditions.rs
+++ b/crates/rudder-standins/src/link/conditions.rs
@@ -26,7 +26,7 @@
     None,
     /// Traffic is dropped silently. A connection that lost bytes stays silent permanently, even
     /// after the link is healed; new connections work then.
-    Swallow,
+    Drop,
     /// Traffic is held until the link is healed, as if every packet were retransmitted.
     Hold,
 }
@@ -164,7 +164,7 @@
         let mut faults = self.sender(direction).subscribe();
         // The sender cannot be dropped before `self`, so only a change ends the wait.
         let fault = faults.wait_for(|fault| *fault != LinkFault::Hold).await;
-        fault.map_or(LinkFault::Swallow, |fault| *fault)
+        fault.map_or(LinkFault::Drop, |fault| *fault)
     }
 
     /// Waits until a direction has no fault.
--- a/crates/rudder-standins/src/link/tcp.rs
+++ b/crates/rudder-standins/src/link/tcp.rs
@@ -111,7 +111,7 @@
     /// use rudder_standins::{LinkDirection, LinkFault, LinkSettings, LinkStandin};
     /// let settings = LinkSettings::loopback("127.0.0.1:5432".parse()?);
     /// let link = LinkStandin::start(&settings).await?;
-    /// link.set_fault(LinkDirection::Backward, LinkFault::Swallow);
+    /// link.set_fault(LinkDirection::Backward, LinkFault::Drop);
     /// # Ok::<(), Box<dyn std::error::Error>>(()) })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
@@ -130,8 +130,8 @@
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn cut(&self) {
-        self.set_fault(LinkDirection::Forward, LinkFault::Swallow);
-        self.set_fault(LinkDirection::Backward, LinkFault::Swallow);
+        self.set_fault(LinkDirection::Forward, LinkFault::Drop);
+        self.set_fault(LinkDirection::Backward, LinkFault::Drop);
     }
 
     /// Clears the faults of both directions.
@@ -155,12 +155,12 @@
     /// # tokio::runtime::Runtime::new()?.block_on(async {
     /// use rudder_standins::{LinkSettings, LinkStandin};
     /// let settings = LinkSettings::loopback("127.0.0.1:5432".parse()?);
-    /// assert_eq!(LinkStandin::start(&settings).await?.silenced(), 0);
+    /// assert_eq!(LinkStandin::start(&settings).await?.silenced_connections(), 0);
     /// # Ok::<(), Box<dyn std::error::Error>>(()) })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     #[must_use]
-    pub fn silenced(&self) -> u64 {
+    pub fn silenced_connections(&self) -> u64 {
         self.conditions.dropped_count()
     }
 
@@ -294,7 +294,7 @@
         if due > Instant::now() {
             tokio::time::sleep_until(due).await;
         }
-        if conditions.wait_until_released(direction).await == LinkFault::Swallow {
+        if conditions.wait_until_released(direction).await == LinkFault::Drop {
             // The receiver could not parse bytes that follow lost ones, so the connection stays
             // silent until it is reset.
             conditions.count_dropped();
--- a/crates/rudder-standins/src/link/udp.rs
+++ b/crates/rudder-standins/src/link/udp.rs
@@ -99,7 +99,7 @@
     /// use rudder_standins::{DatagramLinkStandin, LinkDirection, LinkFault, LinkSettings};
     /// let settings = LinkSettings::loopback("127.0.0.1:7000".parse()?);
     /// let link = DatagramLinkStandin::start(&settings).await?;
-    /// link.set_fault(LinkDirection::Forward, LinkFault::Swallow);
+    /// link.set_fault(LinkDirection::Forward, LinkFault::Drop);
     /// # Ok::<(), Box<dyn std::error::Error>>(()) })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
@@ -184,7 +184,7 @@
         target: SocketAddr,
         datagram: Bytes,
     ) {
-        if self.conditions.fault(direction) == LinkFault::Swallow || self.conditions.draws_loss() {
+        if self.conditions.fault(direction) == LinkFault::Drop || self.conditions.draws_loss() {
             self.conditions.count_dropped();
             return;
         }
--- a/crates/rudder-standins/src/trial/schedule.rs
+++ b/crates/rudder-standins/src/trial/schedule.rs
@@ -199,7 +199,7 @@
         }
         FaultKind::CutLink => deployment.links[fault.proxy].members[0][member].cut(),
         FaultKind::DeafLink => deployment.links[fault.proxy].members[0][member]
-            .set_fault(LinkDirection::Backward, LinkFault::Swallow),
+            .set_fault(LinkDirection::Backward, LinkFault::Drop),
         FaultKind::SilentConnections => {
             for links in &deployment.links {
                 links.members[0][member].cut();
--- a/crates/rudder-standins/tests/link/traffic.rs
+++ b/crates/rudder-standins/tests/link/traffic.rs
@@ -38,7 +38,7 @@
 
     link.cut();
     old.write_all(b"b").await.unwrap();
-    while link.silenced() == 0 {
+    while link.silenced_connections() == 0 {
         tokio::task::yield_now().await;
     }
     link.heal();
