--- a/crates/arbutusrudder/tests/deployment/abuse.rs
+++ b/crates/arbutusrudder/tests/deployment/abuse.rs
@@ -13,7 +13,7 @@
 
 fn short_timeouts_plan() -> DeploymentPlan {
     let mut plan = plan(1);
-    plan.extra.push_str("[timing]\nlogin_timeout = \"300ms\"\nidle_timeout = \"1s\"\n");
+    plan.extra_settings.push_str("[timing]\nlogin_timeout = \"300ms\"\nidle_timeout = \"1s\"\n");
     plan
 }
 
@@ -89,8 +89,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_beyond_the_limit_get_an_error() {
-    let process = "callers_max = 2\n".to_owned();
-    let plan = DeploymentPlan { process, ..plan(1) };
+    let process_settings = "callers_max = 2\n".to_owned();
+    let plan = DeploymentPlan { process_settings, ..plan(1) };
     let deployment = Deployment::start(plan).await.expect("deployment starts");
     let (first, _) = connect(&deployment, 0, "copyist").await;
     let _second = connect(&deployment, 0, "copyist").await;
--- a/crates/arbutusrudder/tests/deployment/common.rs
+++ b/crates/arbutusrudder/tests/deployment/common.rs
@@ -6,9 +6,9 @@
 
 /// Plans a deployment of one group and of callers named copyist.
 pub(crate) fn plan(proxies: usize) -> DeploymentPlan {
-    let extra = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
-                 queue_wait = \"5s\"\nin_flight_max = 100\n";
-    DeploymentPlan { extra: extra.to_owned(), ..DeploymentPlan::small(proxies) }
+    let extra_settings = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
+                          queue_wait = \"5s\"\nin_flight_max = 100\n";
+    DeploymentPlan { extra_settings: extra_settings.to_owned(), ..DeploymentPlan::small(proxies) }
 }
 
 /// Connects to one proxy; returns the client and the task that drives its connection.
@@ -27,7 +27,7 @@
     user: &str,
     options: &str,
 ) -> (Client, JoinHandle<()>) {
-    let text = format!("{} {options}", deployment.client_string(proxy, user));
+    let text = format!("{} {options}", deployment.connection_string(proxy, user));
     let (client, connection) = tokio_postgres::connect(&text, NoTls).await.expect("login works");
     let task = tokio::spawn(async move {
         let _ = connection.await;
--- a/crates/arbutusrudder/tests/deployment/leaving.rs
+++ b/crates/arbutusrudder/tests/deployment/leaving.rs
@@ -12,7 +12,7 @@
 const POLLS_MAX: u32 = 300;
 
 fn plan(proxies: usize) -> DeploymentPlan {
-    DeploymentPlan { extra: CALLERS.to_owned(), ..DeploymentPlan::small(proxies) }
+    DeploymentPlan { extra_settings: CALLERS.to_owned(), ..DeploymentPlan::small(proxies) }
 }
 
 fn is_primary(deployment: &Deployment, name: &MemberName) -> bool {
--- a/crates/arbutusrudder/tests/deployment/login.rs
+++ b/crates/arbutusrudder/tests/deployment/login.rs
@@ -59,19 +59,19 @@
 }
 
 fn tls_plan(folder: &Path) -> DeploymentPlan {
-    let process = format!(
+    let process_settings = format!(
         "tls_certificate = {:?}\ntls_key = {:?}\ntls_reload_s = 1\n",
         folder.join("certificate.pem"),
         folder.join("key.pem")
     );
-    DeploymentPlan { process, ..plan(1) }
+    DeploymentPlan { process_settings, ..plan(1) }
 }
 
 fn password_plan() -> DeploymentPlan {
-    let process = format!(
+    let process_settings = format!(
         "require_password = true\n[[passwords]]\nuser = \"copyist\"\nvariable = \"{PASSWORD_VARIABLE}\"\n"
     );
-    DeploymentPlan { process, ..plan(1) }
+    DeploymentPlan { process_settings, ..plan(1) }
 }
 
 fn install_certificate(folder: &Path, name: &str) {
@@ -98,7 +98,7 @@
     assert_eq!(stream.read_u8().await?, b'S');
     let name = ServerName::try_from("localhost")?;
     let stream = TlsConnector::from(Arc::new(config)).connect(name, stream).await?;
-    let text = deployment.client_string(0, "copyist");
+    let text = deployment.connection_string(0, "copyist");
     let (client, connection) = text.parse::<Config>()?.connect_raw(stream, NoTls).await?;
     tokio::spawn(connection);
     Ok(client)
@@ -136,7 +136,7 @@
     let deployment = Deployment::start(password_plan()).await.expect("deployment starts");
     let connect = async |user: &str, password: &str| {
         let mut config: Config =
-            deployment.client_string(0, user).parse().expect("a connection string");
+            deployment.connection_string(0, user).parse().expect("a connection string");
         let (client, connection) = config.password(password).connect(NoTls).await?;
         tokio::spawn(connection);
         Ok::<Client, tokio_postgres::Error>(client)
--- a/crates/arbutusrudder/tests/deployment/path.rs
+++ b/crates/arbutusrudder/tests/deployment/path.rs
@@ -8,7 +8,7 @@
                        queue_wait = \"5s\"\nin_flight_max = 100\n";
 
 fn plan(proxies: usize) -> DeploymentPlan {
-    DeploymentPlan { extra: CALLERS.to_owned(), ..DeploymentPlan::small(proxies) }
+    DeploymentPlan { extra_settings: CALLERS.to_owned(), ..DeploymentPlan::small(proxies) }
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/arbutusrudder/tests/deployment/superseded.rs
+++ b/crates/arbutusrudder/tests/deployment/superseded.rs
@@ -15,7 +15,7 @@
 const WRITE_ATTEMPTS_MAX: u32 = 60;
 
 fn plan() -> DeploymentPlan {
-    DeploymentPlan { extra: SETTINGS.to_owned(), ..DeploymentPlan::small(3) }
+    DeploymentPlan { extra_settings: SETTINGS.to_owned(), ..DeploymentPlan::small(3) }
 }
 
 /// Much longer than the members' probes take, much shorter than the statement timeout.
@@ -127,7 +127,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_statement_on_a_silent_member_fails() {
     let settings = format!("{SETTINGS}statement_timeout = \"30m\"\n");
-    let plan = DeploymentPlan { extra: settings, ..DeploymentPlan::small(3) };
+    let plan = DeploymentPlan { extra_settings: settings, ..DeploymentPlan::small(3) };
     let deployment = Deployment::start(plan).await.expect("deployment starts");
     let (crew, _) = connect(&deployment, 0, "crew").await;
     crew.batch_execute("CREATE TABLE sheets (id int PRIMARY KEY, road text)").await.unwrap();
--- a/crates/arbutusrudder/tests/processes/program.rs
+++ b/crates/arbutusrudder/tests/processes/program.rs
@@ -171,9 +171,12 @@
 
 impl Fleet {
     pub(crate) async fn start(count: usize) -> Self {
-        let extra = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
-                     queue_wait = \"5s\"\nin_flight_max = 100\n";
-        let plan = DeploymentPlan { extra: extra.to_owned(), ..DeploymentPlan::small(0) };
+        let extra_settings = "[callers.copyist]\nusers = [\"copyist\"]\nstaleness = \"5s\"\n\
+                              queue_wait = \"5s\"\nin_flight_max = 100\n";
+        let plan = DeploymentPlan {
+            extra_settings: extra_settings.to_owned(),
+            ..DeploymentPlan::small(0)
+        };
         let deployment = Deployment::start(plan).await.expect("deployment starts");
         let mut fleet = Self { programs: Vec::new(), deployment };
         for _ in 0..count {
--- a/crates/rudder-standins/examples/measure/trace.rs
+++ b/crates/rudder-standins/examples/measure/trace.rs
@@ -155,8 +155,8 @@
             domains: domains.iter().map(|domain| domain.parse().expect(message)).collect(),
             groups,
             proxies,
-            extra: self.caller_settings(policy),
-            process: String::new(),
+            extra_settings: self.caller_settings(policy),
+            process_settings: String::new(),
             delays: LinkDelays {
                 same_domain: Duration::from_micros(200),
                 other_domain: self.region_delay(),
--- a/crates/rudder-standins/examples/quickstart.rs
+++ b/crates/rudder-standins/examples/quickstart.rs
@@ -13,9 +13,9 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     print_step("starting a group of three members, the platform and three proxies on loopback");
-    let plan = DeploymentPlan { extra: CALLERS.to_owned(), ..DeploymentPlan::small(3) };
+    let plan = DeploymentPlan { extra_settings: CALLERS.to_owned(), ..DeploymentPlan::small(3) };
     let deployment = Deployment::start(plan).await?;
-    let first = connect(&deployment.client_string(0, "copyist")).await?;
+    let first = connect(&deployment.connection_string(0, "copyist")).await?;
 
     first.batch_execute("CREATE TABLE pages (id int PRIMARY KEY, copyist text)").await?;
     first.batch_execute("INSERT INTO pages VALUES (7, 'anna')").await?;
@@ -23,8 +23,10 @@
     print_step(&format!("proxy 1: the session reads its claim: {}", read_claims(&first).await?));
 
     let token = first_column(&first, "SHOW rudder.session").await?.remove(0);
-    let connection_string =
-        format!("{} options='-c rudder.session={token}'", deployment.client_string(1, "copyist"));
+    let connection_string = format!(
+        "{} options='-c rudder.session={token}'",
+        deployment.connection_string(1, "copyist")
+    );
     let second = connect(&connection_string).await?;
     print_step(&format!(
         "proxy 2: the same session, by its token, reads: {}",
--- a/crates/rudder-standins/src/deployment/mod.rs
+++ b/crates/rudder-standins/src/deployment/mod.rs
@@ -76,9 +76,9 @@
     /// Number of proxies.
     pub proxies: usize,
     /// Additional settings in TOML, such as kinds of caller and timing.
-    pub extra: String,
+    pub extra_settings: String,
     /// Additional process settings of each proxy in TOML, such as TLS, passwords and bounds.
-    pub process: String,
+    pub process_settings: String,
     /// One-way delays of the proxies' links.
     pub delays: LinkDelays,
     /// Decision policies of the proxies.
@@ -101,8 +101,8 @@
             domains: domains.iter().map(|domain| domain.parse().expect(name)).collect(),
             groups: vec![GroupSettings::loopback("scores-orders".parse().expect(name))],
             proxies,
-            extra: String::new(),
-            process: String::new(),
+            extra_settings: String::new(),
+            process_settings: String::new(),
             delays: LinkDelays::default(),
             policies: ProxyPolicies::default(),
         }
@@ -120,7 +120,7 @@
     /// Links of each proxy to the platform and the members.
     pub links: Vec<ProxyLinks>,
     domains: Vec<DomainName>,
-    process: String,
+    process_settings: String,
     delays: LinkDelays,
     policies: ProxyPolicies,
 }
@@ -153,7 +153,7 @@
             proxies: Vec::new(),
             links: Vec::new(),
             domains: plan.domains.clone(),
-            process: plan.process.clone(),
+            process_settings: plan.process_settings.clone(),
             delays: plan.delays,
             policies: plan.policies.clone(),
         };
@@ -201,7 +201,7 @@
             self.domains[domain],
             seeds.join(", "),
             links.platform.address(),
-            self.process,
+            self.process_settings,
             links.route_settings(self),
         );
         self.links.push(links);
@@ -222,7 +222,7 @@
 
     /// Returns the `libpq`-style connection string of a proxy for `user`.
     #[must_use]
-    pub fn client_string(&self, index: usize, user: &str) -> String {
+    pub fn connection_string(&self, index: usize, user: &str) -> String {
         let address = self.proxy(index).listen_address();
         format!(
             "host={} port={} user={user} dbname={} sslmode=disable",
--- a/crates/rudder-standins/src/deployment/settings.rs
+++ b/crates/rudder-standins/src/deployment/settings.rs
@@ -28,7 +28,7 @@
             );
         }
     }
-    text.push_str(&plan.extra);
+    text.push_str(&plan.extra_settings);
     text
 }
 
--- a/crates/rudder-standins/src/trial/mod.rs
+++ b/crates/rudder-standins/src/trial/mod.rs
@@ -55,7 +55,8 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub async fn run_trial(schedule: &TrialSchedule) -> Result<TrialReport, DeploymentError> {
-    let mut plan = DeploymentPlan { extra: SETTINGS.to_owned(), ..DeploymentPlan::small(3) };
+    let mut plan =
+        DeploymentPlan { extra_settings: SETTINGS.to_owned(), ..DeploymentPlan::small(3) };
     plan.groups = vec![GroupSettings::loopback(unique_service_name())];
     let mut deployment = Deployment::start(plan).await?;
     create_tables(&deployment).await;
