--- a/crates/rudder-standins/examples/group.rs
+++ b/crates/rudder-standins/examples/group.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use rudder_core::{ConnectionCount, MemberName, ServiceName, SlotCount};
-use rudder_standins::{GroupSettings, GroupStandin, ServiceSpread};
+use rudder_standins::{GroupSettings, GroupStandin, ServiceDistribution};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -87,7 +87,7 @@
     settings.connections = ConnectionCount(arguments.connections);
     settings.service_time = milliseconds(arguments.service_time);
     if arguments.exponential {
-        settings.spread = ServiceSpread::Exponential;
+        settings.service_distribution = ServiceDistribution::Exponential;
     }
     settings.connect_time = milliseconds(arguments.connect_time);
     settings.link_delay = milliseconds(arguments.link_delay);
--- a/crates/rudder-standins/examples/measure/trace.rs
+++ b/crates/rudder-standins/examples/measure/trace.rs
@@ -2,7 +2,7 @@
 
 use crate::baseline::PolicyChoice;
 use rudder_core::{ConnectionCount, MemberSpeed, SlotCount};
-use rudder_standins::{DeploymentPlan, GroupSettings, LinkDelays, ServiceSpread};
+use rudder_standins::{DeploymentPlan, GroupSettings, LinkDelays, ServiceDistribution};
 use serde::Deserialize;
 use std::error::Error;
 use std::fmt::Write;
@@ -184,7 +184,7 @@
         settings.slots = SlotCount(slots);
         settings.connections = ConnectionCount(connections);
         settings.service_time = Duration::from_secs_f64(self.service_ms / 1000.0);
-        settings.spread = ServiceSpread::Exponential;
+        settings.service_distribution = ServiceDistribution::Exponential;
         settings.connect_time = Duration::from_millis(12);
         settings.link_delay = self.region_delay();
         settings.apply_lag = Duration::from_millis(self.lag_ms);
--- a/crates/rudder-standins/src/group/knob.rs
+++ b/crates/rudder-standins/src/group/knob.rs
@@ -5,7 +5,7 @@
 
 /// Distribution of the service times of statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServiceSpread {
+pub enum ServiceDistribution {
     /// Every statement takes the mean time.
     Fixed,
     /// Exponential distribution, drawn from the member's seeded generator.
@@ -40,7 +40,7 @@
     Speed(MemberSpeed),
     /// Mean service time of a statement at full speed, and its distribution: `service_time(ms)`,
     /// `service_time(ms, 'exponential')`.
-    ServiceTime(Duration, ServiceSpread),
+    ServiceTime(Duration, ServiceDistribution),
     /// Maximum number of concurrent statements, for statements received from now on:
     /// `slots(count)`.
     Slots(SlotCount),
--- a/crates/rudder-standins/src/group/member.rs
+++ b/crates/rudder-standins/src/group/member.rs
@@ -85,8 +85,11 @@
         shared: Arc<GroupShared>,
         seed: u64,
     ) -> Self {
-        let times =
-            ServiceTimes { mean: group.service_time, spread: group.spread, speed: settings.speed };
+        let times = ServiceTimes {
+            mean: group.service_time,
+            distribution: group.service_distribution,
+            speed: settings.speed,
+        };
         Self {
             name: settings.name.clone(),
             address,
@@ -215,9 +218,9 @@
                 self.thawed.send_replace(!frozen);
             }
             MemberKnob::Speed(speed) => self.slots.update_times(|times| times.speed = *speed),
-            MemberKnob::ServiceTime(mean, spread) => self.slots.update_times(|times| {
+            MemberKnob::ServiceTime(mean, distribution) => self.slots.update_times(|times| {
                 times.mean = *mean;
-                times.spread = *spread;
+                times.distribution = *distribution;
             }),
             MemberKnob::Slots(slots) => self.slots.resize(slots.0 as usize),
             MemberKnob::Connections(count) => {
--- a/crates/rudder-standins/src/group/mod.rs
+++ b/crates/rudder-standins/src/group/mod.rs
@@ -14,5 +14,5 @@
 mod wire;
 
 pub use handle::{GroupError, GroupStandin};
-pub use knob::{MemberKnob, ServiceSpread};
+pub use knob::{MemberKnob, ServiceDistribution};
 pub use settings::{GroupSettings, MemberSettings};
--- a/crates/rudder-standins/src/group/settings.rs
+++ b/crates/rudder-standins/src/group/settings.rs
@@ -1,6 +1,6 @@
 //! Settings with which a group starts.
 
-use super::knob::ServiceSpread;
+use super::knob::ServiceDistribution;
 use rudder_core::{ConnectionCount, MemberName, MemberSpeed, ServiceName, SlotCount};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,7 +31,7 @@
         /// Mean service time of a statement that reads or changes data, at full speed.
         pub service_time: Duration,
         /// Distribution of service times.
-        pub spread: ServiceSpread,
+        pub service_distribution: ServiceDistribution,
         /// Time that it takes to open a connection.
         pub connect_time: Duration,
         /// Delay between the primary's append of an entry and its receipt by a replica.
@@ -83,7 +83,7 @@
             slots: DEFAULT_SLOTS,
             connections: DEFAULT_CONNECTIONS,
             service_time: Duration::ZERO,
-            spread: ServiceSpread::Fixed,
+            service_distribution: ServiceDistribution::Fixed,
             connect_time: Duration::ZERO,
             link_delay: Duration::ZERO,
             apply_lag: Duration::ZERO,
--- a/crates/rudder-standins/src/group/slots.rs
+++ b/crates/rudder-standins/src/group/slots.rs
@@ -1,6 +1,6 @@
 //! Execution slots of a member, and the service times for which statements occupy them.
 
-use super::knob::ServiceSpread;
+use super::knob::ServiceDistribution;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rudder_core::MemberSpeed;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceTimes {
     pub(crate) mean: Duration,
-    pub(crate) spread: ServiceSpread,
+    pub(crate) distribution: ServiceDistribution,
     pub(crate) speed: MemberSpeed,
 }
 
@@ -72,9 +72,9 @@
             return Duration::ZERO;
         }
         let scale = FULL_SPEED / f64::from(times.speed.0.max(1));
-        let factor = match times.spread {
-            ServiceSpread::Fixed => 1.0,
-            ServiceSpread::Exponential => -(1.0 - generator.random::<f64>()).ln(),
+        let factor = match times.distribution {
+            ServiceDistribution::Fixed => 1.0,
+            ServiceDistribution::Exponential => -(1.0 - generator.random::<f64>()).ln(),
         };
         times.mean.mul_f64(scale * factor)
     }
--- a/crates/rudder-standins/src/group/sql/parse_control.rs
+++ b/crates/rudder-standins/src/group/sql/parse_control.rs
@@ -4,7 +4,7 @@
 use super::error::SqlError;
 use super::parse_scalar::{call_arguments, constant_text, name_text};
 use super::plan::StatementPlan;
-use crate::group::knob::{KnobCommand, MemberKnob, ServiceSpread};
+use crate::group::knob::{KnobCommand, MemberKnob, ServiceDistribution};
 use rudder_core::{ConnectionCount, ControlStatement, LogTerm, MemberName, MemberSpeed, SlotCount};
 use sqlparser::ast::{self, Expr, SelectItem};
 use std::str::FromStr;
@@ -73,10 +73,10 @@
         ("heal", []) => MemberKnob::Cut(false),
         ("speed", [percent]) => MemberKnob::Speed(value::<MemberSpeed>(percent)?),
         ("service_time", [millis]) => {
-            MemberKnob::ServiceTime(milliseconds(millis)?, ServiceSpread::Fixed)
+            MemberKnob::ServiceTime(milliseconds(millis)?, ServiceDistribution::Fixed)
         }
         ("service_time", [millis, "exponential"]) => {
-            MemberKnob::ServiceTime(milliseconds(millis)?, ServiceSpread::Exponential)
+            MemberKnob::ServiceTime(milliseconds(millis)?, ServiceDistribution::Exponential)
         }
         ("slots", [count]) => MemberKnob::Slots(value::<SlotCount>(count)?),
         ("connections", [count]) => MemberKnob::Connections(value::<ConnectionCount>(count)?),
--- a/crates/rudder-standins/src/lib.rs
+++ b/crates/rudder-standins/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use deployment::{Deployment, DeploymentError, DeploymentPlan, LinkDelays, ProxyLinks};
 pub use group::{
-    GroupError, GroupSettings, GroupStandin, MemberKnob, MemberSettings, ServiceSpread,
+    GroupError, GroupSettings, GroupStandin, MemberKnob, MemberSettings, ServiceDistribution,
 };
 pub use lines::{
     BOOT_VARIABLE, LineAccount, LineClient, LineCommit, LineConsistency, LineDatabase, LineEntry,
