--- a/crates/arbutusrudder/src/fleet/apply.rs
+++ b/crates/arbutusrudder/src/fleet/apply.rs
@@ -18,7 +18,7 @@
         instances: context.instance_count(),
         origin: context.origin,
         routes: context.process.routes.clone(),
-        limits: context.policies.limits,
+        limits: context.policies.admission_limits,
     };
     let same_timing_and_domains = previous.settings.timing == settings.timing
         && previous.settings.domains == settings.domains;
--- a/crates/arbutusrudder/src/policy.rs
+++ b/crates/arbutusrudder/src/policy.rs
@@ -9,11 +9,11 @@
     /// Selects the members that serve reads.
     pub reads: Arc<dyn ReadPolicy>,
     /// Whether the admission gate limits running and queued requests.
-    pub limits: bool,
+    pub admission_limits: bool,
 }
 
 impl Default for ProxyPolicies {
     fn default() -> Self {
-        Self { reads: Arc::new(ReadRouter::new()), limits: true }
+        Self { reads: Arc::new(ReadRouter::new()), admission_limits: true }
     }
 }
--- a/crates/arbutusrudder/src/proxy.rs
+++ b/crates/arbutusrudder/src/proxy.rs
@@ -93,7 +93,7 @@
     ///
     /// ```
     /// let policies = arbutusrudder::ProxyPolicies::default();
-    /// assert!(policies.limits);
+    /// assert!(policies.admission_limits);
     /// ```
     pub async fn start_with(
         process: ProcessSettings,
--- a/crates/rudder-standins/examples/measure/baseline.rs
+++ b/crates/rudder-standins/examples/measure/baseline.rs
@@ -34,9 +34,11 @@
         match self {
             Self::Current => ProxyPolicies::default(),
             Self::RoundRobin => {
-                ProxyPolicies { reads: Arc::new(RandomFreshReplica), limits: false }
+                ProxyPolicies { reads: Arc::new(RandomFreshReplica), admission_limits: false }
+            }
+            Self::PrimaryOnly => {
+                ProxyPolicies { reads: Arc::new(AlwaysPrimary), admission_limits: false }
             }
-            Self::PrimaryOnly => ProxyPolicies { reads: Arc::new(AlwaysPrimary), limits: false },
         }
     }
 
